--- a/daemon/src/relay/attempt.rs
+++ b/daemon/src/relay/attempt.rs
@@ -8,7 +8,7 @@
 use poplarvale_lib::EndpointId;
 use poplarvale_lib::http1::{Request, Response};
 use poplarvale_lib::relay::ask::Ask;
-use poplarvale_lib::relay::board::{Endpoint, Standing};
+use poplarvale_lib::relay::endpoint_table::{Endpoint, Standing};
 use poplarvale_lib::relay::catalog::{CatalogVersion, Route, Service, Team};
 use poplarvale_lib::relay::crash::SETTLED;
 use poplarvale_lib::relay::limit::Said;
@@ -82,7 +82,7 @@
 
 impl Drop for Booked {
     fn drop(&mut self) {
-        if let Some(row) = self.state.board.borrow_mut().get_mut(&self.endpoint) {
+        if let Some(row) = self.state.endpoints.borrow_mut().get_mut(&self.endpoint) {
             row.end(self.number);
             row.evidence.nothing();
         }
@@ -91,7 +91,7 @@
 
 impl Booked {
     fn note(&self, change: impl FnOnce(&mut Endpoint)) {
-        if let Some(row) = self.state.board.borrow_mut().get_mut(&self.endpoint) {
+        if let Some(row) = self.state.endpoints.borrow_mut().get_mut(&self.endpoint) {
             change(row);
         }
     }
@@ -149,8 +149,8 @@
             if first.is_none() {
                 let now = Std::now();
                 first = Some(now);
-                let mut board = state.board.borrow_mut();
-                board.began(&choice.id, number, now);
+                let mut table = state.endpoints.borrow_mut();
+                table.began(&choice.id, number, now);
                 state.measure(|metrics| metrics.first(job.arrived.elapsed()));
                 state.count_run(team, now);
             }
@@ -159,8 +159,8 @@
             StreamEnd::Whole => {
                 let events = passed.events.count().saturating_sub(events + 1) as u32;
                 let tokens = events * job.service.engine.as_ref().map_or(0, |row| row.stride);
-                let mut board = state.board.borrow_mut();
-                board.streamed(&choice.id, number, tokens, Std::now());
+                let mut table = state.endpoints.borrow_mut();
+                table.streamed(&choice.id, number, tokens, Std::now());
                 Ended::Streamed
             }
             StreamEnd::CallerGone => return Ended::CallerGone,
@@ -209,7 +209,7 @@
         }
     };
     let said = Said { rate, heard: now };
-    if state.board.borrow_mut().named(&endpoint.id, said) {
+    if state.endpoints.borrow_mut().named(&endpoint.id, said) {
         log::info!(now:? = rate; "limit: endpoint {} names another.", endpoint.id);
         state.news.notify_one();
     }
@@ -217,8 +217,8 @@
 
 /// Whether a moment is after the last word of an endpoint's limit.
 fn is_after_limit(state: &State, endpoint: &Listing, sent: Std) -> bool {
-    let board = state.board.borrow();
-    let limit = board.get(&endpoint.id).and_then(|row| row.limit.as_ref());
+    let table = state.endpoints.borrow();
+    let limit = table.get(&endpoint.id).and_then(|row| row.limit.as_ref());
     limit.is_some_and(|limit| sent > limit.heard())
 }
 
@@ -229,12 +229,12 @@
     job: &Job<'_>,
     choice: &Choice,
 ) -> Option<(Listing, Wire, bool)> {
-    let endpoint = state.board.borrow().get(&choice.id)?.listing.clone();
+    let endpoint = state.endpoints.borrow().get(&choice.id)?.listing.clone();
     match state.upstreams.get(endpoint.address).await {
         Ok((wire, kept)) => Some((endpoint, wire, kept)),
         Err(error) => {
-            let mut board = state.board.borrow_mut();
-            let row = board.get_mut(&choice.id);
+            let mut table = state.endpoints.borrow_mut();
+            let row = table.get_mut(&choice.id);
             let out = row.is_some_and(|row| row.evidence.unreached(Std::now()));
             state.measure(|metrics| metrics.sent("not connected"));
             log::info!(
@@ -250,8 +250,8 @@
 /// when the first event of its stream came.
 fn may_have_ended(state: &State, endpoint: &Listing, fault: Fault, first: Option<Std>) -> bool {
     let is_settled = first.is_some_and(|first| first.elapsed() >= SETTLED);
-    let board = state.board.borrow();
-    let row = board.get(&endpoint.id);
+    let table = state.endpoints.borrow();
+    let row = table.get(&endpoint.id);
     // One that leaves ends in any case.
     let is_leaving = row.is_none_or(|row| row.standing == Standing::Leaving);
     fault == Fault::Broken && !is_settled && !is_leaving
@@ -260,8 +260,8 @@
 /// Tells that a request goes to an endpoint whose entry is missing: if it fails or the
 /// endpoint had left, this line is the reason why it was sent there.
 fn tell_doubt(state: &State, job: &Job<'_>, choice: &Choice) {
-    let board = state.board.borrow();
-    let standing = board.get(&choice.id).map(|row| row.standing);
+    let table = state.endpoints.borrow();
+    let standing = table.get(&choice.id).map(|row| row.standing);
     if let Some(Standing::Doubtful(until)) = standing {
         let left = until.saturating_duration_since(Std::now());
         log::info!(
@@ -285,7 +285,7 @@
         draw: 0,
         now: Std::now(),
     };
-    place::book(&mut state.board.borrow_mut(), &wanted, choice, number);
+    place::book(&mut state.endpoints.borrow_mut(), &wanted, choice, number);
     Booked {
         state: Rc::clone(state),
         endpoint: choice.id.clone(),
@@ -330,8 +330,8 @@
         Ended::Broken(_) => false,
         Ended::NotRun | Ended::NotSent | Ended::CallerGone => return,
     };
-    let board = state.board.borrow();
-    let Some(row) = board.get(&choice.id) else {
+    let table = state.endpoints.borrow();
+    let Some(row) = table.get(&choice.id) else {
         return;
     };
     let version = &row.listing.version;
--- a/daemon/src/relay/dispatch.rs
+++ b/daemon/src/relay/dispatch.rs
@@ -228,7 +228,7 @@
 
 /// An endpoint for the request, other than those it was at.
 fn pick(state: &State, job: &Job<'_>, avoid: &[EndpointId]) -> Result<Choice, NoPlace> {
-    let board = state.board.borrow();
+    let table = state.endpoints.borrow();
     let wanted = Wanted {
         service: job.service,
         prompt: job.ask.prompt.as_ref(),
@@ -240,10 +240,10 @@
         draw: fastrand::u64(..),
         now: Std::now(),
     };
-    let chosen = choose(&board, &wanted);
+    let chosen = choose(&table, &wanted);
     match job.versions.otherwise() {
         Some(versions) if chosen.is_err() => choose(
-            &board,
+            &table,
             &Wanted {
                 versions: &versions,
                 ..wanted
--- a/daemon/src/relay/duties.rs
+++ b/daemon/src/relay/duties.rs
@@ -316,8 +316,8 @@
 /// Writes how version moves stand where the store holds something else.
 async fn announce(state: &State, store: &mut Client, holder: &Holder) {
     let busy = |service: &str, target: &str| {
-        let board = state.board.borrow();
-        board.of_other_versions(service, target).1
+        let table = state.endpoints.borrow();
+        table.of_other_versions(service, target).1
     };
     let due = state.rollouts.borrow_mut().due(state.true_ms(), busy);
     for status in due {
@@ -507,7 +507,7 @@
         let work = state.demand.borrow().total(&service.name, now);
         let zones = &state.site.zones;
         let orders = &mut holder.orders;
-        let wishes = orders.wishes(&state.board.borrow(), service, zones, work, now);
+        let wishes = orders.wishes(&state.endpoints.borrow(), service, zones, work, now);
         for wish in wishes {
             let now = Instant::now();
             if !holder.held.may_act(now) {
--- a/daemon/src/relay/peers.rs
+++ b/daemon/src/relay/peers.rs
@@ -7,7 +7,7 @@
 use compact_str::CompactString;
 use poplarvale_lib::ZoneHash;
 use poplarvale_lib::protos::relay::{Digest, UsageRecord, digest};
-use poplarvale_lib::relay::board::{Others, Teller};
+use poplarvale_lib::relay::endpoint_table::{Others, Teller};
 use poplarvale_lib::relay::contact::Span;
 use poplarvale_lib::relay::demand::Work;
 use poplarvale_lib::relay::digest::{Peer, Place, Turn, Turns};
@@ -73,7 +73,7 @@
         me: peers.me(),
         others: peers.lately(now),
     };
-    state.board.borrow_mut().share(sharers, now);
+    state.endpoints.borrow_mut().share(sharers, now);
 }
 
 /// Sends the last digest of a daemon that ends. What it counted since the last whole one
@@ -100,7 +100,7 @@
     }
     let mut digest = digest(state, sequence, turn.near, &left, now);
     if peers.is_watcher(now) {
-        let check = state.board.borrow().check_sum();
+        let check = state.endpoints.borrow().check_sum();
         let news = state.follow.borrow().tell(check, now);
         digest.news = news.map(news::tell);
     }
@@ -120,7 +120,7 @@
         asked: row.asked as u32,
         ..digest::TeamUse::default()
     });
-    let endpoints = state.board.borrow().tell_zone(place.zone);
+    let endpoints = state.endpoints.borrow().tell_zone(place.zone);
     let zone_use = digest::ZoneUse {
         silent: summary.silent,
         teams: teams.collect(),
@@ -172,8 +172,8 @@
         total: row.total,
         asked: row.asked as u32,
     });
-    let board = state.board.borrow();
-    let busy = board.rows().iter().filter(|row| !row.flights.is_empty());
+    let table = state.endpoints.borrow();
+    let busy = table.rows().iter().filter(|row| !row.flights.is_empty());
     let endpoints = busy.map(|row| tell_use((row.hash, row.own())));
     let usage = state.usage.borrow();
     let current = state.window_at(now);
@@ -230,7 +230,7 @@
             number: report.window,
             counts: report.counts.to_string(),
         }),
-        limits: board
+        limits: table
             .tell_limits(now)
             .into_iter()
             .map(|row| tell_limit(row, now))
@@ -263,7 +263,7 @@
         return;
     }
     let said = Said { rate, heard };
-    if state.board.borrow_mut().hear_named(told.endpoint, said) {
+    if state.endpoints.borrow_mut().hear_named(told.endpoint, said) {
         log::info!(endpoint = told.endpoint, now:? = rate; "limit: an endpoint names another, {name} tells.");
     }
 }
@@ -284,7 +284,7 @@
         return;
     };
     let well = now.saturating_duration_since(since);
-    for id in state.board.borrow_mut().well_since(since, now) {
+    for id in state.endpoints.borrow_mut().well_since(since, now) {
         log::info!(
             well_ms = well.as_millis() as u64;
             "board: endpoint {id} leaves, the store was well as {name} tells."
@@ -386,8 +386,8 @@
         .borrow_mut()
         .hear_zone(zone, summary, silent, now);
     let uses = told.endpoints.iter().map(hear_use).collect();
-    let mut board = state.board.borrow_mut();
-    board.hear(Teller::Zone(zone), uses, now);
+    let mut table = state.endpoints.borrow_mut();
+    table.hear(Teller::Zone(zone), uses, now);
 }
 
 /// Takes in which report another daemon fixed. One of a window that has not begun would keep
@@ -456,8 +456,8 @@
     }
     let uses = digest.endpoints.iter().map(hear_use).collect();
     let teller = Teller::Daemon(digest.zone, name.clone());
-    state.board.borrow_mut().hear(teller, uses, now);
-    for id in state.board.borrow_mut().heard_left(&digest.left) {
+    state.endpoints.borrow_mut().hear(teller, uses, now);
+    for id in state.endpoints.borrow_mut().heard_left(&digest.left) {
         log::info!("board: endpoint {id} leaves, {name} tells.");
     }
     let work = digest.services.iter().map(|row| {
--- a/daemon/src/relay/run.rs
+++ b/daemon/src/relay/run.rs
@@ -210,7 +210,7 @@
         state.crashes.borrow_mut().expire(now);
         let current = state.window_at(now);
         state.usage.borrow_mut().expire(current);
-        for id in state.board.borrow_mut().expire(now) {
+        for id in state.endpoints.borrow_mut().expire(now) {
             log::info!("board: endpoint {id} did not come back.");
         }
     }
--- a/daemon/src/relay/serve.rs
+++ b/daemon/src/relay/serve.rs
@@ -145,8 +145,8 @@
 /// Versions of a service that a new request may go to.
 fn versions(state: &State, service: &str) -> Versions {
     let olds = |version: &str| {
-        let board = state.board.borrow();
-        board.of_other_versions(service, version).0
+        let table = state.endpoints.borrow();
+        table.of_other_versions(service, version).0
     };
     let mut rollouts = state.rollouts.borrow_mut();
     rollouts.versions(service, olds, state.true_ms())
--- a/daemon/src/relay/state.rs
+++ b/daemon/src/relay/state.rs
@@ -6,7 +6,7 @@
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 use compact_str::CompactString;
-use poplarvale_lib::relay::board::Board;
+use poplarvale_lib::relay::endpoint_table::EndpointTable;
 use poplarvale_lib::relay::budget::Budget;
 use poplarvale_lib::relay::catalog::Catalog;
 use poplarvale_lib::relay::clock::Clock;
@@ -37,7 +37,7 @@
     pub(crate) site: Site,
     /// Configuration in force; `None` until the first one was read.
     pub(crate) catalog: RefCell<Option<Rc<Catalog>>>,
-    pub(crate) board: RefCell<Board>,
+    pub(crate) endpoints: RefCell<EndpointTable>,
     pub(crate) quota: RefCell<Quota>,
     pub(crate) budget: RefCell<Budget>,
     pub(crate) crashes: RefCell<Crashes>,
@@ -101,7 +101,7 @@
         );
         Rc::new(Self {
             catalog: RefCell::new(None),
-            board: RefCell::default(),
+            endpoints: RefCell::default(),
             quota: RefCell::new(quota.with_phase(fastrand::f64())),
             budget: RefCell::new(Budget::new(
                 site.bounds.repeat,
--- a/daemon/src/relay/status.rs
+++ b/daemon/src/relay/status.rs
@@ -5,7 +5,7 @@
 
 use bytes::BytesMut;
 use poplarvale_lib::http1::Request;
-use poplarvale_lib::relay::board::{Endpoint, Standing};
+use poplarvale_lib::relay::endpoint_table::{Endpoint, Standing};
 use poplarvale_lib::relay::contact::Span;
 use poplarvale_lib::relay::limit::Limit;
 use poplarvale_lib::{Code, Ran};
@@ -40,8 +40,8 @@
 /// State of the daemon; holds no key and nothing of a request's content.
 fn dump(state: &State) -> Value {
     let now = Instant::now();
-    let board = state.board.borrow();
-    let endpoints: Vec<Value> = board.rows().iter().map(|row| endpoint(row, now)).collect();
+    let table = state.endpoints.borrow();
+    let endpoints: Vec<Value> = table.rows().iter().map(|row| endpoint(row, now)).collect();
     let peers = state.peers.borrow();
     let peers: Vec<Value> = peers
         .rows()
--- a/daemon/src/relay/watch.rs
+++ b/daemon/src/relay/watch.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use poplarvale_lib::relay::board::Changed;
+use poplarvale_lib::relay::endpoint_table::Changed;
 use poplarvale_lib::relay::digest::WATCHERS;
 use poplarvale_lib::relay::follow::{Entry, Heard, News};
 use poplarvale_lib::relay::listing::Listing;
@@ -176,17 +176,17 @@
     let returned = state.eras.read_in(era_of(revision));
     let listings = items.iter().filter_map(listing).collect();
     let changes = {
-        let mut board = state.board.borrow_mut();
+        let mut table = state.endpoints.borrow_mut();
         let contact = state.contact.get();
         if state.listed.get() && !contact.is_unbroken() {
-            board.registry_back(now);
+            table.registry_back(now);
         } else if state.listed.get() && returned {
             // Entries of living endpoints are missing in an older copy too. It came back
             // after the last answer; reckoned from its first, one that left since would
             // stay in use for too long.
-            board.registry_back(contact.heard());
+            table.registry_back(contact.heard());
         }
-        board.replace(listings, now)
+        table.replace(listings, now)
     };
     for (id, change) in changes {
         tell(state, &id, change);
@@ -263,7 +263,7 @@
 fn take_entry(state: &State, revision: u64, entry: Entry) {
     let now = Instant::now();
     let is_news = match &entry {
-        Entry::Put(listing) => state.board.borrow().is_news(listing),
+        Entry::Put(listing) => state.endpoints.borrow().is_news(listing),
         Entry::Gone(_) => true,
     };
     if is_news {
@@ -275,11 +275,11 @@
 }
 
 fn apply(state: &State, entry: Entry, now: Instant) -> (EndpointId, Changed) {
-    let mut board = state.board.borrow_mut();
+    let mut table = state.endpoints.borrow_mut();
     match entry {
-        Entry::Put(listing) => (listing.id.clone(), board.put(listing)),
+        Entry::Put(listing) => (listing.id.clone(), table.put(listing)),
         Entry::Gone(id) => {
-            let change = board.gone(&id, now);
+            let change = table.gone(&id, now);
             (id, change)
         }
     }
@@ -305,7 +305,7 @@
         let (id, change) = apply(state, entry, now);
         log_change(state, &id, change);
     }
-    let mine = state.board.borrow().check_sum();
+    let mine = state.endpoints.borrow().check_sum();
     if !state.follow.borrow_mut().compare(check, mine) {
         log::warn!("store: what is told differs, everything is read anew.");
         state.look.notify_one();
--- a/lib/src/relay.rs
+++ b/lib/src/relay.rs
@@ -8,7 +8,7 @@
 
 pub mod admit;
 pub mod ask;
-pub mod board;
+pub mod endpoint_table;
 pub mod budget;
 pub mod cache;
 pub mod catalog;
--- a/lib/src/relay/board.rs
+++ b/lib/src/relay/endpoint_table.rs
@@ -128,7 +128,7 @@
 
 /// All endpoints, sorted by id.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Board {
+pub struct EndpointTable {
     rows: Vec<Endpoint>,
     /// Learned speed of the engines of each service, sorted by service.
     paces: Vec<(ServiceId, Pace)>,
@@ -157,7 +157,7 @@
     Nothing,
 }
 
-impl Board {
+impl EndpointTable {
     /// All endpoints, sorted by id.
     pub fn rows(&self) -> &[Endpoint] {
         &self.rows
--- a/lib/src/relay/fleet.rs
+++ b/lib/src/relay/fleet.rs
@@ -14,7 +14,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::board::{Board, Standing};
+use super::endpoint_table::{EndpointTable, Standing};
 use super::catalog::{Scaling, Service};
 use super::demand::Work;
 use super::engine::Pace;
@@ -150,10 +150,10 @@
 struct Stand(Vec<(ZoneId, u32, u32)>);
 
 impl Stand {
-    fn of(board: &Board, service: &str, zones: &[ZoneId]) -> Self {
+    fn of(table: &EndpointTable, service: &str, zones: &[ZoneId]) -> Self {
         let row = |zone: &ZoneId| {
-            let dear = count(board, service, zone, false);
-            (zone.clone(), dear, count(board, service, zone, true))
+            let dear = count(table, service, zone, false);
+            (zone.clone(), dear, count(table, service, zone, true))
         };
         Self(zones.iter().map(row).collect())
     }
@@ -208,8 +208,8 @@
 }
 
 /// Endpoints of one kind that serve in a zone.
-fn count(board: &Board, service: &str, zone: &str, spot: bool) -> u32 {
-    let rows = board.rows().iter().filter(|row| {
+fn count(table: &EndpointTable, service: &str, zone: &str, spot: bool) -> u32 {
+    let rows = table.rows().iter().filter(|row| {
         row.listing.service == service
             && row.listing.zone == zone
             && row.listing.spot == spot
@@ -347,7 +347,7 @@
     /// nothing is asked at all, some of the dear ones make room for these.
     pub fn wishes(
         &mut self,
-        board: &Board,
+        table: &EndpointTable,
         service: &Service,
         zones: &[ZoneId],
         work: Work,
@@ -356,14 +356,14 @@
         let (Some(scaling), Some(engine)) = (&service.scaling, &service.engine) else {
             return Vec::new();
         };
-        let stand = Stand::of(board, &service.name, zones);
+        let stand = Stand::of(table, &service.name, zones);
         let level = if work == Work::default() {
             self.levels
                 .iter()
                 .find(|row| row.service == service.name)
                 .and_then(|row| row.need)
         } else {
-            let pace = board.pace(&service.name);
+            let pace = table.pace(&service.name);
             self.level(&service.name, needed(work, engine.slots, pace), now)
         };
         let first = self.first(&service.name, &stand, now);
--- a/lib/src/relay/place.rs
+++ b/lib/src/relay/place.rs
@@ -19,7 +19,7 @@
 
 use super::admit::{LATEST, Limits};
 use super::ask::Prompt;
-use super::board::{Board, Endpoint, Flight};
+use super::endpoint_table::{EndpointTable, Endpoint, Flight};
 use super::cache::{Chain, chains};
 use super::catalog::Service;
 use super::engine::Pace;
@@ -54,7 +54,7 @@
 const NEAR: usize = 2;
 const FAR: usize = 1;
 
-/// What is asked of the board.
+/// What is asked of the table.
 #[derive(Clone, Copy, Debug)]
 pub struct Wanted<'r> {
     /// Service.
@@ -107,24 +107,24 @@
 ///
 /// # Errors
 /// If none can take the request now.
-pub fn choose(board: &Board, wanted: &Wanted<'_>) -> Result<Choice, NoPlace> {
+pub fn choose(table: &EndpointTable, wanted: &Wanted<'_>) -> Result<Choice, NoPlace> {
     if wanted.prompt.is_some() {
-        return best(board, wanted, None);
+        return best(table, wanted, None);
     }
-    let drawn = drawn(board, wanted);
-    best(board, wanted, Some(&drawn)).or_else(|_| best(board, wanted, None))
+    let drawn = drawn(table, wanted);
+    best(table, wanted, Some(&drawn)).or_else(|_| best(table, wanted, None))
 }
 
 /// The best endpoint, of those with these ids or of all.
-fn best(board: &Board, wanted: &Wanted<'_>, among: Option<&[&str]>) -> Result<Choice, NoPlace> {
+fn best(table: &EndpointTable, wanted: &Wanted<'_>, among: Option<&[&str]>) -> Result<Choice, NoPlace> {
     let shared = wanted.prompt.map(chains).unwrap_or_default();
-    let favourite = favourite(board, wanted, &shared);
-    let tried = tried(board, wanted);
-    let pace = board.pace(&wanted.service.name);
+    let favourite = favourite(table, wanted, &shared);
+    let tried = tried(table, wanted);
+    let pace = table.pace(&wanted.service.name);
     let mut best: Option<(f64, Choice)> = None;
     let mut full = false;
     let mut limited: Option<Duration> = None;
-    for row in board.rows() {
+    for row in table.rows() {
         let may = is_one_of(row, among) && is_one_of(row, tried.as_deref());
         if !may || !serves(row, wanted) {
             continue;
@@ -158,8 +158,8 @@
 }
 
 /// Ids of the endpoints that a plain request is weighed between.
-fn drawn<'b>(board: &'b Board, wanted: &Wanted<'_>) -> Vec<&'b str> {
-    let rows = board.rows().iter();
+fn drawn<'b>(table: &'b EndpointTable, wanted: &Wanted<'_>) -> Vec<&'b str> {
+    let rows = table.rows().iter();
     let rows = rows.filter(|row| {
         serves(row, wanted) && !is_full(row, wanted) && limited_for(row, wanted.now).is_none()
     });
@@ -178,8 +178,8 @@
 }
 
 /// Books a chosen request at its endpoint.
-pub fn book(board: &mut Board, wanted: &Wanted<'_>, choice: &Choice, number: u64) {
-    let Some(row) = board.get_mut(&choice.id) else {
+pub fn book(table: &mut EndpointTable, wanted: &Wanted<'_>, choice: &Choice, number: u64) {
+    let Some(row) = table.get_mut(&choice.id) else {
         return;
     };
     let (memory, capacity) = match (wanted.prompt, &wanted.service.engine) {
@@ -214,11 +214,11 @@
 
 /// The few endpoints on which a version is tried, the same for all daemons; `None`
 /// if all may be used.
-fn tried<'b>(board: &'b Board, wanted: &Wanted<'_>) -> Option<Vec<&'b str>> {
+fn tried<'b>(table: &'b EndpointTable, wanted: &Wanted<'_>) -> Option<Vec<&'b str>> {
     let Versions::Only(_, Some(most)) = wanted.versions else {
         return None;
     };
-    let rows = board.rows().iter().filter(|row| serves(row, wanted));
+    let rows = table.rows().iter().filter(|row| serves(row, wanted));
     let ids = rows.map(|row| row.listing.id.as_str());
     Some(ids.take(*most as usize).collect())
 }
@@ -247,12 +247,12 @@
 
 /// The endpoint that all daemons try first for a session's requests.
 fn favourite<'b>(
-    board: &'b Board,
+    table: &'b EndpointTable,
     wanted: &Wanted<'_>,
     shared: &[(Chain, u32)],
 ) -> Option<&'b str> {
     let (session, _) = shared.last()?;
-    let rows = board
+    let rows = table
         .rows()
         .iter()
         .filter(|row| row.listing.service == wanted.service.name && row.is_usable(wanted.now));
--- a/lib/tests/relay_engines.rs
+++ b/lib/tests/relay_engines.rs
@@ -1,13 +1,13 @@
-//! A board of engines that are all alike.
+//! A table of engines that are all alike.
 
-use poplarvale_lib::relay::board::Board;
+use poplarvale_lib::relay::endpoint_table::EndpointTable;
 use poplarvale_lib::relay::listing::Listing;
 
 /// Engines `e0` and on of the service `pool`, in one zone.
-pub(crate) fn engines(count: u32, slots: u32) -> Board {
-    let mut board = Board::default();
+pub(crate) fn engines(count: u32, slots: u32) -> EndpointTable {
+    let mut table = EndpointTable::default();
     for number in 0..count {
-        board.put(Listing {
+        table.put(Listing {
             id: format!("e{number}").into(),
             service: "pool".into(),
             address: format!("10.0.0.{number}:1").parse().expect("an address"),
@@ -20,5 +20,5 @@
             count: 1,
         });
     }
-    board
+    table
 }
--- a/lib/tests/runner.rs
+++ b/lib/tests/runner.rs
@@ -24,7 +24,7 @@
 mod test_moves_evidence;
 mod test_moves_faults;
 mod test_relay_admit;
-mod test_relay_board;
+mod test_relay_endpoint_table;
 mod test_relay_contact;
 mod test_relay_crash;
 mod test_relay_engine;
--- a/lib/tests/test_relay_admit.rs
+++ b/lib/tests/test_relay_admit.rs
@@ -44,7 +44,7 @@
 /// Plays ten seconds of prompts, twice as many as the engines can read: one long urgent
 /// prompt for each three short patient ones. Engines read one after the other.
 fn play(limited: bool) -> [Tally; 2] {
-    let (service, mut board) = (service(), engines(ENGINES as u32, SLOTS));
+    let (service, mut table) = (service(), engines(ENGINES as u32, SLOTS));
     let start = Instant::now();
     let mut free = [start; ENGINES];
     let mut first: Vec<(Instant, String, u64)> = Vec::new();
@@ -67,8 +67,8 @@
         };
         first.sort();
         while let Some((at, id, began)) = first.first().cloned().filter(|row| row.0 <= now) {
-            board.began(&id, began, at);
-            if let Some(row) = board.get_mut(&id) {
+            table.began(&id, began, at);
+            if let Some(row) = table.get_mut(&id) {
                 row.end(began);
             }
             first.remove(0);
@@ -86,9 +86,9 @@
         };
         let tally = &mut tallies[usize::from(urgent)];
         tally.asked += 1;
-        match choose(&board, &wanted) {
+        match choose(&table, &wanted) {
             Ok(choice) => {
-                book(&mut board, &wanted, &choice, number);
+                book(&mut table, &wanted, &choice, number);
                 let at = choice.id[1..].parse::<usize>().expect("its number");
                 let begin = free[at].max(now);
                 free[at] = begin + Duration::from_secs_f64(f64::from(input) / READ + 0.02);
--- a/lib/tests/test_relay_contact.rs
+++ b/lib/tests/test_relay_contact.rs
@@ -2,10 +2,10 @@
 
 use std::time::{Duration, Instant};
 
-use poplarvale_lib::relay::board::{Board, RETURN};
+use poplarvale_lib::relay::endpoint_table::{EndpointTable, RETURN};
 use poplarvale_lib::relay::contact::{Contact, Span};
 
-use crate::test_relay_board::{listing, usable};
+use crate::test_relay_endpoint_table::{listing, usable};
 
 /// Longer than entries outlast an outage.
 const LONG: Duration = Duration::from_secs(5);
@@ -16,17 +16,17 @@
 
 /// A daemon that had its last answer at `start`, no other one until `back`, and reads
 /// then that endpoint `a` is missing and `b` is there.
-fn back_after(start: Instant, back: Instant) -> (Contact, Board) {
+fn back_after(start: Instant, back: Instant) -> (Contact, EndpointTable) {
     let mut contact = Contact::new(start);
     contact.answered(start);
     contact.failed(start, start + LONG / 2);
-    let mut board = Board::default();
-    board.put(listing("a"));
-    board.put(listing("b"));
-    board.registry_back(back);
-    board.replace(vec![listing("b")], back);
+    let mut table = EndpointTable::default();
+    table.put(listing("a"));
+    table.put(listing("b"));
+    table.registry_back(back);
+    table.replace(vec![listing("b")], back);
     contact.answered(back);
-    (contact, board)
+    (contact, table)
 }
 
 /// A daemon alone is cut off from the store, and an endpoint leaves meanwhile. Another
@@ -36,8 +36,8 @@
 fn an_entry_missing_after_a_cut_of_one_daemon_is_a_leaving_endpoint() {
     let start = Instant::now();
     let back = start + LONG;
-    let (contact, mut board) = back_after(start, back);
-    assert!(usable(&board, "a", back));
+    let (contact, mut table) = back_after(start, back);
+    assert!(usable(&table, "a", back));
     let other = Span {
         since: start,
         heard: start + FIRST,
@@ -45,9 +45,9 @@
     let since = contact
         .well_since(other)
         .expect("it was answered meanwhile");
-    assert_eq!(board.well_since(since, back), vec!["a"]);
-    assert!(!usable(&board, "a", back));
-    assert!(usable(&board, "b", back));
+    assert_eq!(table.well_since(since, back), vec!["a"]);
+    assert!(!usable(&table, "a", back));
+    assert!(usable(&table, "b", back));
 }
 
 /// The store is away for all, and one daemon is back with it a second before the
@@ -58,17 +58,17 @@
     let start = Instant::now();
     let back = start + LONG;
     let first = start + FIRST;
-    let (contact, mut board) = back_after(start, back);
+    let (contact, mut table) = back_after(start, back);
     let other = Span {
         since: first,
         heard: back,
     };
     let since = contact.well_since(other).expect("it was answered first");
-    assert!(board.well_since(since, back).is_empty());
-    assert!(usable(&board, "a", back));
+    assert!(table.well_since(since, back).is_empty());
+    assert!(usable(&table, "a", back));
     let end = first + RETURN;
-    assert_eq!(board.expire(end), vec!["a"]);
-    assert!(!usable(&board, "a", end));
+    assert_eq!(table.expire(end), vec!["a"]);
+    assert!(!usable(&table, "a", end));
 }
 
 /// The store falls silent for all. Another daemon waits for an answer and has not
--- a/lib/tests/test_relay_fleet.rs
+++ b/lib/tests/test_relay_fleet.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use poplarvale_lib::relay::board::{Board, Endpoint};
+use poplarvale_lib::relay::endpoint_table::{EndpointTable, Endpoint};
 use poplarvale_lib::relay::catalog::{Engine, Scaling, Service};
 use poplarvale_lib::relay::demand::Work;
 use poplarvale_lib::relay::engine::Pace;
@@ -37,11 +37,11 @@
     }
 }
 
-fn board(dear: u32, cheap: u32) -> Board {
-    let mut board = Board::default();
+fn table(dear: u32, cheap: u32) -> EndpointTable {
+    let mut table = EndpointTable::default();
     for (zone, at) in ZONES.iter().zip(0_u32..) {
         for number in 0..dear + cheap {
-            board.put(Listing {
+            table.put(Listing {
                 id: format!("{zone}-{number}").into(),
                 service: "pool".into(),
                 address: format!("10.0.{at}.{number}:1").parse().expect("an address"),
@@ -55,7 +55,7 @@
             });
         }
     }
-    board
+    table
 }
 
 /// The endpoints of the day's begin stand and nobody asks anything yet. Keeping all of
@@ -66,15 +66,15 @@
     let start = Instant::now();
     let none = Work::default();
     let at = |seconds| start + Duration::from_secs(seconds);
-    run(&mut orders, &board(1, 0), none, start, 1);
+    run(&mut orders, &table(1, 0), none, start, 1);
     // The list is still being filled: nothing is given up.
-    let wishes = run(&mut orders, &board(3, 3), none, at(1), 1);
+    let wishes = run(&mut orders, &table(3, 3), none, at(1), 1);
     assert!(wishes.is_empty(), "{wishes:?}");
-    let wishes = run(&mut orders, &board(3, 3), none, at(5), 1);
+    let wishes = run(&mut orders, &table(3, 3), none, at(5), 1);
     assert_eq!(total(&wishes, false), 8);
     assert!(wishes.iter().all(|wish| !wish.spot));
     // Callers come, and their need is not known yet: nothing more is given up.
-    let wishes = run(&mut orders, &board(2, 3), work(), at(6), 1);
+    let wishes = run(&mut orders, &table(2, 3), work(), at(6), 1);
     assert!(wishes.is_empty(), "{wishes:?}");
 }
 
@@ -83,7 +83,7 @@
 #[test]
 fn a_new_holder_gives_no_endpoint_up_before_it_knows_the_need() {
     let mut orders = Orders::default();
-    let wishes = run(&mut orders, &board(1, 3), work(), Instant::now(), 1);
+    let wishes = run(&mut orders, &table(1, 3), work(), Instant::now(), 1);
     assert!(wishes.is_empty(), "{wishes:?}");
 }
 
@@ -103,12 +103,12 @@
     }
 }
 
-fn run(orders: &mut Orders, board: &Board, work: Work, from: Instant, seconds: u64) -> Vec<Wish> {
+fn run(orders: &mut Orders, table: &EndpointTable, work: Work, from: Instant, seconds: u64) -> Vec<Wish> {
     let zones = ZONES.map(Into::into);
     let mut wishes = Vec::new();
     for step in 0..seconds * 4 {
         let now = from + Duration::from_millis(step * 250);
-        wishes = orders.wishes(board, &service(), &zones, work, now);
+        wishes = orders.wishes(table, &service(), &zones, work, now);
     }
     wishes
 }
@@ -125,7 +125,7 @@
     let now = Instant::now();
     let wishes = run(
         &mut Orders::default(),
-        &board(2, 0),
+        &table(2, 0),
         Work::default(),
         now,
         1,
@@ -139,7 +139,7 @@
 #[test]
 fn dear_endpoints_are_kept_while_cheap_ones_are_missing() {
     let now = Instant::now();
-    let wishes = run(&mut Orders::default(), &board(2, 0), work(), now, 20);
+    let wishes = run(&mut Orders::default(), &table(2, 0), work(), now, 20);
     let given_up = wishes.iter().filter(|wish| !wish.spot);
     let left: u32 = 8 - given_up.map(|wish| 2 - wish.count.min(2)).sum::<u32>();
     assert!(left >= 6, "{left} of 8 would be left for the work of 4");
@@ -150,7 +150,7 @@
 #[test]
 fn dear_endpoints_go_once_the_cheap_ones_stand() {
     let now = Instant::now();
-    let wishes = run(&mut Orders::default(), &board(2, 2), work(), now, 20);
+    let wishes = run(&mut Orders::default(), &table(2, 2), work(), now, 20);
     let dear: Vec<&Wish> = wishes.iter().filter(|wish| !wish.spot).collect();
     assert_eq!(dear.len(), 4);
     assert!(dear.iter().all(|wish| wish.count <= 1));
@@ -162,13 +162,13 @@
 fn a_swing_of_the_traffic_changes_no_order() {
     let now = Instant::now();
     let mut orders = Orders::default();
-    let board = board(1, 2);
-    let before = run(&mut orders, &board, work(), now, 8);
+    let table = table(1, 2);
+    let before = run(&mut orders, &table, work(), now, 8);
     let lower = Work {
         read: work().read * 0.8,
         write: 0.0,
     };
-    let after = run(&mut orders, &board, lower, now + Duration::from_secs(8), 20);
+    let after = run(&mut orders, &table, lower, now + Duration::from_secs(8), 20);
     assert_eq!(before, after);
 }
 
@@ -204,9 +204,9 @@
 fn dear_endpoints_replace_those_that_are_reclaimed() {
     let now = Instant::now();
     let mut orders = Orders::default();
-    let whole = board(0, 3);
+    let whole = table(0, 3);
     run(&mut orders, &whole, work(), now, 8);
-    let mut left = Board::default();
+    let mut left = EndpointTable::default();
     let stay = |row: &&Endpoint| row.listing.zone == "hanko";
     for row in whole.rows().iter().filter(stay) {
         left.put(row.listing.clone());
@@ -228,7 +228,7 @@
 fn a_new_holder_orders_at_once_what_is_asked_for_long() {
     let start = Instant::now();
     let taken = start + Duration::from_secs(5);
-    let dear = |mut orders: Orders| total(&run(&mut orders, &board(0, 1), work(), taken, 1), false);
+    let dear = |mut orders: Orders| total(&run(&mut orders, &table(0, 1), work(), taken, 1), false);
     assert_eq!(
         dear(Orders::new(Some(taken))),
         0,
--- a/lib/tests/test_relay_follow.rs
+++ b/lib/tests/test_relay_follow.rs
@@ -6,7 +6,7 @@
 use poplarvale_lib::relay::follow::{Entry, Follow, Heard, News};
 use poplarvale_lib::revision_in;
 
-use crate::test_relay_board::listing;
+use crate::test_relay_endpoint_table::listing;
 
 const SILENT: Duration = Duration::from_secs(1);
 const BEAT: Duration = Duration::from_millis(250);
--- a/lib/tests/test_relay_place.rs
+++ b/lib/tests/test_relay_place.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use poplarvale_lib::relay::ask::Prompt;
-use poplarvale_lib::relay::board::{Board, Flight, Others, Teller};
+use poplarvale_lib::relay::endpoint_table::{EndpointTable, Flight, Others, Teller};
 use poplarvale_lib::relay::catalog::{Engine, Service};
 use poplarvale_lib::relay::evidence::Evidence;
 use poplarvale_lib::relay::listing::Listing;
@@ -35,7 +35,7 @@
 }
 
 struct Trial {
-    board: Board,
+    table: EndpointTable,
     service: Service,
     number: u64,
     now: Instant,
@@ -44,7 +44,7 @@
 impl Trial {
     fn new(count: u32) -> Self {
         Self {
-            board: engines(count, 4),
+            table: engines(count, 4),
             service: service(),
             number: 0,
             now: Instant::now(),
@@ -52,7 +52,7 @@
     }
 
     fn choose(&self, prompt: &Prompt) -> Result<Choice, NoPlace> {
-        choose(&self.board, &self.wanted(prompt))
+        choose(&self.table, &self.wanted(prompt))
     }
 
     fn wanted<'r>(&'r self, prompt: &'r Prompt) -> Wanted<'r> {
@@ -84,7 +84,7 @@
             draw: 0,
             now: self.now,
         };
-        book(&mut self.board, &wanted, &choice, self.number);
+        book(&mut self.table, &wanted, &choice, self.number);
         choice
     }
 }
@@ -108,8 +108,8 @@
     let mut trial = Trial::new(6);
     let first = trial.send(&prompt(5, 8000, 500));
     let began = trial.now + Duration::from_millis(200);
-    trial.board.began(&first.id, 1, began);
-    if let Some(row) = trial.board.get_mut(&first.id) {
+    trial.table.began(&first.id, 1, began);
+    if let Some(row) = trial.table.get_mut(&first.id) {
         row.end(1);
     }
     let again = trial.choose(&prompt(5, 8000, 700)).expect("there is room");
@@ -149,7 +149,7 @@
         requests: 4,
         tokens: 9000.0,
     };
-    trial.board.hear(
+    trial.table.hear(
         Teller::Daemon(1, "b".into()),
         vec![(short("e0"), full)],
         trial.now,
@@ -176,11 +176,11 @@
             began: None,
         };
         let came = trial.now + Duration::from_millis(450);
-        if let Some(row) = trial.board.get_mut(slow) {
+        if let Some(row) = trial.table.get_mut(slow) {
             row.send(flight);
         }
-        trial.board.began(slow, 900 + round, came);
-        if let Some(row) = trial.board.get_mut(slow) {
+        trial.table.began(slow, 900 + round, came);
+        if let Some(row) = trial.table.get_mut(slow) {
             row.end(900 + round);
         }
         trial.now += Duration::from_millis(round);
@@ -231,7 +231,7 @@
 struct Herd {
     service: Service,
     start: Instant,
-    boards: Vec<Board>,
+    tables: Vec<EndpointTable>,
     /// When the requests in progress at each endpoint end.
     ends: Vec<Vec<Instant>>,
     random: fastrand::Rng,
@@ -248,9 +248,9 @@
     const PERIOD: u64 = 264;
 
     fn new() -> Self {
-        let mut board = Board::default();
+        let mut table = EndpointTable::default();
         for at in 0..Self::ZONES {
-            board.put(Listing {
+            table.put(Listing {
                 id: format!("e{at}").into(),
                 service: "app".into(),
                 address: format!("10.0.0.{at}:1").parse().expect("an address"),
@@ -269,7 +269,7 @@
                 ..Service::default()
             },
             start: Instant::now(),
-            boards: vec![board; Self::DAEMONS],
+            tables: vec![table; Self::DAEMONS],
             ends: vec![Vec::new(); Self::ZONES],
             random: fastrand::Rng::with_seed(3),
             number: 0,
@@ -281,23 +281,23 @@
     /// zone what that has as a whole to the others.
     fn tell(&mut self, from: usize, now: Instant) {
         let zone = from % Self::ZONES;
-        let own = self.boards[from].rows().iter();
+        let own = self.tables[from].rows().iter();
         let own: Vec<_> = own.map(|row| (row.hash, row.own())).collect();
-        let word = self.boards[from].tell_zone(zone as u32);
+        let word = self.tables[from].tell_zone(zone as u32);
         for to in (0..Self::DAEMONS).filter(|to| *to != from) {
-            let board = &mut self.boards[to];
+            let table = &mut self.tables[to];
             if to % Self::ZONES == zone {
                 let teller = Teller::Daemon(zone as u32, format!("d{from}").into());
-                board.hear(teller, own.clone(), now);
+                table.hear(teller, own.clone(), now);
             } else if from < Self::ZONES {
-                board.hear(Teller::Zone(zone as u32), word.clone(), now);
+                table.hear(Teller::Zone(zone as u32), word.clone(), now);
             }
         }
     }
 
     fn end(&mut self, now: Instant) {
         for (_, from, to, number) in self.sent.extract_if(.., |row| row.0 <= now) {
-            let row = self.boards[from].get_mut(&format!("e{to}"));
+            let row = self.tables[from].get_mut(&format!("e{to}"));
             row.expect("it stands").end(number);
         }
     }
@@ -316,9 +316,9 @@
             draw: self.random.u64(..),
             now,
         };
-        let choice = choose(&self.boards[from], &wanted).expect("there is room");
+        let choice = choose(&self.tables[from], &wanted).expect("there is room");
         self.number += 1;
-        book(&mut self.boards[from], &wanted, &choice, self.number);
+        book(&mut self.tables[from], &wanted, &choice, self.number);
         let to: usize = choice.id[1..].parse().expect("a number");
         let ends = &mut self.ends[to];
         ends.retain(|end| *end > now);
