--- a/daemon/src/relay/attempt.rs
+++ b/daemon/src/relay/attempt.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use poplarvale_lib::EndpointId;
 use poplarvale_lib::http1::{Request, Response};
-use poplarvale_lib::relay::ask::Ask;
+use poplarvale_lib::relay::request::RequestHead;
 use poplarvale_lib::relay::endpoint_table::{Endpoint, Standing};
 use poplarvale_lib::relay::catalog::{CatalogVersion, Route, Service, Team};
 use poplarvale_lib::relay::crash::SETTLED;
@@ -40,7 +40,7 @@
 pub(crate) struct Job<'r> {
     pub(crate) request: &'r Request,
     pub(crate) body: &'r Bytes,
-    pub(crate) ask: &'r Ask,
+    pub(crate) head: &'r RequestHead,
     pub(crate) route: &'r Route,
     pub(crate) team: Option<&'r Team>,
     pub(crate) service: &'r Service,
@@ -115,7 +115,7 @@
     let bytes = head_and_body(job, choice, passed);
     let team = job.team.map(|team| &team.name);
     let sent_at = Std::now();
-    let sent = exchange(&mut wire, &bytes, &job.ask.id);
+    let sent = exchange(&mut wire, &bytes, &job.head.id);
     let answer = match patience.wait(true, sent).await {
         Some(Ok(answer)) => answer,
         Some(Err(Fault::NotSent)) => return Ended::NotSent,
@@ -133,7 +133,7 @@
         booked.note(|row| row.full = Some(Std::now() + FULL));
         state.measure(|metrics| metrics.sent("not run"));
         log::info!(
-            request = job.ask.id.as_str(), endpoint = choice.id.as_str(),
+            request = job.head.id.as_str(), endpoint = choice.id.as_str(),
             status = answer.head.status; "send: not run there."
         );
         finish(state, address, wire, &answer).await;
@@ -238,7 +238,7 @@
             let out = row.is_some_and(|row| row.evidence.unreached(Std::now()));
             state.measure(|metrics| metrics.sent("not connected"));
             log::info!(
-                request = job.ask.id.as_str(), endpoint = choice.id.as_str(), left_out = out;
+                request = job.head.id.as_str(), endpoint = choice.id.as_str(), left_out = out;
                 "send: not connected, {error}."
             );
             None
@@ -265,7 +265,7 @@
     if let Some(Standing::Doubtful(until)) = standing {
         let left = until.saturating_duration_since(Std::now());
         log::info!(
-            request = job.ask.id.as_str(), endpoint = choice.id.as_str(),
+            request = job.head.id.as_str(), endpoint = choice.id.as_str(),
             until_ms = left.as_millis() as u64;
             "send: goes to an endpoint whose entry is missing."
         );
@@ -276,7 +276,7 @@
     let number = state.number();
     let wanted = Wanted {
         service: job.service,
-        prompt: job.ask.prompt.as_ref(),
+        prompt: job.head.prompt.as_ref(),
         target: job.route.target,
         zone: &state.site.zone,
         avoid: &[],
@@ -301,7 +301,7 @@
             endpoint: &choice.id,
             team: job.team.map(|team| team.name.as_str()),
             left,
-            rank: job.ask.prompt.is_some().then_some(job.rank),
+            rank: job.head.prompt.is_some().then_some(job.rank),
             resume: passed.begun.then(|| passed.events.last()).flatten(),
             body: job.body.len(),
         },
@@ -340,7 +340,7 @@
     let mut rollouts = state.rollouts.borrow_mut();
     if rollouts.note(service, route, version, sample, state.true_ms()) {
         log::warn!(
-            request = job.ask.id.as_str(), route = route.as_str(), good,
+            request = job.head.id.as_str(), route = route.as_str(), good,
             took_ms = took.as_millis() as u64;
             "rollout: {service} goes back from version {version}."
         );
@@ -362,7 +362,7 @@
     booked.note(|row| out = row.evidence.bad(Std::now()));
     state.measure(|metrics| metrics.sent("failed"));
     log::info!(
-        request = job.ask.id.as_str(), endpoint = endpoint.id.as_str(), kept, left_out = out,
+        request = job.head.id.as_str(), endpoint = endpoint.id.as_str(), kept, left_out = out,
         after_ms = job.arrived.elapsed().as_millis() as u64,
         content:% = format_args!("{:016x}", job.content.hash()),
         ran_ms = first.map(|first| first.elapsed().as_millis() as u64);
--- a/daemon/src/relay/caller.rs
+++ b/daemon/src/relay/caller.rs
@@ -83,8 +83,8 @@
         Err(code) => return Some(reject(write, code, None).await),
     };
     let arrived = Instant::now();
-    let ask = match read_ask(&request) {
-        Ok(ask) => ask,
+    let head = match read_ask(&request) {
+        Ok(head) => head,
         Err(error) => {
             log::info!("caller: request refused, {error}.");
             return Some(reject(write, Code::BadBody, None).await);
@@ -103,14 +103,14 @@
     };
     let body = match body {
         Ok(body) => body,
-        Err(code) => return Some(reject(write, code, Some(&ask.id)).await),
+        Err(code) => return Some(reject(write, code, Some(&head.id)).await),
     };
     tokio::select! {
         biased;
-        after = serve(state, &request, &body, &ask, arrived, write) => Some(after),
+        after = serve(state, &request, &body, &head, arrived, write) => Some(after),
         () = left(read, buffer) => {
             log::info!(
-                request = ask.id.as_str(), after_ms = arrived.elapsed().as_millis() as u64;
+                request = head.id.as_str(), after_ms = arrived.elapsed().as_millis() as u64;
                 "caller: left before its answer was out."
             );
             None
--- a/daemon/src/relay/dispatch.rs
+++ b/daemon/src/relay/dispatch.rs
@@ -58,7 +58,7 @@
     let now = Std::now();
     state.budget.borrow_mut().request(&job.service.name, now);
     let mut course = Course {
-        passed: Passed::nothing(job.ask.resume, keep),
+        passed: Passed::nothing(job.head.resume, keep),
         keep,
         avoid: Vec::new(),
         runs: 0,
@@ -185,17 +185,17 @@
             && !self.unknown
         {
             // What did not run is not charged.
-            let units = quota::units(team, job.ask);
+            let units = quota::units(team, job.head);
             state.quota.borrow_mut().refund(team, units);
         }
-        refuse(state, write, job.ask, refused, self.keep).await
+        refuse(state, write, job.head, refused, self.keep).await
     }
 
     /// Ends a stream of which the caller has a part: only a broken connection tells
     /// that it is not all.
     fn cut(&self, state: &State, job: &Job<'_>) -> After {
         log::info!(
-            request = job.ask.id.as_str(), last_event = self.passed.events.last(),
+            request = job.head.id.as_str(), last_event = self.passed.events.last(),
             sends = self.sends;
             "serve: cut off in the middle of a stream."
         );
@@ -218,7 +218,7 @@
 /// What a request may wait for. One that an endpoint has begun is sent on in any case:
 /// refused, all that was done for it would be lost.
 fn limits(job: &Job<'_>, avoid: &[EndpointId]) -> Option<Limits> {
-    if !avoid.is_empty() || job.ask.resume.is_some() {
+    if !avoid.is_empty() || job.head.resume.is_some() {
         return None;
     }
     let left = job.deadline.saturating_duration_since(Instant::now());
@@ -231,7 +231,7 @@
     let table = state.endpoints.borrow();
     let wanted = Wanted {
         service: job.service,
-        prompt: job.ask.prompt.as_ref(),
+        prompt: job.head.prompt.as_ref(),
         target: job.route.target,
         zone: &state.site.zone,
         avoid,
@@ -274,7 +274,7 @@
         return;
     }
     log::info!(
-        request = job.ask.id.as_str(), route = job.route.name.as_str(), endpoint,
+        request = job.head.id.as_str(), route = job.route.name.as_str(), endpoint,
         team = job.team.map_or("", |team| team.name.as_str()), status, sends,
         took_ms = took.as_millis() as u64, catalog = job.version;
         "serve: answered."
--- a/daemon/src/relay/serve.rs
+++ b/daemon/src/relay/serve.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use poplarvale_lib::http1::{Framing, Request, Response};
-use poplarvale_lib::relay::ask::Ask;
+use poplarvale_lib::relay::request::RequestHead;
 use poplarvale_lib::relay::catalog::{Backend, Catalog, Route};
 use poplarvale_lib::relay::demand;
 use poplarvale_lib::relay::quota;
@@ -83,7 +83,7 @@
     state: &Rc<State>,
     request: &Request,
     body: &Bytes,
-    ask: &Ask,
+    head: &RequestHead,
     arrived: Instant,
     write: &mut WriteHalf<'_>,
 ) -> After {
@@ -91,36 +91,36 @@
     let catalog = state.catalog.borrow().clone();
     let Some(catalog) = catalog else {
         let refused = Refusal::later(Code::NoLists, SOON);
-        return refuse(state, write, ask, refused, keep).await;
+        return refuse(state, write, head, refused, keep).await;
     };
-    let (route, team) = match admit(&catalog, ask) {
+    let (route, team) = match admit(&catalog, head) {
         Ok(admitted) => admitted,
-        Err(refused) => return refuse(state, write, ask, refused, keep).await,
+        Err(refused) => return refuse(state, write, head, refused, keep).await,
     };
     let team = team.map(|at| &catalog.teams[at]);
-    let wait = ask.patience.unwrap_or(route.timeout).min(route.timeout);
+    let wait = head.timeout.unwrap_or(route.timeout).min(route.timeout);
     let deadline = (arrived + wait).into_std();
     if !state.life().takes(deadline, Std::now()) {
         let refused = Refusal::later(Code::Draining, SOON);
-        return refuse(state, write, ask, refused, keep).await;
+        return refuse(state, write, head, refused, keep).await;
     }
     let Some(service) = pick_backend(route).and_then(|name| catalog.service(&name.service)) else {
         let refused = Refusal::later(Code::NoEndpoint, SOON);
-        return refuse(state, write, ask, refused, keep).await;
+        return refuse(state, write, head, refused, keep).await;
     };
     let name = team.map_or("", |team| team.name.as_str());
-    let content = Content::new(name, &ask.host, request, body);
+    let content = Content::new(name, &head.host, request, body);
     if let Some(left) = quarantined(state, &content) {
         let refused = Refusal::later(Code::Quarantined, left);
-        return refuse(state, write, ask, refused, keep).await;
+        return refuse(state, write, head, refused, keep).await;
     }
-    let cost = team.map_or(0.0, |team| quota::units(team, ask));
+    let cost = team.map_or(0.0, |team| quota::units(team, head));
     let allowed = team.map(|team| state.quota.borrow_mut().take(team, cost, Std::now()));
     if let Some(Err(again)) = allowed {
         let refused = Refusal::later(Code::TokenRate, again);
-        return refuse(state, write, ask, refused, keep).await;
+        return refuse(state, write, head, refused, keep).await;
     }
-    if let Some(prompt) = &ask.prompt {
+    if let Some(prompt) = &head.prompt {
         let work = demand::work(prompt);
         let mut demand = state.demand.borrow_mut();
         demand.ask(&service.name, work, Std::now());
@@ -128,7 +128,7 @@
     let job = Job {
         request,
         body,
-        ask,
+        head,
         route,
         team,
         service,
@@ -153,11 +153,11 @@
 }
 
 /// Route and team of a request.
-fn admit<'c>(catalog: &'c Catalog, ask: &Ask) -> Result<(&'c Route, Option<usize>), Refusal> {
+fn admit<'c>(catalog: &'c Catalog, head: &RequestHead) -> Result<(&'c Route, Option<usize>), Refusal> {
     let route = catalog
-        .route(&ask.host, &ask.path)
+        .route(&head.host, &head.path)
         .ok_or(Refusal::bad(Code::NoRoute))?;
-    let team = ask.key.as_ref().and_then(|key| catalog.team_of(key));
+    let team = head.key.as_ref().and_then(|key| catalog.team_of(key));
     if team.is_none() && !route.public && !catalog.teams.is_empty() {
         return Err(Refusal::bad(Code::NoCustomer));
     }
@@ -206,14 +206,14 @@
 pub(crate) async fn refuse(
     state: &State,
     write: &mut WriteHalf<'_>,
-    ask: &Ask,
+    head: &RequestHead,
     refused: Refusal,
     keep: bool,
 ) -> After {
     let code = refused.code.number();
     state.measure(|metrics| metrics.ended("", code, Duration::ZERO));
     log::info!(
-        request = ask.id.as_str(), path = ask.path.as_str(), code, ran = refused.ran.word(),
+        request = head.id.as_str(), path = head.path.as_str(), code, ran = refused.ran.word(),
         again_ms = refused.again.map_or(0, |again| again.as_millis() as u64),
         catalog = state.catalog.borrow().as_ref().map_or(0, |held| held.version),
         store_heard_ms = state.contact.get().silence(Std::now()).as_millis() as u64;
@@ -223,7 +223,7 @@
     let again = refused
         .again
         .map(|again| again.mul_f64(1.0 + SPREAD * fastrand::f64()));
-    let out = refusal(refused.code, refused.ran, Some(&ask.id), again, keep);
+    let out = refusal(refused.code, refused.ran, Some(&head.id), again, keep);
     match write.write_all(&out).await {
         Ok(()) => after(keep),
         Err(_) => After::Close,
--- a/lib/src/relay.rs
+++ b/lib/src/relay.rs
@@ -7,7 +7,7 @@
 //! modules decide. Nothing here reads a socket or a clock.
 
 pub mod admit;
-pub mod ask;
+pub mod request;
 pub mod endpoint_table;
 pub mod budget;
 pub mod cache;
--- a/lib/src/relay/cache.rs
+++ b/lib/src/relay/cache.rs
@@ -9,7 +9,7 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::ask::Prompt;
+use super::request::Prompt;
 
 /// Hash of a prompt's beginning: all parts up to one.
 pub type Chain = u64;
--- a/lib/src/relay/demand.rs
+++ b/lib/src/relay/demand.rs
@@ -9,7 +9,7 @@
 
 use compact_str::CompactString;
 
-use super::ask::Prompt;
+use super::request::Prompt;
 use super::quota::short;
 
 /// Span over which rates are taken; traffic swings over tens of seconds, and an
--- a/lib/src/relay/place.rs
+++ b/lib/src/relay/place.rs
@@ -18,7 +18,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::admit::{LATEST, Limits};
-use super::ask::Prompt;
+use super::request::Prompt;
 use super::endpoint_table::{EndpointTable, Endpoint, Flight};
 use super::cache::{Chain, chains};
 use super::catalog::Service;
--- a/lib/src/relay/quota.rs
+++ b/lib/src/relay/quota.rs
@@ -46,7 +46,7 @@
 use self::steps::{StepId, Steps};
 use self::zones::Zone;
 pub use self::zones::{ZoneSummary, ZoneUse};
-use super::ask::Ask;
+use super::request::RequestHead;
 use super::catalog::{Team, Unit};
 use crate::{CustomerId, ZoneHash};
 
@@ -149,8 +149,8 @@
 }
 
 /// Units that a request counts.
-pub fn units(team: &Team, ask: &Ask) -> f64 {
-    match (team.unit, &ask.prompt) {
+pub fn units(team: &Team, head: &RequestHead) -> f64 {
+    match (team.unit, &head.prompt) {
         (Unit::Requests, _) => 1.0,
         (Unit::Tokens(plain), None) => plain,
         (Unit::Tokens(_), Some(prompt)) => f64::from(prompt.input) + f64::from(prompt.output),
--- a/lib/src/relay/ask.rs
+++ b/lib/src/relay/request.rs
@@ -1,28 +1,28 @@
-//! What a caller asks for, decoded from the head of its request.
+//! Decoded head of a caller's request.
 
 use std::time::Duration;
 
 use compact_str::CompactString;
 
-/// Part of a prompt: its id and its tokens.
+/// Part of a prompt: its id and its number of tokens.
 pub type Part = (u64, u32);
 
-/// What a request says of itself.
+/// What the head of a request says.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Ask {
-    /// Id of this one attempt of the caller.
+pub struct RequestHead {
+    /// Id of the request; a caller's retry has another one.
     pub id: CompactString,
     /// Host, in lower case and without a port.
     pub host: CompactString,
     /// Path without its query.
     pub path: CompactString,
-    /// How long the caller will wait.
-    pub patience: Option<Duration>,
+    /// How long the caller waits for the answer.
+    pub timeout: Option<Duration>,
     /// API key.
     pub key: Option<CompactString>,
-    /// What the prompt holds and the answer may; `None` for plain requests.
+    /// Size of the prompt and limit of the answer; `None` for plain requests.
     pub prompt: Option<Prompt>,
-    /// Event after which a stream goes on.
+    /// Last event that the caller received; a resumed stream continues after it.
     pub resume: Option<u64>,
 }
 
@@ -31,9 +31,9 @@
 pub struct Prompt {
     /// Tokens of the prompt.
     pub input: u32,
-    /// Most tokens of the answer.
+    /// Maximum tokens of the answer.
     pub output: u32,
-    /// The caller's guess of the answer's tokens; right at the median, often far off.
+    /// The caller's estimate of the answer's tokens; right at the median, often far off.
     pub guess: Option<u32>,
     /// Parts in order; all but the last may be shared with other requests.
     pub parts: Vec<Part>,
--- a/lib/tests/test_relay_admit.rs
+++ b/lib/tests/test_relay_admit.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use poplarvale_lib::relay::admit::Limits;
-use poplarvale_lib::relay::ask::Prompt;
+use poplarvale_lib::relay::request::Prompt;
 use poplarvale_lib::relay::catalog::{Engine, Service};
 use poplarvale_lib::relay::place::{NoPlace, Wanted, book, choose};
 use poplarvale_lib::relay::rollout::Versions;
--- a/lib/tests/test_relay_place.rs
+++ b/lib/tests/test_relay_place.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use poplarvale_lib::relay::ask::Prompt;
+use poplarvale_lib::relay::request::Prompt;
 use poplarvale_lib::relay::endpoint_table::{EndpointTable, Flight, Others, Teller};
 use poplarvale_lib::relay::catalog::{Engine, Service};
 use poplarvale_lib::relay::evidence::Evidence;
