--- a/daemon/src/relay/attempt.rs
+++ b/daemon/src/relay/attempt.rs
@@ -8,7 +8,7 @@
 use poplarvale_lib::EndpointId;
 use poplarvale_lib::http1::{Request, Response};
 use poplarvale_lib::relay::request::RequestHead;
-use poplarvale_lib::relay::endpoint_table::{Endpoint, Standing};
+use poplarvale_lib::relay::endpoint_table::{Endpoint, EndpointState};
 use poplarvale_lib::relay::catalog::{CatalogVersion, Route, Service, Team};
 use poplarvale_lib::relay::crash::SETTLED;
 use poplarvale_lib::relay::limit::Said;
@@ -83,7 +83,7 @@
 impl Drop for Booked {
     fn drop(&mut self) {
         if let Some(row) = self.state.endpoints.borrow_mut().get_mut(&self.endpoint) {
-            row.end(self.number);
+            row.remove_request(self.number);
             row.evidence.nothing();
         }
     }
@@ -130,7 +130,7 @@
     };
     note_limit(state, &endpoint, &answer, sent_at);
     if answer.said.not_run {
-        booked.note(|row| row.full = Some(Std::now() + FULL));
+        booked.note(|row| row.full_until = Some(Std::now() + FULL));
         state.measure(|metrics| metrics.sent("not run"));
         log::info!(
             request = job.head.id.as_str(), endpoint = choice.id.as_str(),
@@ -150,7 +150,7 @@
                 let now = Std::now();
                 first = Some(now);
                 let mut table = state.endpoints.borrow_mut();
-                table.began(&choice.id, number, now);
+                table.record_first_event(&choice.id, number, now);
                 state.measure(|metrics| metrics.first(job.arrived.elapsed()));
                 state.count_run(team, now);
             }
@@ -160,7 +160,7 @@
                 let events = passed.events.count().saturating_sub(events + 1) as u32;
                 let tokens = events * job.service.engine.as_ref().map_or(0, |row| row.stride);
                 let mut table = state.endpoints.borrow_mut();
-                table.streamed(&choice.id, number, tokens, Std::now());
+                table.record_stream(&choice.id, number, tokens, Std::now());
                 Ended::Streamed
             }
             StreamEnd::CallerGone => return Ended::CallerGone,
@@ -209,7 +209,7 @@
         }
     };
     let said = Said { rate, heard: now };
-    if state.endpoints.borrow_mut().named(&endpoint.id, said) {
+    if state.endpoints.borrow_mut().record_limit(&endpoint.id, said) {
         log::info!(now:? = rate; "limit: endpoint {} names another.", endpoint.id);
         state.news.notify_one();
     }
@@ -253,7 +253,7 @@
     let table = state.endpoints.borrow();
     let row = table.get(&endpoint.id);
     // One that leaves ends in any case.
-    let is_leaving = row.is_none_or(|row| row.standing == Standing::Leaving);
+    let is_leaving = row.is_none_or(|row| row.state == EndpointState::Leaving);
     fault == Fault::Broken && !is_settled && !is_leaving
 }
 
@@ -261,8 +261,8 @@
 /// endpoint had left, this line is the reason why it was sent there.
 fn tell_doubt(state: &State, job: &Job<'_>, choice: &Choice) {
     let table = state.endpoints.borrow();
-    let standing = table.get(&choice.id).map(|row| row.standing);
-    if let Some(Standing::Doubtful(until)) = standing {
+    let standing = table.get(&choice.id).map(|row| row.state);
+    if let Some(EndpointState::Doubtful(until)) = standing {
         let left = until.saturating_duration_since(Std::now());
         log::info!(
             request = job.head.id.as_str(), endpoint = choice.id.as_str(),
--- a/daemon/src/relay/duties.rs
+++ b/daemon/src/relay/duties.rs
@@ -317,7 +317,7 @@
 async fn announce(state: &State, store: &mut Client, holder: &Holder) {
     let busy = |service: &str, target: &str| {
         let table = state.endpoints.borrow();
-        table.of_other_versions(service, target).1
+        table.count_other_versions(service, target).1
     };
     let due = state.rollouts.borrow_mut().due(state.true_ms(), busy);
     for status in due {
--- a/daemon/src/relay/peers.rs
+++ b/daemon/src/relay/peers.rs
@@ -7,7 +7,7 @@
 use compact_str::CompactString;
 use poplarvale_lib::ZoneHash;
 use poplarvale_lib::protos::relay::{Digest, UsageRecord, digest};
-use poplarvale_lib::relay::endpoint_table::{Others, Teller};
+use poplarvale_lib::relay::endpoint_table::{Load, Reporter};
 use poplarvale_lib::relay::contact::Span;
 use poplarvale_lib::relay::demand::Work;
 use poplarvale_lib::relay::digest::{Peer, Place, Turn, Turns};
@@ -73,7 +73,7 @@
         me: peers.me(),
         others: peers.lately(now),
     };
-    state.endpoints.borrow_mut().share(sharers, now);
+    state.endpoints.borrow_mut().set_sharers(sharers, now);
 }
 
 /// Sends the last digest of a daemon that ends. What it counted since the last whole one
@@ -100,7 +100,7 @@
     }
     let mut digest = digest(state, sequence, turn.near, &left, now);
     if peers.is_watcher(now) {
-        let check = state.endpoints.borrow().check_sum();
+        let check = state.endpoints.borrow().checksum();
         let news = state.follow.borrow().tell(check, now);
         digest.news = news.map(news::tell);
     }
@@ -120,7 +120,7 @@
         asked: row.asked as u32,
         ..digest::TeamUse::default()
     });
-    let endpoints = state.endpoints.borrow().tell_zone(place.zone);
+    let endpoints = state.endpoints.borrow().zone_load(place.zone);
     let zone_use = digest::ZoneUse {
         silent: summary.silent,
         teams: teams.collect(),
@@ -147,7 +147,7 @@
     }
 }
 
-fn tell_use((endpoint, load): (u32, Others)) -> digest::EndpointUse {
+fn tell_use((endpoint, load): (u32, Load)) -> digest::EndpointUse {
     digest::EndpointUse {
         endpoint,
         requests: load.requests,
@@ -155,8 +155,8 @@
     }
 }
 
-fn hear_use(told: &digest::EndpointUse) -> (u32, Others) {
-    let load = Others {
+fn hear_use(told: &digest::EndpointUse) -> (u32, Load) {
+    let load = Load {
         requests: told.requests,
         tokens: f64::from(told.tokens),
     };
@@ -173,8 +173,8 @@
         asked: row.asked as u32,
     });
     let table = state.endpoints.borrow();
-    let busy = table.rows().iter().filter(|row| !row.flights.is_empty());
-    let endpoints = busy.map(|row| tell_use((row.hash, row.own())));
+    let busy = table.rows().iter().filter(|row| !row.in_flight.is_empty());
+    let endpoints = busy.map(|row| tell_use((row.hash, row.local_load())));
     let usage = state.usage.borrow();
     let current = state.window_at(now);
     let windows = usage.mine();
@@ -231,7 +231,7 @@
             counts: report.counts.to_string(),
         }),
         limits: table
-            .tell_limits(now)
+            .advertised_limits(now)
             .into_iter()
             .map(|row| tell_limit(row, now))
             .collect(),
@@ -263,7 +263,7 @@
         return;
     }
     let said = Said { rate, heard };
-    if state.endpoints.borrow_mut().hear_named(told.endpoint, said) {
+    if state.endpoints.borrow_mut().merge_limit(told.endpoint, said) {
         log::info!(endpoint = told.endpoint, now:? = rate; "limit: an endpoint names another, {name} tells.");
     }
 }
@@ -284,7 +284,7 @@
         return;
     };
     let well = now.saturating_duration_since(since);
-    for id in state.endpoints.borrow_mut().well_since(since, now) {
+    for id in state.endpoints.borrow_mut().registry_healthy_since(since, now) {
         log::info!(
             well_ms = well.as_millis() as u64;
             "board: endpoint {id} leaves, the store was well as {name} tells."
@@ -387,7 +387,7 @@
         .hear_zone(zone, summary, silent, now);
     let uses = told.endpoints.iter().map(hear_use).collect();
     let mut table = state.endpoints.borrow_mut();
-    table.hear(Teller::Zone(zone), uses, now);
+    table.apply_report(Reporter::Zone(zone), uses, now);
 }
 
 /// Takes in which report another daemon fixed. One of a window that has not begun would keep
@@ -455,9 +455,9 @@
         crash::hear_cleared(state, &name, content);
     }
     let uses = digest.endpoints.iter().map(hear_use).collect();
-    let teller = Teller::Daemon(digest.zone, name.clone());
-    state.endpoints.borrow_mut().hear(teller, uses, now);
-    for id in state.endpoints.borrow_mut().heard_left(&digest.left) {
+    let teller = Reporter::Daemon(digest.zone, name.clone());
+    state.endpoints.borrow_mut().apply_report(teller, uses, now);
+    for id in state.endpoints.borrow_mut().mark_leaving(&digest.left) {
         log::info!("board: endpoint {id} leaves, {name} tells.");
     }
     let work = digest.services.iter().map(|row| {
--- a/daemon/src/relay/serve.rs
+++ b/daemon/src/relay/serve.rs
@@ -146,7 +146,7 @@
 fn versions(state: &State, service: &str) -> Versions {
     let olds = |version: &str| {
         let table = state.endpoints.borrow();
-        table.of_other_versions(service, version).0
+        table.count_other_versions(service, version).0
     };
     let mut rollouts = state.rollouts.borrow_mut();
     rollouts.versions(service, olds, state.true_ms())
--- a/daemon/src/relay/status.rs
+++ b/daemon/src/relay/status.rs
@@ -5,7 +5,7 @@
 
 use bytes::BytesMut;
 use poplarvale_lib::http1::Request;
-use poplarvale_lib::relay::endpoint_table::{Endpoint, Standing};
+use poplarvale_lib::relay::endpoint_table::{Endpoint, EndpointState};
 use poplarvale_lib::relay::contact::Span;
 use poplarvale_lib::relay::limit::Limit;
 use poplarvale_lib::{Code, Ran};
@@ -82,10 +82,10 @@
 }
 
 fn endpoint(row: &Endpoint, now: Instant) -> Value {
-    let standing = match row.standing {
-        Standing::Ready => "ready",
-        Standing::Doubtful(_) => "doubtful",
-        Standing::Leaving => "leaving",
+    let standing = match row.state {
+        EndpointState::Ready => "ready",
+        EndpointState::Doubtful(_) => "doubtful",
+        EndpointState::Leaving => "leaving",
     };
     json!({
         "id": row.listing.id.as_str(),
@@ -94,8 +94,8 @@
         "address": row.listing.address.to_string(),
         "standing": standing,
         "fit": row.evidence.is_fit(now),
-        "requests": row.flights.len(),
-        "others": row.others.requests,
+        "requests": row.in_flight.len(),
+        "others": row.remote_load.requests,
         "backlog_tokens": row.backlog() as u64,
         "limit": row.limit.as_ref().and_then(Limit::rate),
         "speed_factor": row.speed.factor(),
--- a/daemon/src/relay/watch.rs
+++ b/daemon/src/relay/watch.rs
@@ -263,7 +263,7 @@
 fn take_entry(state: &State, revision: u64, entry: Entry) {
     let now = Instant::now();
     let is_news = match &entry {
-        Entry::Put(listing) => state.endpoints.borrow().is_news(listing),
+        Entry::Put(listing) => state.endpoints.borrow().is_change(listing),
         Entry::Gone(_) => true,
     };
     if is_news {
@@ -279,7 +279,7 @@
     match entry {
         Entry::Put(listing) => (listing.id.clone(), table.put(listing)),
         Entry::Gone(id) => {
-            let change = table.gone(&id, now);
+            let change = table.entry_removed(&id, now);
             (id, change)
         }
     }
@@ -305,7 +305,7 @@
         let (id, change) = apply(state, entry, now);
         log_change(state, &id, change);
     }
-    let mine = state.endpoints.borrow().check_sum();
+    let mine = state.endpoints.borrow().checksum();
     if !state.follow.borrow_mut().compare(check, mine) {
         log::warn!("store: what is told differs, everything is read anew.");
         state.look.notify_one();
--- a/lib/src/relay/endpoint_table.rs
+++ b/lib/src/relay/endpoint_table.rs
@@ -1,12 +1,13 @@
-//! Table of endpoints: what the registry says, and what is in progress at each.
+//! Table of endpoints: their registry entries and the requests in progress at each.
 //!
-//! The registry can be away, and entries lapse while it is. An entry that is
-//! missing right after its return may belong to an endpoint that lives and has
-//! not registered again yet; dropping it at once would empty the table and
-//! refuse every caller. It is kept as doubtful for [`RETURN`] and only then
-//! dropped. An entry that is removed while the registry is well, or marked as
-//! leaving, gets nothing more from that instant; so does one that is missing after a
-//! cut of this daemon alone, as soon as another one tells that the registry was well.
+//! While the registry is unavailable, entries expire. An entry that is missing right after the
+//! registry's return may belong to an endpoint that still runs and has not registered again yet.
+//! Dropping such endpoints at once would empty the table, and every caller would be rejected.
+//! So the endpoint becomes doubtful and stays in use for [`REREGISTER_GRACE`] before it is
+//! dropped. An endpoint gets no new request from the instant at which its entry is removed while
+//! the registry is available, or is marked as leaving. If only this daemon was partitioned from
+//! the registry, the same holds for missing entries as soon as another daemon advertises that
+//! the registry was available meanwhile.
 
 use std::time::{Duration, Instant};
 
@@ -22,49 +23,49 @@
 use crate::{EndpointId, ServiceId, ZoneHash};
 
 /// How long an endpoint stays in use whose entry is missing after an outage of the
-/// registry. Entries of living endpoints are back within about two seconds, and
-/// one that left must get nothing two seconds after the registry tells so.
-pub const RETURN: Duration = Duration::from_millis(1800);
+/// registry. Running endpoints have registered again within about two seconds, and an endpoint
+/// that left must get nothing two seconds after the registry shows it.
+pub const REREGISTER_GRACE: Duration = Duration::from_millis(1800);
 
-/// How long another daemon's word on its requests counts.
-const CURRENT: Duration = Duration::from_secs(2);
+/// How long a load report of another daemon or zone counts.
+const LOAD_REPORT_TTL: Duration = Duration::from_secs(2);
 
-/// Tokens after the first event from which on a stream teaches how long one takes.
-/// Those of shorter ones come in one event or two, and read together they seem to have
+/// Tokens after the first event that a stream must have for its token time to be learned.
+/// Shorter streams arrive in one or two events; read together, their tokens seem to have
 /// taken no time.
-const LEAST_STREAM: u32 = 20;
+const MIN_STREAM_TOKENS: u32 = 20;
 
 /// Request in progress at an endpoint.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Flight {
+pub struct InFlight {
     /// Number of the request in this daemon.
     pub number: u64,
-    /// Prompt tokens that the engine has to read.
-    pub own: f64,
-    /// Prompt tokens ahead of them when it was sent.
+    /// Prompt tokens that the engine has to prefill.
+    pub prefill: f64,
+    /// Prompt tokens that were queued before them when the request was sent.
     pub ahead: f64,
-    /// Tokens that it will hold in the KV cache at its end.
-    pub memory: u64,
+    /// Tokens that the request will hold in the KV cache when it ends.
+    pub kv_tokens: u64,
     /// When it was sent.
     pub sent: Instant,
-    /// When its first event came.
-    pub began: Option<Instant>,
+    /// When its first event arrived.
+    pub first_event: Option<Instant>,
 }
 
 /// Whether an endpoint may get requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Standing {
+pub enum EndpointState {
     /// Registered.
     Ready,
-    /// Its entry is missing since an outage; in use until this moment.
+    /// Its entry is missing since an outage of the registry; in use until this moment.
     Doubtful(Instant),
-    /// It leaves; nothing new.
+    /// It is draining and gets no new request.
     Leaving,
 }
 
-impl Standing {
-    /// Whether an endpoint that stands so may get requests now. The table is cleaned
-    /// now and then only; doubt that is over must not last until then.
+impl EndpointState {
+    /// Whether an endpoint in this state may get requests now. Doubtful endpoints are dropped
+    /// only at intervals; one whose grace is over must not stay in use until the next of them.
     fn is_in_use(self, now: Instant) -> bool {
         match self {
             Self::Ready => true,
@@ -74,12 +75,12 @@
     }
 }
 
-/// Load of an endpoint that one or several daemons bring.
+/// Load that one or several daemons put on an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Others {
-    /// Requests in progress from other daemons.
+pub struct Load {
+    /// Requests in progress.
     pub requests: u32,
-    /// Prompt tokens that they wait to have read.
+    /// Prompt tokens of those requests that wait for prefill.
     pub tokens: f64,
 }
 
@@ -88,42 +89,42 @@
 pub struct Endpoint {
     /// Entry of the registry.
     pub listing: Listing,
-    /// Hash of its id, as daemons tell it to one another.
+    /// Hash of its id, by which daemons name it in messages to each other.
     pub hash: u32,
     /// Whether it may get requests.
-    pub standing: Standing,
+    pub state: EndpointState,
     /// Requests in progress from this daemon, sorted by number.
-    pub flights: Vec<Flight>,
-    /// What other daemons have in progress.
-    pub others: Others,
+    pub in_flight: Vec<InFlight>,
+    /// Load from all other daemons.
+    pub remote_load: Load,
     /// Learned speed.
     pub speed: Speed,
     /// Evidence of failures.
     pub evidence: Evidence,
-    /// Beginnings of prompts that it holds.
+    /// Prompt prefixes that it probably has in its KV cache.
     pub cache: Cache,
-    /// Until when it is taken as full because it said so.
-    pub full: Option<Instant>,
-    /// What it takes from all daemons together, if it ever named a limit.
+    /// Until when it counts as full, after it reported to be so.
+    pub full_until: Option<Instant>,
+    /// Request rate that it accepts from all daemons together, if it ever stated a limit.
     pub limit: Option<Limit>,
 }
 
-/// Who tells what is in progress: another daemon, or a watcher for its whole zone.
+/// Sender of a load report: another daemon, or a watcher for its whole zone.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Teller {
+pub enum Reporter {
     /// A daemon, and its zone.
     Daemon(ZoneHash, CompactString),
     /// A zone.
     Zone(ZoneHash),
 }
 
-/// What one other daemon or zone has in progress.
+/// Last load report of another daemon or zone.
 #[derive(Clone, Debug, PartialEq)]
-struct Told {
-    teller: Teller,
-    heard: Instant,
-    /// By hash of the endpoint's id, sorted.
-    uses: Vec<(u32, Others)>,
+struct LoadReport {
+    reporter: Reporter,
+    received: Instant,
+    /// Load by hash of the endpoint's id, sorted.
+    loads: Vec<(u32, Load)>,
 }
 
 /// All endpoints, sorted by id.
@@ -132,28 +133,28 @@
     rows: Vec<Endpoint>,
     /// Learned speed of the engines of each service, sorted by service.
     paces: Vec<(ServiceId, Pace)>,
-    /// Of services that nothing was learned of.
-    usual: Pace,
-    /// What the others told, sorted by teller.
-    told: Vec<Told>,
-    /// Until when missing entries are doubtful, after an outage.
-    settling: Option<Instant>,
-    /// Those that left and have no row any more.
+    /// Speed of services for which none was learned yet.
+    default_pace: Pace,
+    /// Current load reports, sorted by reporter.
+    reports: Vec<LoadReport>,
+    /// Until when missing entries make their endpoints doubtful, after an outage.
+    grace_until: Option<Instant>,
+    /// Endpoints that left and have no row any more.
     ended: Ended,
-    /// Daemons that share the limits which endpoints name.
+    /// Daemons that share the limits which endpoints state.
     sharers: Sharers,
 }
 
-/// What a change of the registry did.
+/// Effect of a registry change on an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Changed {
-    /// A new endpoint to use.
+    /// A new endpoint may get requests.
     Joined,
-    /// It gets nothing new from now on.
+    /// It gets no new request from now on.
     Left,
     /// It stays in use until this moment though its entry is missing.
     Doubted(Instant),
-    /// Nothing that matters.
+    /// Whether it may get requests did not change.
     Nothing,
 }
 
@@ -187,7 +188,7 @@
     pub fn pace(&self, service: &str) -> &Pace {
         match self.find_pace(service) {
             Ok(at) => &self.paces[at].1,
-            Err(_) => &self.usual,
+            Err(_) => &self.default_pace,
         }
     }
 
@@ -204,83 +205,84 @@
             .binary_search_by(|row| row.0.as_str().cmp(service))
     }
 
-    /// Notes the first event of a request; teaches the speed of its engine and service.
-    pub fn began(&mut self, id: &str, number: u64, now: Instant) {
+    /// Records the first event of a request and learns the speed of its engine and service
+    /// from it.
+    pub fn record_first_event(&mut self, id: &str, number: u64, now: Instant) {
         let Ok(at) = self.find(id) else {
             return;
         };
         let row = &mut self.rows[at];
-        let flights = row.flights.iter_mut();
-        let mut waiting = flights.filter(|flight| flight.began.is_none());
-        let Some(flight) = waiting.find(|flight| flight.number == number) else {
+        let requests = row.in_flight.iter_mut();
+        let mut waiting = requests.filter(|request| request.first_event.is_none());
+        let Some(request) = waiting.find(|request| request.number == number) else {
             return;
         };
-        flight.began = Some(now);
-        let took = now.saturating_duration_since(flight.sent);
-        let (own, ahead, mut speed) = (flight.own, flight.ahead, row.speed);
+        request.first_event = Some(now);
+        let took = now.saturating_duration_since(request.sent);
+        let (prefill, ahead, mut speed) = (request.prefill, request.ahead, row.speed);
         let service = row.listing.service.clone();
-        speed.learn(self.pace_mut(&service), own, ahead, took);
+        speed.learn(self.pace_mut(&service), prefill, ahead, took);
         self.rows[at].speed = speed;
     }
 
-    /// Notes that a stream of so many tokens after its first event is out; teaches how
-    /// long a token takes.
-    pub fn streamed(&mut self, id: &str, number: u64, tokens: u32, now: Instant) {
+    /// Records the end of a stream that had `tokens` tokens after its first event, and learns
+    /// from it how long a token takes.
+    pub fn record_stream(&mut self, id: &str, number: u64, tokens: u32, now: Instant) {
         let Ok(at) = self.find(id) else {
             return;
         };
         let row = &self.rows[at];
-        let flight = row.flights.iter().find(|flight| flight.number == number);
-        let Some(began) = flight.and_then(|flight| flight.began) else {
+        let request = row.in_flight.iter().find(|request| request.number == number);
+        let Some(first_event) = request.and_then(|request| request.first_event) else {
             return;
         };
-        if tokens < LEAST_STREAM {
+        if tokens < MIN_STREAM_TOKENS {
             return;
         }
         let service = row.listing.service.clone();
-        let token = now.saturating_duration_since(began) / tokens;
+        let token = now.saturating_duration_since(first_event) / tokens;
         self.pace_mut(&service).learn_step(token);
     }
 
-    /// How many endpoints of a service have another version than this one, and how
-    /// many requests they work on.
-    pub fn of_other_versions(&self, service: &str, version: &str) -> (u32, u32) {
+    /// Number of endpoints of a service that run another version than this one, and of
+    /// requests in progress at them.
+    pub fn count_other_versions(&self, service: &str, version: &str) -> (u32, u32) {
         let rows = self.rows.iter().filter(|row| {
             row.listing.service == service
                 && row.listing.version != version
-                && row.standing != Standing::Leaving
+                && row.state != EndpointState::Leaving
         });
-        rows.fold((0, 0), |sum, row| (sum.0 + 1, sum.1 + row.busy()))
+        rows.fold((0, 0), |sum, row| (sum.0 + 1, sum.1 + row.active_requests()))
     }
 
-    /// Takes an entry in; one that is older than what is known changes nothing.
+    /// Applies a registry entry; one that is older than the known entry changes nothing.
     pub fn put(&mut self, listing: Listing) -> Changed {
-        let standing = if listing.leaving {
-            Standing::Leaving
+        let state = if listing.leaving {
+            EndpointState::Leaving
         } else {
-            Standing::Ready
+            EndpointState::Ready
         };
         match self.find(&listing.id) {
             Err(_) if self.ended.is_newer_than(&listing) => Changed::Nothing,
             Err(at) => {
-                let row = Endpoint::new(listing, standing, &self.told);
+                let row = Endpoint::new(listing, state, &self.reports);
                 self.rows.insert(at, row);
-                joined(standing)
+                joined(state)
             }
             Ok(at) => {
                 let row = &mut self.rows[at];
                 if listing.is_older_than(&row.listing) {
                     return Changed::Nothing;
                 }
-                let reborn =
+                let restarted =
                     row.listing.born != listing.born || row.listing.address != listing.address;
-                if reborn {
-                    // Another life under the same id knows nothing of the first.
-                    *row = Endpoint::new(listing, standing, &self.told);
-                    return joined(standing);
+                if restarted {
+                    // Nothing that was learned of the former incarnation holds for the new one.
+                    *row = Endpoint::new(listing, state, &self.reports);
+                    return joined(state);
                 }
-                let left = standing == Standing::Leaving && row.standing != Standing::Leaving;
-                row.standing = standing;
+                let left = state == EndpointState::Leaving && row.state != EndpointState::Leaving;
+                row.state = state;
                 row.listing = listing;
                 if left {
                     Changed::Left
@@ -291,49 +293,49 @@
         }
     }
 
-    /// Takes in that an entry is gone.
-    pub fn gone(&mut self, id: &str, now: Instant) -> Changed {
-        let settling = self.settling.filter(|until| now < *until);
+    /// Applies the removal of a registry entry.
+    pub fn entry_removed(&mut self, id: &str, now: Instant) -> Changed {
+        let grace_until = self.grace_until.filter(|until| now < *until);
         let Some(row) = self.get_mut(id) else {
             return Changed::Nothing;
         };
-        match (row.standing, settling) {
-            (Standing::Leaving | Standing::Doubtful(_), _) => Changed::Nothing,
-            (Standing::Ready, Some(until)) => {
-                row.standing = Standing::Doubtful(until);
+        match (row.state, grace_until) {
+            (EndpointState::Leaving | EndpointState::Doubtful(_), _) => Changed::Nothing,
+            (EndpointState::Ready, Some(until)) => {
+                row.state = EndpointState::Doubtful(until);
                 Changed::Doubted(until)
             }
-            (Standing::Ready, None) => {
-                row.standing = Standing::Leaving;
+            (EndpointState::Ready, None) => {
+                row.state = EndpointState::Leaving;
                 Changed::Left
             }
         }
     }
 
-    /// Check sum of the endpoints that are in use, whatever their order.
-    pub fn check_sum(&self) -> u32 {
+    /// Checksum of the ids of all ready endpoints, independent of their order.
+    pub fn checksum(&self) -> u32 {
         let ready = self
             .rows
             .iter()
-            .filter(|row| row.standing == Standing::Ready);
+            .filter(|row| row.state == EndpointState::Ready);
         ready.fold(0, |sum, row| sum ^ row.hash)
     }
 
-    /// Whether an entry says something new of its endpoint, beside being written again.
-    pub fn is_news(&self, listing: &Listing) -> bool {
+    /// Whether an entry differs from the known one in more than the number of its writes.
+    pub fn is_change(&self, listing: &Listing) -> bool {
         let Some(row) = self.get(&listing.id) else {
             return true;
         };
-        let again = Listing {
+        let rewritten = Listing {
             count: listing.count,
             ..row.listing.clone()
         };
-        again != *listing || (row.standing == Standing::Ready) == listing.leaving
+        rewritten != *listing || (row.state == EndpointState::Ready) == listing.leaving
     }
 
-    /// Takes a whole list in; entries that are not in it are gone.
+    /// Applies the whole list of entries; entries that are not in it count as removed.
     ///
-    /// The list may be older than what is known, where the registry came back from a copy:
+    /// The list may be older than what is known, if the registry was restored from a copy:
     /// the last entry of an endpoint that left since does not bring it back.
     pub fn replace(
         &mut self,
@@ -351,7 +353,7 @@
         let ids: Vec<EndpointId> = self.rows.iter().map(|row| row.listing.id.clone()).collect();
         for id in ids {
             if present.binary_search(&id).is_err() {
-                let change = self.gone(&id, now);
+                let change = self.entry_removed(&id, now);
                 changes.push((id, change));
             }
         }
@@ -359,10 +361,10 @@
         changes
     }
 
-    /// Whether an endpoint has left that wrote nothing since this entry.
+    /// Whether an entry is of an endpoint that left and has written nothing newer.
     fn has_left(&self, listing: &Listing) -> bool {
         let row = self.get(&listing.id);
-        if row.is_some_and(|row| row.standing != Standing::Leaving) {
+        if row.is_some_and(|row| row.state != EndpointState::Leaving) {
             return false;
         }
         let last = row.map(|row| &row.listing);
@@ -370,34 +372,39 @@
         last.is_some_and(|last| listing.is_known_by(last))
     }
 
-    /// Takes in what others have in progress, by hash of the endpoints' ids. A zone as a
-    /// whole stands for its daemons as long as it is told.
-    pub fn hear(&mut self, teller: Teller, mut uses: Vec<(u32, Others)>, now: Instant) {
-        uses.sort_by_key(|(endpoint, _)| *endpoint);
-        self.forget_told(now);
-        match &teller {
-            Teller::Zone(zone) => self.drop_told(|told| told.is_daemon_of(*zone)),
-            Teller::Daemon(zone, _) if self.find_told(&Teller::Zone(*zone)).is_ok() => return,
-            Teller::Daemon(..) => {}
+    /// Applies a load report: load by hash of the endpoint's id. The report of a zone replaces
+    /// those of its daemons for as long as it is current.
+    pub fn apply_report(
+        &mut self,
+        reporter: Reporter,
+        mut loads: Vec<(u32, Load)>,
+        now: Instant,
+    ) {
+        loads.sort_by_key(|(endpoint, _)| *endpoint);
+        self.expire_reports(now);
+        match &reporter {
+            Reporter::Zone(zone) => self.drop_reports(|report| report.is_daemon_of(*zone)),
+            Reporter::Daemon(zone, _) if self.find_report(&Reporter::Zone(*zone)).is_ok() => return,
+            Reporter::Daemon(..) => {}
         }
-        self.drop_told(|told| told.teller == teller);
-        add(&mut self.rows, &uses, 1);
-        let told = Told {
-            teller,
-            heard: now,
-            uses,
+        self.drop_reports(|report| report.reporter == reporter);
+        add(&mut self.rows, &loads, 1);
+        let report = LoadReport {
+            reporter,
+            received: now,
+            loads,
         };
-        let at = self.find_told(&told.teller).unwrap_or_else(|at| at);
-        self.told.insert(at, told);
+        let at = self.find_report(&report.reporter).unwrap_or_else(|at| at);
+        self.reports.insert(at, report);
     }
 
-    /// What this daemon and those of its zone have in progress together, by hash of the
-    /// endpoints' ids, sorted.
-    pub fn tell_zone(&self, zone: ZoneHash) -> Vec<(u32, Others)> {
-        let mine = self.rows.iter().map(|row| (row.hash, row.own()));
-        let mates = self.told.iter().filter(|told| told.is_daemon_of(zone));
-        let mates = mates.flat_map(|told| told.uses.iter().copied());
-        let mut all: Vec<(u32, Others)> = mine.chain(mates).collect();
+    /// Load of this daemon and all others of its zone together, by hash of the endpoint's id,
+    /// sorted.
+    pub fn zone_load(&self, zone: ZoneHash) -> Vec<(u32, Load)> {
+        let local = self.rows.iter().map(|row| (row.hash, row.local_load()));
+        let peers = self.reports.iter().filter(|report| report.is_daemon_of(zone));
+        let peers = peers.flat_map(|report| report.loads.iter().copied());
+        let mut all: Vec<(u32, Load)> = local.chain(peers).collect();
         all.sort_by_key(|row| row.0);
         all.dedup_by(|row, kept| {
             let same = row.0 == kept.0;
@@ -411,52 +418,53 @@
         all
     }
 
-    fn find_told(&self, teller: &Teller) -> Result<usize, usize> {
-        self.told.binary_search_by(|told| told.teller.cmp(teller))
+    fn find_report(&self, reporter: &Reporter) -> Result<usize, usize> {
+        self.reports.binary_search_by(|report| report.reporter.cmp(reporter))
     }
 
-    /// Forgets what was told too long ago.
-    fn forget_told(&mut self, now: Instant) {
-        self.drop_told(|told| now.duration_since(told.heard) > CURRENT);
+    fn expire_reports(&mut self, now: Instant) {
+        self.drop_reports(|report| now.duration_since(report.received) > LOAD_REPORT_TTL);
     }
 
-    fn drop_told(&mut self, is_over: impl Fn(&Told) -> bool) {
-        for told in self.told.iter().filter(|told| is_over(told)) {
-            add(&mut self.rows, &told.uses, -1);
+    fn drop_reports(&mut self, is_over: impl Fn(&LoadReport) -> bool) {
+        for report in self.reports.iter().filter(|report| is_over(report)) {
+            add(&mut self.rows, &report.loads, -1);
         }
-        self.told.retain(|told| !is_over(told));
+        self.reports.retain(|report| !is_over(report));
     }
 
-    /// Takes in from another daemon which endpoints leave, by hash of their ids. An
-    /// entry that says otherwise follows from the registry if the word was wrong.
-    pub fn heard_left(&mut self, left: &[u32]) -> Vec<EndpointId> {
+    /// Marks the endpoints as leaving whose departure another daemon reports, by hash of their
+    /// ids; returns the ids of those that were not leaving yet. If the report was wrong, an
+    /// entry that says so follows from the registry.
+    pub fn mark_leaving(&mut self, left: &[u32]) -> Vec<EndpointId> {
         let mut found = Vec::new();
         for row in &mut self.rows {
-            let told = left.contains(&row.hash);
-            if told && row.standing != Standing::Leaving {
-                row.standing = Standing::Leaving;
+            let reported = left.contains(&row.hash);
+            if reported && row.state != EndpointState::Leaving {
+                row.state = EndpointState::Leaving;
                 found.push(row.listing.id.clone());
             }
         }
         found
     }
 
-    /// Takes in what an endpoint said to this daemon of its limit; tells whether it said
-    /// something else before.
-    pub fn named(&mut self, id: &str, said: Said) -> bool {
+    /// Records the limit that an endpoint stated in an answer to this daemon; returns whether
+    /// its rate differs from the one known before.
+    pub fn record_limit(&mut self, id: &str, said: Said) -> bool {
         let Ok(at) = self.find(id) else {
             return false;
         };
         let hash = self.rows[at].hash;
-        self.hear_limit(hash, said, true)
+        self.update_limit(hash, said, true)
     }
 
-    /// Takes in what another daemon tells of an endpoint's limit.
-    pub fn hear_named(&mut self, endpoint: u32, said: Said) -> bool {
-        self.hear_limit(endpoint, said, false)
+    /// Merges an endpoint's limit that another daemon advertises; returns whether its rate
+    /// differs from the one known before.
+    pub fn merge_limit(&mut self, endpoint: u32, said: Said) -> bool {
+        self.update_limit(endpoint, said, false)
     }
 
-    fn hear_limit(&mut self, endpoint: u32, said: Said, is_own: bool) -> bool {
+    fn update_limit(&mut self, endpoint: u32, said: Said, is_own: bool) -> bool {
         let mut rows = self.rows.iter_mut();
         let Some(row) = rows.find(|row| row.hash == endpoint) else {
             return false;
@@ -472,15 +480,15 @@
         before != row.limit.as_ref().and_then(Limit::rate)
     }
 
-    /// What this daemon tells the others of limits that endpoints named to it, by hash of
-    /// their ids.
-    pub fn tell_limits(&self, now: Instant) -> Vec<(u32, Said)> {
-        let told = |row: &Endpoint| Some((row.hash, row.limit.as_ref()?.tell(now)?));
-        self.rows.iter().filter_map(told).collect()
+    /// Limits that endpoints stated to this daemon and that it advertises to the others, by
+    /// hash of the endpoint's id.
+    pub fn advertised_limits(&self, now: Instant) -> Vec<(u32, Said)> {
+        let advertised = |row: &Endpoint| Some((row.hash, row.limit.as_ref()?.tell(now)?));
+        self.rows.iter().filter_map(advertised).collect()
     }
 
-    /// Takes in which daemons share the limits that endpoints name.
-    pub fn share(&mut self, sharers: Sharers, now: Instant) {
+    /// Sets which daemons share the limits that endpoints state.
+    pub fn set_sharers(&mut self, sharers: Sharers, now: Instant) {
         if self.sharers == sharers {
             return;
         }
@@ -492,20 +500,21 @@
         self.sharers = sharers;
     }
 
-    /// Notes that the registry is back after it was away or refused this daemon.
+    /// Starts the grace for missing entries: the registry is back after it was unavailable or
+    /// rejected this daemon.
     pub fn registry_back(&mut self, now: Instant) {
-        self.settling = Some(now + RETURN);
+        self.grace_until = Some(now + REREGISTER_GRACE);
     }
 
-    /// Takes in that the registry has been well since a moment. Entries of living
-    /// endpoints were back soon after it, whenever this daemon itself came back: a
-    /// daemon that had been cut off would else send requests to endpoints that left
-    /// long ago. Gives the ids of those that are dropped.
-    pub fn well_since(&mut self, since: Instant, now: Instant) -> Vec<EndpointId> {
-        let end = since + RETURN;
-        self.settling = self.settling.map(|until| until.min(end));
+    /// Applies that the registry has been available since a moment, and returns the ids of the
+    /// endpoints that are dropped because of it. Running endpoints registered again soon after
+    /// that moment, however much later this daemon reconnected. Without this, a daemon that
+    /// was partitioned would send requests to endpoints that left long ago.
+    pub fn registry_healthy_since(&mut self, since: Instant, now: Instant) -> Vec<EndpointId> {
+        let end = since + REREGISTER_GRACE;
+        self.grace_until = self.grace_until.map(|until| until.min(end));
         for row in &mut self.rows {
-            if let Standing::Doubtful(until) = &mut row.standing {
+            if let EndpointState::Doubtful(until) = &mut row.state {
                 *until = end.min(*until);
             }
         }
@@ -515,25 +524,25 @@
     fn drop_doubtful(&mut self, now: Instant) -> Vec<EndpointId> {
         let mut dropped = Vec::new();
         for row in &mut self.rows {
-            if let Standing::Doubtful(until) = row.standing
+            if let EndpointState::Doubtful(until) = row.state
                 && now >= until
             {
-                row.standing = Standing::Leaving;
+                row.state = EndpointState::Leaving;
                 dropped.push(row.listing.id.clone());
             }
         }
         dropped
     }
 
-    /// Drops doubtful endpoints whose time is over, and forgets those that left and
-    /// have nothing in progress. Gives the ids of the first. Learned slowness fades a
-    /// little with each call.
+    /// Drops doubtful endpoints whose grace is over and returns their ids. Removes the rows of
+    /// endpoints that left and have no request of this daemon in progress. Moves the learned
+    /// speed of each engine a little towards that of its service.
     pub fn expire(&mut self, now: Instant) -> Vec<EndpointId> {
         let dropped = self.drop_doubtful(now);
         for row in &mut self.rows {
             row.speed.fade();
         }
-        let is_over = |row: &Endpoint| row.standing == Standing::Leaving && row.flights.is_empty();
+        let is_over = |row: &Endpoint| row.state == EndpointState::Leaving && row.in_flight.is_empty();
         for row in self.rows.iter().filter(|row| is_over(row)) {
             self.ended.note(row.listing.clone(), now);
         }
@@ -543,103 +552,104 @@
     }
 }
 
-/// What a new row is: one that is leaving already is of no use.
-fn joined(standing: Standing) -> Changed {
-    match standing {
-        Standing::Leaving => Changed::Nothing,
-        Standing::Ready | Standing::Doubtful(_) => Changed::Joined,
+/// Effect of a new row: an endpoint that is already leaving does not join.
+fn joined(state: EndpointState) -> Changed {
+    match state {
+        EndpointState::Leaving => Changed::Nothing,
+        EndpointState::Ready | EndpointState::Doubtful(_) => Changed::Joined,
     }
 }
 
-/// Adds what was told to the rows, or takes it off with a `sign` of -1.
+/// Adds reported loads to the rows, or subtracts them with a `sign` of -1.
 ///
-/// Summing up anew what all daemons told would take longer with each daemon, for each
-/// digest of each of them.
-fn add(rows: &mut [Endpoint], uses: &[(u32, Others)], sign: i32) {
+/// Computing the sum over the reports of all daemons again, at each digest of each of them,
+/// would take longer with each daemon.
+fn add(rows: &mut [Endpoint], loads: &[(u32, Load)], sign: i32) {
     for row in rows {
-        if let Ok(at) = uses.binary_search_by_key(&row.hash, |told| told.0) {
-            let (others, told) = (&mut row.others, uses[at].1);
-            let requests = told.requests.cast_signed() * sign;
-            others.requests = others.requests.saturating_add_signed(requests);
-            others.tokens += told.tokens * f64::from(sign);
+        if let Ok(at) = loads.binary_search_by_key(&row.hash, |load| load.0) {
+            let (total, load) = (&mut row.remote_load, loads[at].1);
+            let requests = load.requests.cast_signed() * sign;
+            total.requests = total.requests.saturating_add_signed(requests);
+            total.tokens += load.tokens * f64::from(sign);
         }
     }
 }
 
-fn sum(told: &[Told], endpoint: u32) -> Others {
-    let mut all = Others::default();
-    for told in told {
-        if let Ok(at) = told.uses.binary_search_by_key(&endpoint, |row| row.0) {
-            all.requests += told.uses[at].1.requests;
-            all.tokens += told.uses[at].1.tokens;
+/// Sum of all reports on one endpoint.
+fn reported_load(reports: &[LoadReport], endpoint: u32) -> Load {
+    let mut total = Load::default();
+    for report in reports {
+        if let Ok(at) = report.loads.binary_search_by_key(&endpoint, |row| row.0) {
+            total.requests += report.loads[at].1.requests;
+            total.tokens += report.loads[at].1.tokens;
         }
     }
-    all
+    total
 }
 
-impl Told {
+impl LoadReport {
     fn is_daemon_of(&self, zone: ZoneHash) -> bool {
-        matches!(&self.teller, Teller::Daemon(at, _) if *at == zone)
+        matches!(&self.reporter, Reporter::Daemon(at, _) if *at == zone)
     }
 }
 
 impl Endpoint {
-    fn new(listing: Listing, standing: Standing, told: &[Told]) -> Self {
+    fn new(listing: Listing, state: EndpointState, reports: &[LoadReport]) -> Self {
         let hash = short(&listing.id);
         Self {
             listing,
             hash,
-            standing,
-            flights: Vec::new(),
-            others: sum(told, hash),
+            state,
+            in_flight: Vec::new(),
+            remote_load: reported_load(reports, hash),
             speed: Speed::default(),
             evidence: Evidence::default(),
             cache: Cache::default(),
-            full: None,
+            full_until: None,
             limit: None,
         }
     }
 
     /// Whether it may get requests, whatever its load.
     pub fn is_usable(&self, now: Instant) -> bool {
-        self.standing.is_in_use(now) && self.evidence.is_fit(now)
+        self.state.is_in_use(now) && self.evidence.is_fit(now)
     }
 
     /// Requests in progress, from all daemons.
-    pub fn busy(&self) -> u32 {
-        self.flights.len() as u32 + self.others.requests
+    pub fn active_requests(&self) -> u32 {
+        self.in_flight.len() as u32 + self.remote_load.requests
     }
 
-    /// What this daemon has in progress.
-    pub fn own(&self) -> Others {
-        let waiting = self.flights.iter().filter(|flight| flight.began.is_none());
-        Others {
-            requests: self.flights.len() as u32,
-            tokens: waiting.map(|flight| flight.own).sum(),
+    /// Load from this daemon.
+    pub fn local_load(&self) -> Load {
+        let waiting = self.in_flight.iter().filter(|request| request.first_event.is_none());
+        Load {
+            requests: self.in_flight.len() as u32,
+            tokens: waiting.map(|request| request.prefill).sum(),
         }
     }
 
-    /// Prompt tokens that wait to be read, from all daemons.
+    /// Prompt tokens that wait for prefill, from all daemons.
     pub fn backlog(&self) -> f64 {
-        self.own().tokens + self.others.tokens
+        self.local_load().tokens + self.remote_load.tokens
     }
 
-    /// Tokens of memory that this daemon's requests will hold.
-    pub fn memory(&self) -> u64 {
-        self.flights.iter().map(|flight| flight.memory).sum()
+    /// Tokens that this daemon's requests will hold in the KV cache.
+    pub fn kv_tokens(&self) -> u64 {
+        self.in_flight.iter().map(|request| request.kv_tokens).sum()
     }
 
-    /// Notes a request that is sent.
-    pub fn send(&mut self, flight: Flight) {
+    /// Records a request that is sent.
+    pub fn add_request(&mut self, request: InFlight) {
         self.evidence.sent();
         if let Some(limit) = &mut self.limit {
-            limit.take(flight.sent);
+            limit.take(request.sent);
         }
-        self.flights.push(flight);
+        self.in_flight.push(request);
     }
 
-    /// Notes that a request is no longer in progress.
-    pub fn end(&mut self, number: u64) {
-        self.flights.retain(|flight| flight.number != number);
+    /// Records that a request is no longer in progress.
+    pub fn remove_request(&mut self, number: u64) {
+        self.in_flight.retain(|request| request.number != number);
     }
 }
--- a/lib/src/relay/fleet.rs
+++ b/lib/src/relay/fleet.rs
@@ -14,7 +14,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::endpoint_table::{EndpointTable, Standing};
+use super::endpoint_table::{EndpointTable, EndpointState};
 use super::catalog::{Scaling, Service};
 use super::demand::Work;
 use super::engine::Pace;
@@ -213,7 +213,7 @@
         row.listing.service == service
             && row.listing.zone == zone
             && row.listing.spot == spot
-            && row.standing != Standing::Leaving
+            && row.state != EndpointState::Leaving
     });
     rows.count() as u32
 }
--- a/lib/src/relay/place.rs
+++ b/lib/src/relay/place.rs
@@ -19,7 +19,7 @@
 
 use super::admit::{LATEST, Limits};
 use super::request::Prompt;
-use super::endpoint_table::{EndpointTable, Endpoint, Flight};
+use super::endpoint_table::{EndpointTable, Endpoint, InFlight};
 use super::cache::{Chain, chains};
 use super::catalog::Service;
 use super::engine::Pace;
@@ -186,7 +186,7 @@
         (Some(prompt), Some(engine)) => (memory(prompt), engine.tokens),
         _ => (0, 0),
     };
-    row.send(Flight {
+    row.add_request(InFlight {
         number,
         own: choice.own,
         ahead: choice.ahead,
@@ -228,11 +228,11 @@
 }
 
 fn is_full(row: &Endpoint, wanted: &Wanted<'_>) -> bool {
-    if row.full.is_some_and(|until| wanted.now < until) {
+    if row.full_until.is_some_and(|until| wanted.now < until) {
         return true;
     }
     let slots = f64::from(row.listing.slots.max(1));
-    let busy = f64::from(row.busy());
+    let busy = f64::from(row.active_requests());
     match (&wanted.service.engine, wanted.prompt) {
         (Some(_), Some(_)) => busy >= slots * FILL,
         _ => busy >= slots * (1.0 + QUEUE),
@@ -275,7 +275,7 @@
     };
     let id = row.listing.id.clone();
     let Some(prompt) = wanted.prompt else {
-        let load = f64::from(row.busy()) / f64::from(row.listing.slots.max(1));
+        let load = f64::from(row.active_requests()) / f64::from(row.listing.slots.max(1));
         let wait = Duration::from_secs_f64(load * 0.03);
         let cost = load * 0.03 + far;
         let choice = Choice {
@@ -301,7 +301,7 @@
     let seconds = wait.as_secs_f64();
     let late = (seconds - wanted.target.as_secs_f64() * ON_TIME).max(0.0);
     let again = (f64::from(total) - kept).max(0.0);
-    let running = f64::from(row.busy());
+    let running = f64::from(row.active_requests());
     let cost = seconds + late * LATE + again * READ_AGAIN * pace.read() + running * RUNNING + far;
     (
         cost,
--- a/lib/tests/test_relay_admit.rs
+++ b/lib/tests/test_relay_admit.rs
@@ -67,9 +67,9 @@
         };
         first.sort();
         while let Some((at, id, began)) = first.first().cloned().filter(|row| row.0 <= now) {
-            table.began(&id, began, at);
+            table.record_first_event(&id, began, at);
             if let Some(row) = table.get_mut(&id) {
-                row.end(began);
+                row.remove_request(began);
             }
             first.remove(0);
         }
--- a/lib/tests/test_relay_contact.rs
+++ b/lib/tests/test_relay_contact.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use poplarvale_lib::relay::endpoint_table::{EndpointTable, RETURN};
+use poplarvale_lib::relay::endpoint_table::{EndpointTable, REREGISTER_GRACE};
 use poplarvale_lib::relay::contact::{Contact, Span};
 
 use crate::test_relay_endpoint_table::{listing, usable};
@@ -45,7 +45,7 @@
     let since = contact
         .well_since(other)
         .expect("it was answered meanwhile");
-    assert_eq!(table.well_since(since, back), vec!["a"]);
+    assert_eq!(table.registry_healthy_since(since, back), vec!["a"]);
     assert!(!usable(&table, "a", back));
     assert!(usable(&table, "b", back));
 }
@@ -64,9 +64,9 @@
         heard: back,
     };
     let since = contact.well_since(other).expect("it was answered first");
-    assert!(table.well_since(since, back).is_empty());
+    assert!(table.registry_healthy_since(since, back).is_empty());
     assert!(usable(&table, "a", back));
-    let end = first + RETURN;
+    let end = first + REREGISTER_GRACE;
     assert_eq!(table.expire(end), vec!["a"]);
     assert!(!usable(&table, "a", end));
 }
--- a/lib/tests/test_relay_endpoint_table.rs
+++ b/lib/tests/test_relay_endpoint_table.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use poplarvale_lib::relay::endpoint_table::{EndpointTable, Changed, Others, RETURN, Standing, Teller};
+use poplarvale_lib::relay::endpoint_table::{EndpointTable, Changed, Load, REREGISTER_GRACE, EndpointState, Reporter};
 use poplarvale_lib::relay::listing::Listing;
 use poplarvale_lib::relay::quota::short;
 
@@ -53,11 +53,11 @@
     table.registry_back(now);
     table.replace(Vec::new(), now);
     assert!(usable(&table, "a", now));
-    let later = now + RETURN / 2;
+    let later = now + REREGISTER_GRACE / 2;
     table.put(listing("a"));
     table.expire(later);
     assert!(usable(&table, "b", later));
-    let end = now + RETURN;
+    let end = now + REREGISTER_GRACE;
     assert_eq!(table.expire(end), vec!["b"]);
     assert!(usable(&table, "a", end));
     assert!(!usable(&table, "b", end));
@@ -74,7 +74,7 @@
     table.registry_back(now);
     table.replace(Vec::new(), now);
     assert!(usable(&table, "a", now));
-    assert!(!usable(&table, "a", now + RETURN));
+    assert!(!usable(&table, "a", now + REREGISTER_GRACE));
 }
 
 /// An entry is removed while the registry is well: the endpoint leaves without
@@ -85,8 +85,8 @@
     let mut table = EndpointTable::default();
     table.put(listing("a"));
     table.registry_back(now);
-    let later = now + RETURN + Duration::from_millis(1);
-    assert_eq!(table.gone("a", later), Changed::Left);
+    let later = now + REREGISTER_GRACE + Duration::from_millis(1);
+    assert_eq!(table.entry_removed("a", later), Changed::Left);
     assert!(!usable(&table, "a", later));
 }
 
@@ -117,11 +117,11 @@
     let mut table = EndpointTable::default();
     table.put(listing("a"));
     table.put(listing("b"));
-    assert_eq!(table.heard_left(&[short("a")]), vec!["a"]);
+    assert_eq!(table.mark_leaving(&[short("a")]), vec!["a"]);
     assert!(!usable(&table, "a", now));
     assert_eq!(
-        table.get("b").map(|row| row.standing),
-        Some(Standing::Ready)
+        table.get("b").map(|row| row.state),
+        Some(EndpointState::Ready)
     );
 }
 
@@ -167,9 +167,9 @@
     assert!(!usable(&table, "a", now));
 }
 
-fn load(id: &str, requests: u32) -> (u32, Others) {
+fn load(id: &str, requests: u32) -> (u32, Load) {
     let tokens = f64::from(requests) * 10.0;
-    (short(id), Others { requests, tokens })
+    (short(id), Load { requests, tokens })
 }
 
 /// Watchers tell what their zone has in progress as a whole, and its daemons tell theirs
@@ -179,21 +179,21 @@
     let now = Instant::now();
     let mut table = EndpointTable::default();
     table.put(listing("a"));
-    let daemon = |name: &str| Teller::Daemon(7, name.into());
-    let busy = |table: &EndpointTable| table.get("a").map(|row| row.others.requests);
-    table.hear(daemon("d1"), vec![load("a", 2)], now);
-    table.hear(daemon("d2"), vec![load("a", 3)], now);
+    let daemon = |name: &str| Reporter::Daemon(7, name.into());
+    let busy = |table: &EndpointTable| table.get("a").map(|row| row.remote_load.requests);
+    table.apply_report(daemon("d1"), vec![load("a", 2)], now);
+    table.apply_report(daemon("d2"), vec![load("a", 3)], now);
     assert_eq!(busy(&table), Some(5));
-    assert_eq!(table.tell_zone(7), [load("a", 5)]);
-    table.hear(Teller::Zone(7), vec![load("a", 6)], now);
+    assert_eq!(table.zone_load(7), [load("a", 5)]);
+    table.apply_report(Reporter::Zone(7), vec![load("a", 6)], now);
     assert_eq!(busy(&table), Some(6));
-    table.hear(daemon("d1"), vec![load("a", 2)], now);
+    table.apply_report(daemon("d1"), vec![load("a", 2)], now);
     assert_eq!(busy(&table), Some(6));
-    table.hear(Teller::Zone(7), vec![load("a", 4)], now);
+    table.apply_report(Reporter::Zone(7), vec![load("a", 4)], now);
     assert_eq!(busy(&table), Some(4));
     // The watchers of that zone are lost; its daemons stand for themselves again.
     let later = now + Duration::from_secs(3);
-    table.hear(daemon("d2"), vec![load("a", 1)], later);
+    table.apply_report(daemon("d2"), vec![load("a", 1)], later);
     assert_eq!(busy(&table), Some(1));
 }
 
@@ -203,11 +203,11 @@
 fn what_was_told_before_an_endpoint_joined_counts() {
     let now = Instant::now();
     let mut table = EndpointTable::default();
-    let teller = Teller::Daemon(7, "d1".into());
-    table.hear(teller.clone(), vec![load("a", 3)], now);
+    let teller = Reporter::Daemon(7, "d1".into());
+    table.apply_report(teller.clone(), vec![load("a", 3)], now);
     table.put(listing("a"));
-    let others = |table: &EndpointTable| table.get("a").map(|row| row.others);
+    let others = |table: &EndpointTable| table.get("a").map(|row| row.remote_load);
     assert_eq!(others(&table), Some(load("a", 3).1));
-    table.hear(teller, vec![], now);
-    assert_eq!(others(&table), Some(Others::default()));
+    table.apply_report(teller, vec![], now);
+    assert_eq!(others(&table), Some(Load::default()));
 }
--- a/lib/tests/test_relay_place.rs
+++ b/lib/tests/test_relay_place.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use poplarvale_lib::relay::request::Prompt;
-use poplarvale_lib::relay::endpoint_table::{EndpointTable, Flight, Others, Teller};
+use poplarvale_lib::relay::endpoint_table::{EndpointTable, InFlight, Load, Reporter};
 use poplarvale_lib::relay::catalog::{Engine, Service};
 use poplarvale_lib::relay::evidence::Evidence;
 use poplarvale_lib::relay::listing::Listing;
@@ -108,9 +108,9 @@
     let mut trial = Trial::new(6);
     let first = trial.send(&prompt(5, 8000, 500));
     let began = trial.now + Duration::from_millis(200);
-    trial.table.began(&first.id, 1, began);
+    trial.table.record_first_event(&first.id, 1, began);
     if let Some(row) = trial.table.get_mut(&first.id) {
-        row.end(1);
+        row.remove_request(1);
     }
     let again = trial.choose(&prompt(5, 8000, 700)).expect("there is room");
     assert_eq!(again.id, first.id);
@@ -145,12 +145,12 @@
 #[test]
 fn what_other_daemons_sent_counts() {
     let mut trial = Trial::new(2);
-    let full = Others {
+    let full = Load {
         requests: 4,
         tokens: 9000.0,
     };
-    trial.table.hear(
-        Teller::Daemon(1, "b".into()),
+    trial.table.apply_report(
+        Reporter::Daemon(1, "b".into()),
         vec![(short("e0"), full)],
         trial.now,
     );
@@ -167,7 +167,7 @@
     let mut trial = Trial::new(3);
     let slow = "e1";
     for round in 0..6 {
-        let flight = Flight {
+        let flight = InFlight {
             number: 900 + round,
             own: 1000.0,
             ahead: 0.0,
@@ -177,11 +177,11 @@
         };
         let came = trial.now + Duration::from_millis(450);
         if let Some(row) = trial.table.get_mut(slow) {
-            row.send(flight);
+            row.add_request(flight);
         }
-        trial.table.began(slow, 900 + round, came);
+        trial.table.record_first_event(slow, 900 + round, came);
         if let Some(row) = trial.table.get_mut(slow) {
-            row.end(900 + round);
+            row.remove_request(900 + round);
         }
         trial.now += Duration::from_millis(round);
     }
@@ -282,15 +282,15 @@
     fn tell(&mut self, from: usize, now: Instant) {
         let zone = from % Self::ZONES;
         let own = self.tables[from].rows().iter();
-        let own: Vec<_> = own.map(|row| (row.hash, row.own())).collect();
-        let word = self.tables[from].tell_zone(zone as u32);
+        let own: Vec<_> = own.map(|row| (row.hash, row.local_load())).collect();
+        let word = self.tables[from].zone_load(zone as u32);
         for to in (0..Self::DAEMONS).filter(|to| *to != from) {
             let table = &mut self.tables[to];
             if to % Self::ZONES == zone {
-                let teller = Teller::Daemon(zone as u32, format!("d{from}").into());
-                table.hear(teller, own.clone(), now);
+                let teller = Reporter::Daemon(zone as u32, format!("d{from}").into());
+                table.apply_report(teller, own.clone(), now);
             } else if from < Self::ZONES {
-                table.hear(Teller::Zone(zone as u32), word.clone(), now);
+                table.apply_report(Reporter::Zone(zone as u32), word.clone(), now);
             }
         }
     }
