--- a/daemon/src/relay/attempt.rs
+++ b/daemon/src/relay/attempt.rs
@@ -13,7 +13,7 @@
 use poplarvale_lib::relay::crash::SETTLED;
 use poplarvale_lib::relay::limit::Said;
 use poplarvale_lib::relay::listing::Listing;
-use poplarvale_lib::relay::place::{self, Choice, Wanted};
+use poplarvale_lib::relay::selection::{self, Choice, Criteria};
 use poplarvale_lib::relay::rollout::Versions;
 use poplarvale_lib::relay::rollout::evidence::Sample;
 use poplarvale_platform::{NamedLimit, Outbound, request_head};
@@ -274,7 +274,7 @@
 
 fn book(state: &Rc<State>, job: &Job<'_>, choice: &Choice) -> Booked {
     let number = state.number();
-    let wanted = Wanted {
+    let wanted = Criteria {
         service: job.service,
         prompt: job.head.prompt.as_ref(),
         target: job.route.target,
@@ -282,10 +282,10 @@
         avoid: &[],
         versions: &Versions::Any,
         limits: None,
-        draw: 0,
+        seed: 0,
         now: Std::now(),
     };
-    place::book(&mut state.endpoints.borrow_mut(), &wanted, choice, number);
+    selection::book(&mut state.endpoints.borrow_mut(), &wanted, choice, number);
     Booked {
         state: Rc::clone(state),
         endpoint: choice.id.clone(),
--- a/daemon/src/relay/dispatch.rs
+++ b/daemon/src/relay/dispatch.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use poplarvale_lib::http1::Response;
 use poplarvale_lib::relay::admit::Limits;
-use poplarvale_lib::relay::place::{Choice, NoPlace, Wanted, choose};
+use poplarvale_lib::relay::selection::{Choice, SelectError, Criteria, choose};
 use poplarvale_lib::relay::quota;
 use poplarvale_lib::{Code, EndpointId};
 use tokio::net::tcp::WriteHalf;
@@ -43,7 +43,7 @@
     /// Whether an outcome is not known.
     unknown: bool,
     /// Why it is not sent on.
-    stopped: Option<NoPlace>,
+    stopped: Option<SelectError>,
     /// A failure of an endpoint, to be passed on if nothing better comes.
     failure: Option<(Response, Bytes)>,
 }
@@ -84,7 +84,7 @@
             return None;
         }
         if quarantined(state, &job.content).is_some() {
-            self.stopped = Some(NoPlace::None);
+            self.stopped = Some(SelectError::None);
             return None;
         }
         match pick(state, job, &self.avoid) {
@@ -93,7 +93,7 @@
                 if granted || (self.sends < MOST_SENDS && may_repeat(state, job)) {
                     return Some(choice);
                 }
-                self.stopped = Some(NoPlace::Full);
+                self.stopped = Some(SelectError::Full);
             }
             Err(why) => self.stopped = Some(why),
         }
@@ -157,7 +157,7 @@
                 self.runs += 1;
                 self.unknown = true;
                 if !repeats || self.runs >= job.route.attempts {
-                    self.stopped = Some(NoPlace::None);
+                    self.stopped = Some(SelectError::None);
                 }
                 None
             }
@@ -177,8 +177,8 @@
         let refused = match (self.unknown, self.stopped) {
             (true, _) if late => Refusal::unknown(Code::Overdue),
             (true, _) => Refusal::unknown(Code::Broken),
-            (false, Some(NoPlace::Busy(again))) => Refusal::later(Code::Full, again),
-            (false, Some(NoPlace::Full)) => Refusal::later(Code::Full, SOON),
+            (false, Some(SelectError::Busy(again))) => Refusal::later(Code::Full, again),
+            (false, Some(SelectError::Full)) => Refusal::later(Code::Full, SOON),
             (false, _) => Refusal::later(Code::NoEndpoint, SOON),
         };
         if let Some(team) = job.team
@@ -227,9 +227,9 @@
 }
 
 /// An endpoint for the request, other than those it was at.
-fn pick(state: &State, job: &Job<'_>, avoid: &[EndpointId]) -> Result<Choice, NoPlace> {
+fn pick(state: &State, job: &Job<'_>, avoid: &[EndpointId]) -> Result<Choice, SelectError> {
     let table = state.endpoints.borrow();
-    let wanted = Wanted {
+    let wanted = Criteria {
         service: job.service,
         prompt: job.head.prompt.as_ref(),
         target: job.route.target,
@@ -237,14 +237,14 @@
         avoid,
         versions: &job.versions,
         limits: limits(job, avoid),
-        draw: fastrand::u64(..),
+        seed: fastrand::u64(..),
         now: Std::now(),
     };
     let chosen = choose(&table, &wanted);
     match job.versions.otherwise() {
         Some(versions) if chosen.is_err() => choose(
             &table,
-            &Wanted {
+            &Criteria {
                 versions: &versions,
                 ..wanted
             },
--- a/lib/src/relay/endpoint_table.rs
+++ b/lib/src/relay/endpoint_table.rs
@@ -13,7 +13,7 @@
 
 use compact_str::CompactString;
 
-use super::cache::Cache;
+use super::prefix_cache::PrefixCache;
 use super::ended::Ended;
 use super::engine::{Pace, Speed};
 use super::evidence::Evidence;
@@ -102,7 +102,7 @@
     /// Evidence of failures.
     pub evidence: Evidence,
     /// Prompt prefixes that it probably has in its KV cache.
-    pub cache: Cache,
+    pub cache: PrefixCache,
     /// Until when it counts as full, after it reported to be so.
     pub full_until: Option<Instant>,
     /// Request rate that it accepts from all daemons together, if it ever stated a limit.
@@ -604,7 +604,7 @@
             remote_load: reported_load(reports, hash),
             speed: Speed::default(),
             evidence: Evidence::default(),
-            cache: Cache::default(),
+            cache: PrefixCache::default(),
             full_until: None,
             limit: None,
         }
--- /dev/null
+++ b/lib/src/relay/selection.rs
@@ -0,0 +1,333 @@
+//! Selects the endpoint that gets a request.
+//!
+//! Load: long prompts among short ones, sessions whose prompts share a prefix, and many daemons
+//! that choose at the same time from stale load reports. Choosing the endpoint with the fewest
+//! requests would queue a short prompt behind a long one and prefill shared prefixes again at
+//! every engine. Here the endpoint with the earliest predicted first event wins. For a session,
+//! all daemons agree on a preferred endpoint by rendezvous hashing, without messages, and choose
+//! another one only when it would answer noticeably sooner.
+//!
+//! Plain requests take less time than a load report takes to reach the other daemons. If all
+//! daemons chose from the whole list, each would send its requests to the endpoint that was
+//! last reported idle, until the next report. So a plain request is placed at the best of a
+//! small sample: random endpoints of its own zone, and one of another zone.
+
+use std::time::{Duration, Instant};
+
+use xxhash_rust::xxh3::xxh3_64_with_seed;
+
+use super::admit::{LATEST, Limits};
+use super::catalog::Service;
+use super::endpoint_table::{Endpoint, EndpointTable, InFlight};
+use super::engine::Pace;
+use super::prefix_cache::{PrefixHash, prefix_hashes};
+use super::request::Prompt;
+use super::rollout::Versions;
+use crate::EndpointId;
+
+/// How much sooner an endpoint in another zone must answer to be chosen, in seconds. Crossing
+/// zones costs about 3 ms for the round trip, and traffic between zones is paid by the byte.
+const CROSS_ZONE_COST_S: f64 = 0.006;
+/// Share of a session's shared prefix that its preferred endpoint is assumed to hold at least,
+/// even if this daemon sent nothing of the session there.
+const PREFERRED_CACHE_SHARE: f64 = 0.8;
+/// Cost of a shared token that is prefilled again, as a multiple of its prefill time: other
+/// requests lose that engine time. At five times, a request of a long session waits up to half
+/// a second more for the engine that holds its prefix, where engines prefill fifty tokens per
+/// millisecond.
+const REPEATED_PREFILL_FACTOR: f64 = 5.0;
+/// Share of the target up to which waiting costs no more than its time, and the
+/// factor of the time beyond it, where answers begin to be late.
+const ON_TIME_SHARE: f64 = 0.6;
+const LATE_FACTOR: f64 = 4.0;
+/// Cost of each request that runs at an engine, in seconds: each lengthens all steps of the
+/// others by about a fortieth.
+const RUNNING_COST_S: f64 = 0.002;
+/// Share of an engine's slots that daemons fill before it counts as full. The rest is left for
+/// requests that other daemons sent since their last digest.
+const FULL_SHARE: f64 = 1.0;
+/// Requests that may wait at a plain endpoint for each of its slots. Its own
+/// queue is four times its slots, shared by all daemons.
+const QUEUED_PER_SLOT: f64 = 2.0;
+/// Number of endpoints in the sample for a plain request: of its own zone, and of others.
+const SAME_ZONE_SAMPLE: usize = 2;
+const OTHER_ZONE_SAMPLE: usize = 1;
+
+/// What the endpoint of a request must fulfil, and how endpoints are compared.
+#[derive(Clone, Copy, Debug)]
+pub struct Criteria<'r> {
+    /// Service.
+    pub service: &'r Service,
+    /// Prompt; `None` for plain requests.
+    pub prompt: Option<&'r Prompt>,
+    /// Time within which the first event is on time.
+    pub target: Duration,
+    /// Zone of this daemon.
+    pub zone: &'r str,
+    /// Endpoints that earlier attempts of this request were sent to.
+    pub avoid: &'r [EndpointId],
+    /// Versions that it may go to while its service moves from one to another.
+    pub versions: &'r Versions,
+    /// How long it may wait at an engine; `None` if it is sent whatever waits there.
+    pub limits: Option<Limits>,
+    /// Random for each request, so that daemons do not all sample the same endpoints.
+    pub seed: u64,
+    /// Now.
+    pub now: Instant,
+}
+
+/// Endpoint that a request is sent to.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Choice {
+    /// Its id.
+    pub id: EndpointId,
+    /// Predicted time until the first event or answer.
+    pub wait: Duration,
+    /// Prompt tokens that it has to prefill for this request.
+    pub prefill: f64,
+    /// Prompt tokens that are queued before them.
+    pub ahead: f64,
+    /// Predicted time that the tokens ahead take.
+    pub queue: Duration,
+}
+
+/// Why no endpoint can get a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SelectError {
+    /// None is registered, or all are excluded.
+    None,
+    /// All are full.
+    Full,
+    /// It would wait too long; there will be room after this time.
+    Busy(Duration),
+}
+
+/// Chooses an endpoint.
+///
+/// # Errors
+/// If no endpoint can take the request now.
+pub fn choose(table: &EndpointTable, criteria: &Criteria<'_>) -> Result<Choice, SelectError> {
+    if criteria.prompt.is_some() {
+        return best(table, criteria, None);
+    }
+    let sample = sample(table, criteria);
+    best(table, criteria, Some(&sample)).or_else(|_| best(table, criteria, None))
+}
+
+/// The endpoint of least cost, of those with these ids or of all.
+fn best(
+    table: &EndpointTable,
+    criteria: &Criteria<'_>,
+    among: Option<&[&str]>,
+) -> Result<Choice, SelectError> {
+    let shared = criteria.prompt.map(prefix_hashes).unwrap_or_default();
+    let preferred = preferred(table, criteria, &shared);
+    let trial = trial(table, criteria);
+    let pace = table.pace(&criteria.service.name);
+    let mut best: Option<(f64, Choice)> = None;
+    let mut full = false;
+    let mut limited: Option<Duration> = None;
+    for row in table.rows() {
+        let may = is_one_of(row, among) && is_one_of(row, trial.as_deref());
+        if !may || !is_eligible(row, criteria) {
+            continue;
+        }
+        if is_full(row, criteria) {
+            full = true;
+            continue;
+        }
+        if let Some(wait) = limit_wait(row, criteria.now) {
+            limited = Some(limited.map_or(wait, |least| least.min(wait)));
+            continue;
+        }
+        let (cost, choice) = evaluate(row, pace, criteria, &shared, preferred);
+        if best.as_ref().is_none_or(|(least, _)| cost < *least) {
+            best = Some((cost, choice));
+        }
+    }
+    match best {
+        Some((_, choice)) => {
+            let checked = criteria
+                .limits
+                .map(|row| row.check(choice.queue, choice.wait));
+            match checked {
+                Some(Err(again)) => Err(SelectError::Busy(again)),
+                Some(Ok(())) | None => Ok(choice),
+            }
+        }
+        None if full => Err(SelectError::Full),
+        None => Err(limited.map_or(SelectError::None, |wait| SelectError::Busy(wait.min(LATEST)))),
+    }
+}
+
+/// Ids of the random endpoints that a plain request may go to.
+fn sample<'b>(table: &'b EndpointTable, criteria: &Criteria<'_>) -> Vec<&'b str> {
+    let rows = table.rows().iter();
+    let rows = rows.filter(|row| {
+        is_eligible(row, criteria)
+            && !is_full(row, criteria)
+            && limit_wait(row, criteria.now).is_none()
+    });
+    let rank = |row: &&Endpoint| xxh3_64_with_seed(row.listing.id.as_bytes(), criteria.seed);
+    let mut rows: Vec<&Endpoint> = rows.collect();
+    rows.sort_by_cached_key(rank);
+    let (mut near, mut far): (Vec<_>, Vec<_>) = rows
+        .into_iter()
+        .partition(|row| row.listing.zone == criteria.zone);
+    near.truncate(SAME_ZONE_SAMPLE);
+    far.truncate(if near.is_empty() {
+        SAME_ZONE_SAMPLE
+    } else {
+        OTHER_ZONE_SAMPLE
+    });
+    near.append(&mut far);
+    near.into_iter()
+        .map(|row| row.listing.id.as_str())
+        .collect()
+}
+
+/// Records a request as in progress at its chosen endpoint.
+pub fn book(table: &mut EndpointTable, criteria: &Criteria<'_>, choice: &Choice, number: u64) {
+    let Some(row) = table.get_mut(&choice.id) else {
+        return;
+    };
+    let (kv_tokens, capacity) = match (criteria.prompt, &criteria.service.engine) {
+        (Some(prompt), Some(engine)) => (kv_tokens(prompt), engine.tokens),
+        _ => (0, 0),
+    };
+    row.add_request(InFlight {
+        number,
+        prefill: choice.prefill,
+        ahead: choice.ahead,
+        kv_tokens,
+        sent: criteria.now,
+        first_event: None,
+    });
+    if let Some(prompt) = criteria.prompt {
+        row.cache
+            .record(&prefix_hashes(prompt), capacity, criteria.now);
+    }
+}
+
+/// Tokens that a request will hold in the KV cache when it ends, by the caller's estimate.
+pub fn kv_tokens(prompt: &Prompt) -> u64 {
+    let output = prompt.guess.unwrap_or(prompt.output).min(prompt.output);
+    u64::from(prompt.input) + u64::from(output)
+}
+
+/// Whether an endpoint may get the request, whatever its load.
+fn is_eligible(row: &Endpoint, criteria: &Criteria<'_>) -> bool {
+    row.listing.service == criteria.service.name
+        && row.is_usable(criteria.now)
+        && criteria.versions.allow(&row.listing.version)
+        && !criteria.avoid.contains(&row.listing.id)
+}
+
+/// Ids of the few endpoints on which a new version is tried, the same for all daemons; `None`
+/// if all endpoints may be used.
+fn trial<'b>(table: &'b EndpointTable, criteria: &Criteria<'_>) -> Option<Vec<&'b str>> {
+    let Versions::Only(_, Some(most)) = criteria.versions else {
+        return None;
+    };
+    let rows = table.rows().iter().filter(|row| is_eligible(row, criteria));
+    let ids = rows.map(|row| row.listing.id.as_str());
+    Some(ids.take(*most as usize).collect())
+}
+
+fn is_one_of(row: &Endpoint, ids: Option<&[&str]>) -> bool {
+    ids.is_none_or(|ids| ids.contains(&row.listing.id.as_str()))
+}
+
+fn is_full(row: &Endpoint, criteria: &Criteria<'_>) -> bool {
+    if row.full_until.is_some_and(|until| criteria.now < until) {
+        return true;
+    }
+    let slots = f64::from(row.listing.slots.max(1));
+    let active = f64::from(row.active_requests());
+    match (&criteria.service.engine, criteria.prompt) {
+        (Some(_), Some(_)) => active >= slots * FULL_SHARE,
+        _ => active >= slots * (1.0 + QUEUED_PER_SLOT),
+    }
+}
+
+/// Time for which the limit that an endpoint stated keeps this daemon from sending to it;
+/// `None` if it does not.
+fn limit_wait(row: &Endpoint, now: Instant) -> Option<Duration> {
+    row.limit.as_ref()?.check(now).err()
+}
+
+/// Id of the endpoint that all daemons prefer for a session's requests; `None` if the prompt
+/// shares no prefix.
+fn preferred<'b>(
+    table: &'b EndpointTable,
+    criteria: &Criteria<'_>,
+    shared: &[(PrefixHash, u32)],
+) -> Option<&'b str> {
+    let (session, _) = shared.last()?;
+    let rows = table
+        .rows()
+        .iter()
+        .filter(|row| row.listing.service == criteria.service.name && row.is_usable(criteria.now));
+    let rows = rows.filter(|row| criteria.versions.allow(&row.listing.version));
+    let rank = |row: &&Endpoint| xxh3_64_with_seed(row.listing.id.as_bytes(), *session);
+    rows.max_by_key(rank).map(|row| row.listing.id.as_str())
+}
+
+/// Cost of sending the request to this endpoint, in seconds, and the choice that it would be.
+fn evaluate(
+    row: &Endpoint,
+    pace: &Pace,
+    criteria: &Criteria<'_>,
+    shared: &[(PrefixHash, u32)],
+    preferred: Option<&str>,
+) -> (f64, Choice) {
+    let crossing = if row.listing.zone == criteria.zone {
+        0.0
+    } else {
+        CROSS_ZONE_COST_S
+    };
+    let id = row.listing.id.clone();
+    let Some(prompt) = criteria.prompt else {
+        let load = f64::from(row.active_requests()) / f64::from(row.listing.slots.max(1));
+        let wait = Duration::from_secs_f64(load * 0.03);
+        let cost = load * 0.03 + crossing;
+        let choice = Choice {
+            id,
+            wait,
+            prefill: 0.0,
+            ahead: 0.0,
+            queue: Duration::ZERO,
+        };
+        return (cost, choice);
+    };
+    let total: u32 = shared.iter().map(|(_, tokens)| tokens).sum();
+    let recorded = f64::from(row.cache.cached_tokens(shared));
+    let presumed = if preferred == Some(row.listing.id.as_str()) {
+        f64::from(total) * PREFERRED_CACHE_SHARE
+    } else {
+        0.0
+    };
+    let cached = recorded.max(presumed);
+    let prefill = (f64::from(prompt.input) - cached).max(1.0);
+    let ahead = row.backlog();
+    let wait = row.speed.first(&pace.line(), prefill, ahead);
+    let seconds = wait.as_secs_f64();
+    let late = (seconds - criteria.target.as_secs_f64() * ON_TIME_SHARE).max(0.0);
+    let repeated = (f64::from(total) - cached).max(0.0);
+    let running = f64::from(row.active_requests());
+    let cost = seconds
+        + late * LATE_FACTOR
+        + repeated * REPEATED_PREFILL_FACTOR * pace.read()
+        + running * RUNNING_COST_S
+        + crossing;
+    (
+        cost,
+        Choice {
+            id,
+            wait,
+            prefill,
+            ahead,
+            queue: wait.saturating_sub(row.speed.first(&pace.line(), prefill, 0.0)),
+        },
+    )
+}
--- a/lib/tests/runner.rs
+++ b/lib/tests/runner.rs
@@ -32,7 +32,7 @@
 mod test_relay_follow;
 mod test_relay_life;
 mod test_relay_limit;
-mod test_relay_place;
+mod test_relay_selection;
 mod test_relay_quota;
 mod test_relay_rollout;
 mod test_relay_shared;
--- a/lib/tests/test_relay_admit.rs
+++ b/lib/tests/test_relay_admit.rs
@@ -5,7 +5,7 @@
 use poplarvale_lib::relay::admit::Limits;
 use poplarvale_lib::relay::request::Prompt;
 use poplarvale_lib::relay::catalog::{Engine, Service};
-use poplarvale_lib::relay::place::{NoPlace, Wanted, book, choose};
+use poplarvale_lib::relay::selection::{SelectError, Criteria, book, choose};
 use poplarvale_lib::relay::rollout::Versions;
 
 use crate::relay_engines::engines;
@@ -73,7 +73,7 @@
             }
             first.remove(0);
         }
-        let wanted = Wanted {
+        let wanted = Criteria {
             service: &service,
             prompt: Some(&prompt),
             target: TARGET,
@@ -81,7 +81,7 @@
             avoid: &[],
             versions: &Versions::Any,
             limits: limited.then(|| Limits::new(TARGET, rank, DEADLINE)),
-            draw: 0,
+            seed: 0,
             now,
         };
         let tally = &mut tallies[usize::from(urgent)];
@@ -99,7 +99,7 @@
                     tally.late += 1;
                 }
             }
-            Err(NoPlace::Busy(again)) => {
+            Err(SelectError::Busy(again)) => {
                 assert!(again > Duration::ZERO && again <= Duration::from_secs(2));
                 tally.refused += 1;
             }
--- a/lib/tests/test_relay_place.rs
+++ b/lib/tests/test_relay_selection.rs
@@ -7,7 +7,7 @@
 use poplarvale_lib::relay::catalog::{Engine, Service};
 use poplarvale_lib::relay::evidence::Evidence;
 use poplarvale_lib::relay::listing::Listing;
-use poplarvale_lib::relay::place::{Choice, NoPlace, Wanted, book, choose};
+use poplarvale_lib::relay::selection::{Choice, SelectError, Criteria, book, choose};
 use poplarvale_lib::relay::quota::short;
 use poplarvale_lib::relay::rollout::Versions;
 
@@ -51,12 +51,12 @@
         }
     }
 
-    fn choose(&self, prompt: &Prompt) -> Result<Choice, NoPlace> {
+    fn choose(&self, prompt: &Prompt) -> Result<Choice, SelectError> {
         choose(&self.table, &self.wanted(prompt))
     }
 
-    fn wanted<'r>(&'r self, prompt: &'r Prompt) -> Wanted<'r> {
-        Wanted {
+    fn wanted<'r>(&'r self, prompt: &'r Prompt) -> Criteria<'r> {
+        Criteria {
             versions: &Versions::Any,
             service: &self.service,
             prompt: Some(prompt),
@@ -64,7 +64,7 @@
             zone: "hanko",
             avoid: &[],
             limits: None,
-            draw: 0,
+            seed: 0,
             now: self.now,
         }
     }
@@ -73,7 +73,7 @@
         let choice = self.choose(prompt).expect("there is room");
         self.number += 1;
         let service = self.service.clone();
-        let wanted = Wanted {
+        let wanted = Criteria {
             versions: &Versions::Any,
             service: &service,
             prompt: Some(prompt),
@@ -81,7 +81,7 @@
             zone: "hanko",
             avoid: &[],
             limits: None,
-            draw: 0,
+            seed: 0,
             now: self.now,
         };
         book(&mut self.table, &wanted, &choice, self.number);
@@ -157,7 +157,7 @@
     for session in 20..24 {
         assert_eq!(trial.send(&prompt(session, 100, 100)).id, "e1");
     }
-    assert_eq!(trial.choose(&prompt(30, 100, 100)), Err(NoPlace::Full));
+    assert_eq!(trial.choose(&prompt(30, 100, 100)), Err(SelectError::Full));
 }
 
 /// An engine turns ten times slower while it says that it is well. Its first
@@ -305,7 +305,7 @@
     /// Sends a request from a daemon; gives how long it waits at its endpoint for a slot.
     fn send(&mut self, from: usize, work: Duration, now: Instant) -> Duration {
         let zone = format!("z{}", from % Self::ZONES);
-        let wanted = Wanted {
+        let wanted = Criteria {
             versions: &Versions::Any,
             service: &self.service,
             prompt: None,
@@ -313,7 +313,7 @@
             zone: &zone,
             avoid: &[],
             limits: None,
-            draw: self.random.u64(..),
+            seed: self.random.u64(..),
             now,
         };
         let choice = choose(&self.tables[from], &wanted).expect("there is room");
