--- a/daemon/src/relay/duties.rs
+++ b/daemon/src/relay/duties.rs
@@ -7,7 +7,7 @@
 use compact_str::{CompactString, format_compact};
 use poplarvale_lib::protos::relay::UsageRecord;
 use poplarvale_lib::relay::duty::Held;
-use poplarvale_lib::relay::fleet::{Orders, Wish};
+use poplarvale_lib::relay::fleet::{Orders, DesiredCount};
 use poplarvale_lib::relay::rollout::Status;
 use poplarvale_lib::relay::usage::{Counts, Report, WindowId};
 use poplarvale_lib::{Era, era_of};
@@ -507,7 +507,7 @@
         let work = state.demand.borrow().total(&service.name, now);
         let zones = &state.site.zones;
         let orders = &mut holder.orders;
-        let wishes = orders.wishes(&state.endpoints.borrow(), service, zones, work, now);
+        let wishes = orders.desired_counts(&state.endpoints.borrow(), service, zones, work, now);
         for wish in wishes {
             let now = Instant::now();
             if !holder.held.may_act(now) {
@@ -516,13 +516,13 @@
             if holder.orders.is_due(&wish, now) {
                 let accepted = place(cloud, holder, &wish).await;
                 let boot = boot.unwrap_or_default();
-                holder.orders.note(&wish, accepted, boot, Instant::now());
+                holder.orders.record(&wish, accepted, boot, Instant::now());
             }
         }
     }
 }
 
-async fn place(cloud: &mut Client, holder: &Holder, wish: &Wish) -> bool {
+async fn place(cloud: &mut Client, holder: &Holder, wish: &DesiredCount) -> bool {
     let order = Order {
         service: wish.service.clone(),
         zone: wish.zone.clone(),
--- a/lib/src/relay/fleet.rs
+++ b/lib/src/relay/fleet.rs
@@ -1,14 +1,14 @@
-//! How many endpoints are ordered, where and of which kind.
+//! How many endpoints are ordered, in which zone and of which kind.
 //!
-//! Load: traffic that swings and bursts, and reclaims that take all reclaimable
-//! endpoints of one zone after the other within ten seconds, while no others of that
-//! kind are to be had anywhere. A reclaimable endpoint costs about a fifth of another.
-//! So nearly all that stands is of the cheap kind, more of them than the work needs and
-//! in every zone. Endpoints of the dear kind are to be had in a wave too, and take about
-//! as long to start as a reclaim is told ahead: they are ordered at the notice, and
-//! given up when cheap ones are back. Few of them stand before.
+//! Load: traffic that swings and bursts, and waves of reclaims that take all reclaimable
+//! endpoints of one zone after the other within ten seconds, while no other reclaimable
+//! endpoints are available anywhere. A reclaimable endpoint costs about a fifth of an on-demand
+//! one. So nearly all endpoints are reclaimable, more of them than the work needs and in every
+//! zone. On-demand endpoints are available during a wave too, and take about as long to start as
+//! a reclaim is announced ahead. They are ordered at the reclaim notice and given up when
+//! reclaimable ones are back; few of them run before.
 //!
-//! The need is taken from what callers ask for and the engines' learned speed.
+//! The need is computed from the work that callers request and the engines' learned speed.
 //! Fewer endpoints are ordered only after the need was lower for a while: an
 //! endpoint that is given up too early takes seconds to come back.
 
@@ -20,140 +20,142 @@
 use super::engine::Pace;
 use crate::{ServiceId, ZoneId};
 
-/// Share of its places at which an engine is reckoned to work.
-const FILL: f64 = 0.5;
-/// Dear endpoints for each one that the work needs while cheap ones stand.
-const LASTING: f64 = 0.2;
-/// Reclaimable endpoints for each one that the work needs; half of them may be gone in
-/// a wave before others have started.
-const CHEAP: f64 = 2.8;
-/// Endpoints in all for each one that the work needs below which dear ones are ordered.
-const ALONE: f64 = 1.5;
-/// Least number of each kind in all, as soon as anything is asked.
-const LEAST: f64 = 2.0;
-/// Share of the operators' own endpoints that is kept before anything is asked, once as
-/// many cheap ones stand beside them.
-const WAITING: f64 = 0.4;
-/// How long no further endpoint must have registered before any is given up: a list
-/// that is still being filled would seem to have few.
-const LISTED: Duration = Duration::from_secs(3);
-/// How long work is asked for before its rate is taken as whole; the span of the
-/// rates.
-const FIRST: Duration = Duration::from_secs(4);
-/// Need above and below the level at which orders change.
-const RAISE: f64 = 1.25;
-const REDUCE: f64 = 0.7;
-/// How long the need must have been lower before fewer are ordered: a swing of the
-/// traffic takes tens of seconds.
-const LOWER: Duration = Duration::from_secs(10);
-/// Pause after an order that was refused, doubled up to the most.
-const RETRY: Duration = Duration::from_secs(1);
-const MOST_RETRY: Duration = Duration::from_secs(4);
-/// How long after an accepted order's boot time it is given again if the endpoints
-/// did not come: they may have been reclaimed meanwhile.
-const AGAIN: Duration = Duration::from_millis(2500);
-
-/// Number of endpoints wanted.
+/// Share of an engine's slots that is assumed to be in use when the need is computed.
+const SLOT_UTILIZATION: f64 = 0.5;
+/// On-demand endpoints for each one that the work needs while there are reclaimable ones.
+const ON_DEMAND_FACTOR: f64 = 0.2;
+/// Reclaimable endpoints for each one that the work needs: a wave of reclaims may take
+/// half of them before others have started.
+const RECLAIMABLE_FACTOR: f64 = 2.8;
+/// Endpoints of both kinds for each one that the work needs. On-demand ones are ordered when
+/// there are fewer.
+const TOTAL_FACTOR: f64 = 1.5;
+/// Minimum number of each kind over all zones, as soon as there is any work.
+const MIN_ENDPOINTS: f64 = 2.0;
+/// Share of the on-demand endpoints of the operators that is kept before there is any work,
+/// once there are as many reclaimable ones.
+const IDLE_ON_DEMAND_SHARE: f64 = 0.4;
+/// How long no further on-demand endpoint must have registered before any is given up: while
+/// the registry's list is still being read, there seem to be few.
+const LIST_SETTLE_TIME: Duration = Duration::from_secs(3);
+/// How long there must be work before its rate is known; the span over which rates are
+/// measured.
+const RATE_SPAN: Duration = Duration::from_secs(4);
+/// Need, as a multiple of the level that orders follow, above and below which the level changes.
+const RAISE_ABOVE: f64 = 1.25;
+const REDUCE_BELOW: f64 = 0.7;
+/// How long the need must have been lower before fewer endpoints are ordered: traffic swings
+/// over tens of seconds.
+const REDUCE_DELAY: Duration = Duration::from_secs(10);
+/// Pause after a rejected order, doubled with each further one up to the maximum.
+const RETRY_PAUSE: Duration = Duration::from_secs(1);
+const MAX_RETRY_PAUSE: Duration = Duration::from_secs(4);
+/// How long after the boot time of its endpoints an accepted order is repeated if they did not
+/// register: they may have been reclaimed meanwhile.
+const REORDER_DELAY: Duration = Duration::from_millis(2500);
+
+/// Desired number of endpoints of one kind in a zone.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Wish {
+pub struct DesiredCount {
     /// Service.
     pub service: ServiceId,
     /// Zone.
     pub zone: ZoneId,
-    /// Whether of the reclaimable kind.
+    /// Whether they are reclaimable.
     pub spot: bool,
-    /// How many.
+    /// Number of endpoints.
     pub count: u32,
 }
 
-/// An order that was given.
+/// Last order for a service, zone and kind.
 #[derive(Clone, Debug, PartialEq)]
-struct Given {
+struct PlacedOrder {
     service: ServiceId,
     zone: ZoneId,
     spot: bool,
     count: u32,
-    /// When it may be given again.
+    /// When it may be repeated.
     next: Instant,
+    /// Pause after the next rejection.
     pause: Duration,
 }
 
-/// Level that orders of one service follow.
+/// Level of the need that orders of one service follow.
 #[derive(Clone, Debug, PartialEq)]
 struct Level {
     service: ServiceId,
-    /// When work was first asked for.
+    /// When work was first requested.
     since: Instant,
-    /// Endpoints that orders go by; `None` until the first rate is whole.
+    /// Needed endpoints that orders are based on; `None` until the rate of work is known.
     need: Option<f64>,
-    /// Since when the need is so much lower that fewer would do, and the highest
-    /// need meanwhile.
+    /// Since when the need has been so low that fewer endpoints suffice, and the highest need
+    /// since then.
     lower: Option<(Instant, f64)>,
 }
 
-/// Most dear endpoints of a service that stood by zone, since this daemon looks.
+/// Highest number of on-demand endpoints of a service in each zone that this daemon has seen.
 #[derive(Clone, Debug, PartialEq)]
-struct First {
+struct Baseline {
     service: ServiceId,
     zones: Vec<(ZoneId, u32)>,
     /// When their number last grew.
     grew: Instant,
 }
 
-impl First {
+impl Baseline {
     fn total(&self) -> u32 {
         self.zones.iter().map(|row| row.1).sum()
     }
 
-    fn look(&mut self, stand: &Stand, now: Instant) {
-        for (zone, dear, _) in &stand.0 {
+    fn observe(&mut self, serving: &Serving, now: Instant) {
+        for (zone, on_demand, _) in &serving.0 {
             match self.zones.iter_mut().find(|row| row.0 == *zone) {
-                Some(row) if row.1 >= *dear => {}
-                Some(row) => (row.1, self.grew) = (*dear, now),
-                None => self.zones.push((zone.clone(), *dear)),
+                Some(row) if row.1 >= *on_demand => {}
+                Some(row) => (row.1, self.grew) = (*on_demand, now),
+                None => self.zones.push((zone.clone(), *on_demand)),
             }
         }
     }
 
-    /// Dear endpoints of a zone that are kept while nobody asks anything; all until as
-    /// many cheap ones stand beside them.
-    fn kept(&self, zone: &str, stand: &Stand, asked: bool, now: Instant) -> u32 {
-        let held = stand.in_zone(zone).0;
-        let settled = now.duration_since(self.grew) >= LISTED;
-        if asked || !settled || stand.cheap() < self.total() {
+    /// On-demand endpoints of a zone that are kept before the need is known. All are kept if
+    /// work was requested, and until there are as many reclaimable ones.
+    fn kept(&self, zone: &str, serving: &Serving, requested: bool, now: Instant) -> u32 {
+        let held = serving.in_zone(zone).0;
+        let settled = now.duration_since(self.grew) >= LIST_SETTLE_TIME;
+        if requested || !settled || serving.reclaimable() < self.total() {
             return held;
         }
         let row = self.zones.iter().find(|row| row.0 == zone);
-        let first = row.map_or(held, |row| row.1);
-        held.min((f64::from(first) * WAITING).ceil() as u32)
+        let most = row.map_or(held, |row| row.1);
+        held.min((f64::from(most) * IDLE_ON_DEMAND_SHARE).ceil() as u32)
     }
 }
 
-/// Needs and the orders given so far.
+/// Needs of the services and the orders placed so far.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Orders {
-    /// What stood before the need was known, by service.
-    first: Vec<First>,
-    given: Vec<Given>,
+    /// On-demand endpoints of each service.
+    baselines: Vec<Baseline>,
+    placed: Vec<PlacedOrder>,
     levels: Vec<Level>,
-    /// When work was first asked for, if that was before this daemon took the duty up.
-    asked: Option<Instant>,
+    /// When work was first requested, if that was before this daemon took over the duty.
+    first_work: Option<Instant>,
 }
 
-/// Endpoints of the learned speed that a second's work keeps fully busy.
-pub fn needed(work: Work, slots: u32, pace: &Pace) -> f64 {
-    let running = f64::from(slots.max(1)) * FILL;
+/// Number of endpoints of the learned speed that one second's work keeps fully busy.
+pub fn endpoints_needed(work: Work, slots: u32, pace: &Pace) -> f64 {
+    let running = f64::from(slots.max(1)) * SLOT_UTILIZATION;
     work.read * pace.read() + work.write * pace.step() / running
 }
 
-/// Endpoints that serve, by zone: dear and cheap ones.
-struct Stand(Vec<(ZoneId, u32, u32)>);
+/// Number of endpoints in use in each zone: on-demand and reclaimable ones.
+struct Serving(Vec<(ZoneId, u32, u32)>);
 
-impl Stand {
+impl Serving {
     fn of(table: &EndpointTable, service: &str, zones: &[ZoneId]) -> Self {
         let row = |zone: &ZoneId| {
-            let dear = count(table, service, zone, false);
-            (zone.clone(), dear, count(table, service, zone, true))
+            let on_demand = count(table, service, zone, false);
+            (zone.clone(), on_demand, count(table, service, zone, true))
         };
         Self(zones.iter().map(row).collect())
     }
@@ -163,51 +165,51 @@
         row.map_or((0, 0), |row| (row.1, row.2))
     }
 
-    fn dear(&self) -> u32 {
+    fn on_demand(&self) -> u32 {
         self.0.iter().map(|row| row.1).sum()
     }
 
-    fn cheap(&self) -> u32 {
+    fn reclaimable(&self) -> u32 {
         self.0.iter().map(|row| row.2).sum()
     }
 }
 
-/// Endpoints wanted in all zones together.
+/// Desired endpoints of all zones together.
 struct Totals {
-    dear: u32,
-    cheap: u32,
+    on_demand: u32,
+    reclaimable: u32,
 }
 
-fn totals(scaling: &Scaling, level: Option<f64>, stand: &Stand, first: u32) -> Totals {
+fn totals(scaling: &Scaling, level: Option<f64>, serving: &Serving, baseline: u32) -> Totals {
     let spot = scaling.spot.is_some();
     let Some(need) = level else {
-        // Fewer cheap ones than stand are not ordered: whoever takes the duty over in
-        // the middle of the day knows no need for a few seconds, and what it gave up
+        // Reclaimable endpoints are not reduced: a daemon that takes over the duty in the middle
+        // of the day does not know the need for a few seconds, and endpoints that it gave up
         // then would take as long again to come back.
         return Totals {
-            dear: stand.dear(),
-            cheap: if spot { stand.cheap().max(first) } else { 0 },
+            on_demand: serving.on_demand(),
+            reclaimable: if spot { serving.reclaimable().max(baseline) } else { 0 },
         };
     };
     if !spot {
         return Totals {
-            dear: (need * (LASTING + CHEAP)).max(LEAST).round() as u32,
-            cheap: 0,
+            on_demand: (need * (ON_DEMAND_FACTOR + RECLAIMABLE_FACTOR)).max(MIN_ENDPOINTS).round() as u32,
+            reclaimable: 0,
         };
     }
-    let lasting = (need * LASTING).max(LEAST).round() as u32;
-    // A reclaim is told some seconds before it takes effect, about as long as another
-    // endpoint takes to start, and in a wave no cheap ones are to be had anywhere: dear
-    // ones take their place at the notice and go when cheap ones are back.
-    let missing = (need * ALONE).round() as u32;
-    let missing = missing.saturating_sub(stand.cheap());
+    let usual_on_demand = (need * ON_DEMAND_FACTOR).max(MIN_ENDPOINTS).round() as u32;
+    // A reclaim is announced some seconds before it takes effect, about as long as another
+    // endpoint takes to start, and in a wave no reclaimable ones are available anywhere.
+    // On-demand ones replace them at the notice and are given up when reclaimable ones are back.
+    let missing = (need * TOTAL_FACTOR).round() as u32;
+    let missing = missing.saturating_sub(serving.reclaimable());
     Totals {
-        dear: lasting.max(missing),
-        cheap: (need * CHEAP).max(LEAST).round() as u32,
+        on_demand: usual_on_demand.max(missing),
+        reclaimable: (need * RECLAIMABLE_FACTOR).max(MIN_ENDPOINTS).round() as u32,
     }
 }
 
-/// Endpoints of one kind that serve in a zone.
+/// Number of endpoints of one kind in use in a zone.
 fn count(table: &EndpointTable, service: &str, zone: &str, spot: bool) -> u32 {
     let rows = table.rows().iter().filter(|row| {
         row.listing.service == service
@@ -218,6 +220,7 @@
     rows.count() as u32
 }
 
+/// Price of endpoints in a zone; 1 if none is configured.
 fn price(scaling: &Scaling, zone: &str) -> f64 {
     let at = scaling
         .zones
@@ -225,51 +228,51 @@
     at.map_or(1.0, |at| scaling.zones[at].1)
 }
 
-/// Deals endpoints out to the zones, one each in turn, the cheapest zone first, as far
-/// as zones have room.
-fn deal(
+/// Distributes endpoints over the zones, one each in turn, the cheapest zone first, as far
+/// as the zones have room.
+fn distribute(
     scaling: &Scaling,
     zones: &[ZoneId],
     total: u32,
     room: impl Fn(&str) -> u32,
 ) -> Vec<(ZoneId, u32)> {
-    let mut order: Vec<(ZoneId, u32)> = zones.iter().map(|zone| (zone.clone(), 0)).collect();
-    order.sort_by(|a, b| price(scaling, &a.0).total_cmp(&price(scaling, &b.0)));
-    let mut left = total;
-    while left > 0 {
-        let before = left;
-        for (zone, dealt) in &mut order {
-            if left > 0 && *dealt < room(zone) {
-                *dealt += 1;
-                left -= 1;
+    let mut shares: Vec<(ZoneId, u32)> = zones.iter().map(|zone| (zone.clone(), 0)).collect();
+    shares.sort_by(|a, b| price(scaling, &a.0).total_cmp(&price(scaling, &b.0)));
+    let mut remaining = total;
+    while remaining > 0 {
+        let before = remaining;
+        for (zone, share) in &mut shares {
+            if remaining > 0 && *share < room(zone) {
+                *share += 1;
+                remaining -= 1;
             }
         }
-        if left == before {
+        if remaining == before {
             break;
         }
     }
-    order
+    shares
 }
 
 impl Level {
-    /// Follows the need: up when it is well above the level, down when it was well
-    /// below for a while. Following each swing would start and drain endpoints all
-    /// day, and every new one begins with an empty cache.
-    fn follow(&mut self, need: f64, now: Instant) -> Option<f64> {
+    /// Updates the level from the current need: up when the need is well above it, down when the
+    /// need was well below it for a while. Following each swing would start and drain endpoints
+    /// all day, and every new endpoint starts with an empty cache.
+    fn update(&mut self, need: f64, now: Instant) -> Option<f64> {
         let Some(level) = self.need else {
-            if now.duration_since(self.since) >= FIRST {
+            if now.duration_since(self.since) >= RATE_SPAN {
                 self.need = Some(need);
             }
             return self.need;
         };
-        if need > level * RAISE {
+        if need > level * RAISE_ABOVE {
             self.need = Some(need);
             self.lower = None;
-        } else if need < level * REDUCE {
+        } else if need < level * REDUCE_BELOW {
             let (since, high) = self.lower.unwrap_or((now, need));
             let high = high.max(need);
             self.lower = Some((since, high));
-            if now.duration_since(since) >= LOWER {
+            if now.duration_since(since) >= REDUCE_DELAY {
                 self.need = Some(high);
                 self.lower = None;
             }
@@ -281,25 +284,25 @@
 }
 
 impl Orders {
-    /// Begins with when work was first asked for, as far as this daemon knows. Whoever
-    /// takes the duty up in the middle of the day knows the rates already; counting from
-    /// its own begin, it ordered nothing for four seconds of a wave.
-    pub fn new(asked: Option<Instant>) -> Self {
+    /// No orders yet; `first_work` is when work was first requested, as far as this daemon knows.
+    /// A daemon that takes over the duty in the middle of the day knows the rates already. If it
+    /// counted from its own start, it would order nothing for four seconds of a wave.
+    pub fn new(first_work: Option<Instant>) -> Self {
         Self {
-            asked,
+            first_work,
             ..Self::default()
         }
     }
 
-    /// Needs that orders go by, for a checkpoint.
+    /// Needed endpoints of each service, for a checkpoint.
     pub fn needs(&self) -> impl Iterator<Item = (&ServiceId, f64)> {
         let rows = self.levels.iter();
         rows.filter_map(|row| row.need.map(|need| (&row.service, need)))
     }
 
-    /// Takes over what the holder before knew of a service's need. Without it a new
-    /// holder orders nothing for the span of a rate, in a wave of reclaims the worst
-    /// one, and then by whatever few callers it heard of.
+    /// Restores a service's need that the previous duty holder knew. Without it, a new holder
+    /// would order nothing for the span of a rate, which is worst during a wave of reclaims, and
+    /// then only for the few callers that it has learned of.
     pub fn restore(&mut self, service: ServiceId, need: f64, now: Instant) {
         self.levels.retain(|row| row.service != service);
         self.levels.push(Level {
@@ -310,53 +313,53 @@
         });
     }
 
-    /// What stood of a service at first.
-    fn first(&mut self, service: &ServiceId, stand: &Stand, now: Instant) -> First {
-        let at = self.first.iter().position(|row| row.service == *service);
+    /// Updates and returns the on-demand endpoints seen of a service.
+    fn baseline(&mut self, service: &ServiceId, serving: &Serving, now: Instant) -> Baseline {
+        let at = self.baselines.iter().position(|row| row.service == *service);
         let at = at.unwrap_or_else(|| {
-            self.first.push(First {
+            self.baselines.push(Baseline {
                 service: service.clone(),
                 zones: Vec::new(),
                 grew: now,
             });
-            self.first.len() - 1
+            self.baselines.len() - 1
         });
-        self.first[at].look(stand, now);
-        self.first[at].clone()
+        self.baselines[at].observe(serving, now);
+        self.baselines[at].clone()
     }
 
-    /// Level that orders of a service go by; `None` while it is not known.
+    /// Updates and returns the level that orders of a service follow; `None` while it is unknown.
     fn level(&mut self, service: &ServiceId, need: f64, now: Instant) -> Option<f64> {
         let at = self.levels.iter().position(|row| row.service == *service);
         let at = at.unwrap_or_else(|| {
             self.levels.push(Level {
                 service: service.clone(),
-                since: self.asked.unwrap_or(now),
+                since: self.first_work.unwrap_or(now),
                 need: None,
                 lower: None,
             });
             self.levels.len() - 1
         });
-        self.levels[at].follow(need, now)
+        self.levels[at].update(need, now)
     }
 
-    /// What is wanted of a service now, where it differs from what stands.
+    /// Desired endpoints of a service, where their number differs from those in use.
     ///
-    /// Until the need is known, the dear endpoints stay as the operators have them
-    /// and as many cheap ones are ordered: a wave of reclaims may follow at once. While
-    /// nothing is asked at all, some of the dear ones make room for these.
-    pub fn wishes(
+    /// Until the need is known, the on-demand endpoints stay as the operators set them up and as
+    /// many reclaimable ones are ordered, since a wave of reclaims may follow at once. While there
+    /// is no work at all, some of the on-demand ones are given up once these are in use.
+    pub fn desired_counts(
         &mut self,
         table: &EndpointTable,
         service: &Service,
         zones: &[ZoneId],
         work: Work,
         now: Instant,
-    ) -> Vec<Wish> {
+    ) -> Vec<DesiredCount> {
         let (Some(scaling), Some(engine)) = (&service.scaling, &service.engine) else {
             return Vec::new();
         };
-        let stand = Stand::of(table, &service.name, zones);
+        let serving = Serving::of(table, &service.name, zones);
         let level = if work == Work::default() {
             self.levels
                 .iter()
@@ -364,32 +367,32 @@
                 .and_then(|row| row.need)
         } else {
             let pace = table.pace(&service.name);
-            self.level(&service.name, needed(work, engine.slots, pace), now)
+            self.level(&service.name, endpoints_needed(work, engine.slots, pace), now)
         };
-        let first = self.first(&service.name, &stand, now);
-        let total = totals(scaling, level, &stand, first.total());
-        // Dear ones that replace others go where these were: making room for them among
-        // cheap ones that stand would only raise the price.
-        let beside = |zone: &str| scaling.most.saturating_sub(stand.in_zone(zone).1);
-        let dear = deal(scaling, zones, total.dear, beside);
-        let cheap = deal(scaling, zones, total.cheap, |_| scaling.most);
-        let mut wishes = Vec::new();
-        for ((zone, dear), (_, cheap)) in dear.into_iter().zip(cheap) {
-            let (others, spots) = stand.in_zone(&zone);
-            let dear = if level.is_none() {
-                first.kept(&zone, &stand, work != Work::default(), now)
+        let baseline = self.baseline(&service.name, &serving, now);
+        let total = totals(scaling, level, &serving, baseline.total());
+        // On-demand endpoints that replace reclaimed ones go to the zones of these. Giving up
+        // reclaimable ones elsewhere to make room for them would only raise the price.
+        let room = |zone: &str| scaling.most.saturating_sub(serving.in_zone(zone).1);
+        let on_demand = distribute(scaling, zones, total.on_demand, room);
+        let reclaimable = distribute(scaling, zones, total.reclaimable, |_| scaling.most);
+        let mut counts = Vec::new();
+        for ((zone, on_demand), (_, reclaimable)) in on_demand.into_iter().zip(reclaimable) {
+            let (held_on_demand, held_reclaimable) = serving.in_zone(&zone);
+            let on_demand = if level.is_none() {
+                baseline.kept(&zone, &serving, work != Work::default(), now)
             } else {
-                dear
+                on_demand
             };
-            let cheap = if level.is_none() {
-                cheap.max(spots)
+            let reclaimable = if level.is_none() {
+                reclaimable.max(held_reclaimable)
             } else {
-                cheap
+                reclaimable
             };
-            let cheap = cheap.min(scaling.most.saturating_sub(dear.max(others)));
-            for (spot, wanted, held) in [(true, cheap, spots), (false, dear, others)] {
+            let reclaimable = reclaimable.min(scaling.most.saturating_sub(on_demand.max(held_on_demand)));
+            for (spot, wanted, held) in [(true, reclaimable, held_reclaimable), (false, on_demand, held_on_demand)] {
                 if wanted != held {
-                    wishes.push(Wish {
+                    counts.push(DesiredCount {
                         service: service.name.clone(),
                         zone: zone.clone(),
                         spot,
@@ -398,43 +401,43 @@
                 }
             }
         }
-        wishes
+        counts
     }
 
-    /// Whether a wish may be ordered now.
-    pub fn is_due(&self, wish: &Wish, now: Instant) -> bool {
-        match self.find(wish) {
-            Some(at) => now >= self.given[at].next || self.given[at].count != wish.count,
+    /// Whether this number may be ordered now.
+    pub fn is_due(&self, desired: &DesiredCount, now: Instant) -> bool {
+        match self.find(desired) {
+            Some(at) => now >= self.placed[at].next || self.placed[at].count != desired.count,
             None => true,
         }
     }
 
-    /// Notes the outcome of an order.
-    pub fn note(&mut self, wish: &Wish, accepted: bool, boot: Duration, now: Instant) {
-        let at = self.find(wish);
-        let last = at.map_or(RETRY, |at| self.given[at].pause);
+    /// Records whether an order was accepted; `boot` is the boot time of its endpoints.
+    pub fn record(&mut self, desired: &DesiredCount, accepted: bool, boot: Duration, now: Instant) {
+        let at = self.find(desired);
+        let last = at.map_or(RETRY_PAUSE, |at| self.placed[at].pause);
         let (next, pause) = if accepted {
-            (now + boot + AGAIN, RETRY)
+            (now + boot + REORDER_DELAY, RETRY_PAUSE)
         } else {
-            (now + last, (last * 2).min(MOST_RETRY))
+            (now + last, (last * 2).min(MAX_RETRY_PAUSE))
         };
-        let row = Given {
-            service: wish.service.clone(),
-            zone: wish.zone.clone(),
-            spot: wish.spot,
-            count: wish.count,
+        let row = PlacedOrder {
+            service: desired.service.clone(),
+            zone: desired.zone.clone(),
+            spot: desired.spot,
+            count: desired.count,
             next,
             pause,
         };
         match at {
-            Some(at) => self.given[at] = row,
-            None => self.given.push(row),
+            Some(at) => self.placed[at] = row,
+            None => self.placed.push(row),
         }
     }
 
-    fn find(&self, wish: &Wish) -> Option<usize> {
-        self.given.iter().position(|row| {
-            row.service == wish.service && row.zone == wish.zone && row.spot == wish.spot
+    fn find(&self, desired: &DesiredCount) -> Option<usize> {
+        self.placed.iter().position(|row| {
+            row.service == desired.service && row.zone == desired.zone && row.spot == desired.spot
         })
     }
 }
--- a/lib/tests/test_relay_engine.rs
+++ b/lib/tests/test_relay_engine.rs
@@ -4,7 +4,7 @@
 
 use poplarvale_lib::relay::demand::Work;
 use poplarvale_lib::relay::engine::{Pace, Speed};
-use poplarvale_lib::relay::fleet::needed;
+use poplarvale_lib::relay::fleet::endpoints_needed;
 
 /// Seconds that an engine takes to the first event: 20 ms and 50 tokens a millisecond at
 /// speed 1.
@@ -47,8 +47,8 @@
             read: 400_000.0,
             write: 10_000.0,
         };
-        let usual = needed(work, 48, &Pace::default());
-        let ratio = needed(work, 48, &pace) / usual * real;
+        let usual = endpoints_needed(work, 48, &Pace::default());
+        let ratio = endpoints_needed(work, 48, &pace) / usual * real;
         assert!(
             (0.75..1.35).contains(&ratio),
             "{ratio} at {real}: {} and {}",
@@ -84,11 +84,11 @@
         read: 400_000.0,
         write: 10_000.0,
     };
-    let before = needed(work, 48, &pace);
+    let before = endpoints_needed(work, 48, &pace);
     for engine in &mut engines {
         engine.1 = 0.25;
     }
     learn(&mut pace, &mut engines, 100);
-    let during = needed(work, 48, &pace);
+    let during = endpoints_needed(work, 48, &pace);
     assert!(during <= before * 1.7, "{before} {during}");
 }
--- a/lib/tests/test_relay_fleet.rs
+++ b/lib/tests/test_relay_fleet.rs
@@ -6,7 +6,7 @@
 use poplarvale_lib::relay::catalog::{Engine, Scaling, Service};
 use poplarvale_lib::relay::demand::Work;
 use poplarvale_lib::relay::engine::Pace;
-use poplarvale_lib::relay::fleet::{Orders, Wish, needed};
+use poplarvale_lib::relay::fleet::{Orders, DesiredCount, endpoints_needed};
 use poplarvale_lib::relay::listing::Listing;
 
 const ZONES: [&str; 4] = ["espoo", "hanko", "kotka", "porkkala"];
@@ -89,7 +89,7 @@
 
 /// Work that keeps four engines fully busy.
 fn work() -> Work {
-    let one = needed(
+    let one = endpoints_needed(
         Work {
             read: 10_000.0,
             write: 0.0,
@@ -103,17 +103,17 @@
     }
 }
 
-fn run(orders: &mut Orders, table: &EndpointTable, work: Work, from: Instant, seconds: u64) -> Vec<Wish> {
+fn run(orders: &mut Orders, table: &EndpointTable, work: Work, from: Instant, seconds: u64) -> Vec<DesiredCount> {
     let zones = ZONES.map(Into::into);
     let mut wishes = Vec::new();
     for step in 0..seconds * 4 {
         let now = from + Duration::from_millis(step * 250);
-        wishes = orders.wishes(table, &service(), &zones, work, now);
+        wishes = orders.desired_counts(table, &service(), &zones, work, now);
     }
     wishes
 }
 
-fn total(wishes: &[Wish], spot: bool) -> u32 {
+fn total(wishes: &[DesiredCount], spot: bool) -> u32 {
     let kind = wishes.iter().filter(|wish| wish.spot == spot);
     kind.map(|wish| wish.count).sum()
 }
@@ -151,7 +151,7 @@
 fn dear_endpoints_go_once_the_cheap_ones_stand() {
     let now = Instant::now();
     let wishes = run(&mut Orders::default(), &table(2, 2), work(), now, 20);
-    let dear: Vec<&Wish> = wishes.iter().filter(|wish| !wish.spot).collect();
+    let dear: Vec<&DesiredCount> = wishes.iter().filter(|wish| !wish.spot).collect();
     assert_eq!(dear.len(), 4);
     assert!(dear.iter().all(|wish| wish.count <= 1));
 }
@@ -178,7 +178,7 @@
 fn a_refused_order_waits_longer_each_time() {
     let now = Instant::now();
     let mut orders = Orders::default();
-    let wish = Wish {
+    let wish = DesiredCount {
         service: "pool".into(),
         zone: "hanko".into(),
         spot: true,
@@ -190,7 +190,7 @@
         let at = now + Duration::from_millis(step * 50);
         if orders.is_due(&wish, at) {
             calls += 1;
-            orders.note(&wish, false, boot, at);
+            orders.record(&wish, false, boot, at);
         }
     }
     assert!(calls <= 7, "{calls} calls in 20 s");
@@ -214,7 +214,7 @@
     let wishes = run(&mut orders, &left, work(), now + Duration::from_secs(8), 1);
     // Three stand, and the work keeps four busy.
     assert!(3 + total(&wishes, false) >= 6, "{wishes:?}");
-    let hanko: Vec<&Wish> = wishes.iter().filter(|wish| wish.zone == "hanko").collect();
+    let hanko: Vec<&DesiredCount> = wishes.iter().filter(|wish| wish.zone == "hanko").collect();
     assert!(
         hanko.iter().all(|wish| !wish.spot || wish.count >= 3),
         "{wishes:?}"
