--- a/daemon/src/relay/attempt.rs
+++ b/daemon/src/relay/attempt.rs
@@ -278,7 +278,7 @@
         service: job.service,
         prompt: job.head.prompt.as_ref(),
         target: job.route.target,
-        zone: &state.site.zone,
+        zone: &state.settings.zone,
         avoid: &[],
         versions: &Versions::Any,
         limits: None,
--- a/daemon/src/relay/client.rs
+++ b/daemon/src/relay/client.rs
@@ -71,7 +71,7 @@
     pub(crate) fn of_store(state: &State) -> Self {
         Self {
             eras: Some(Rc::clone(&state.eras)),
-            ..Self::new(state.site.store)
+            ..Self::new(state.settings.store)
         }
     }
 
--- a/daemon/src/relay/dispatch.rs
+++ b/daemon/src/relay/dispatch.rs
@@ -233,7 +233,7 @@
         service: job.service,
         prompt: job.head.prompt.as_ref(),
         target: job.route.target,
-        zone: &state.site.zone,
+        zone: &state.settings.zone,
         avoid,
         versions: &job.versions,
         limits: limits(job, avoid),
--- a/daemon/src/relay/duties.rs
+++ b/daemon/src/relay/duties.rs
@@ -48,7 +48,7 @@
 /// Takes the duties up whenever nobody holds them.
 pub(crate) async fn serve_duties(state: Rc<State>) {
     let mut store = Client::of_store(&state);
-    let mut cloud = state.site.cloud.map(Client::new);
+    let mut cloud = state.settings.cloud.map(Client::new);
     loop {
         tokio::time::sleep(wait(&state)).await;
         if !has_duty(&state) || !is_vacant(&state) {
@@ -67,7 +67,7 @@
 }
 
 fn has_duty(state: &State) -> bool {
-    let cloud = state.site.cloud.is_some() && (state.site.reports || state.site.orders);
+    let cloud = state.settings.cloud.is_some() && (state.settings.reports || state.settings.orders);
     cloud || !state.rollouts.borrow().is_empty()
 }
 
@@ -76,7 +76,7 @@
     // Who held the duties before a return of the store does not know yet that it is over.
     let is_over = !state
         .eras
-        .may_outlast(state.site.bounds.lease, Instant::now());
+        .may_outlast(state.settings.bounds.lease, Instant::now());
     state.listed.get() && state.life().is_serving() && is_free && is_over
 }
 
@@ -98,9 +98,9 @@
 /// Makes the leader's key; `None` if another daemon did.
 async fn acquire(state: &State, store: &mut Client) -> Result<Option<Held>, WriteError> {
     let since = Instant::now();
-    let life = state.site.bounds.lease;
+    let life = state.settings.bounds.lease;
     let lease = read_granted(&store.call(&grant(life), CALL).await?)?;
-    let name = format_compact!("{} {}", state.site.name, lease);
+    let name = format_compact!("{} {}", state.settings.name, lease);
     let call = txn(&Txn {
         expect: vec![(LEADER.into(), 0)],
         puts: vec![(LEADER.into(), Bytes::from(name.to_string()), lease)],
@@ -166,10 +166,10 @@
             save(state, store, &mut holder).await;
         }
         if let Some(cloud) = cloud.as_deref_mut() {
-            if state.site.reports {
+            if state.settings.reports {
                 report(state, store, cloud, &mut holder).await;
             }
-            if state.site.orders {
+            if state.settings.orders {
                 order(state, cloud, &mut holder).await;
             }
         }
@@ -180,7 +180,7 @@
 /// Reads what the holder before left.
 async fn begin(state: &State, store: &mut Client, held: Held) -> Option<Holder> {
     let duty = Duty {
-        holder: state.site.name.clone(),
+        holder: state.settings.name.clone(),
         fence: held.fence,
     };
     loop {
@@ -360,9 +360,9 @@
         return;
     }
     if holder.unsent.is_none() {
-        let length = state.site.bounds.usage_window.as_millis() as u64;
+        let length = state.settings.bounds.usage_window.as_millis() as u64;
         let true_now = state.true_ms();
-        let late = state.site.bounds.usage_late.as_millis() as u64;
+        let late = state.settings.bounds.report_deadline.as_millis() as u64;
         // Windows that would come too late are passed over.
         while (holder.next + 1) * length + late < true_now {
             holder.next += 1;
@@ -505,7 +505,7 @@
         let boot = service.scaling.as_ref().map(|scaling| scaling.boot);
         let now = Instant::now();
         let work = state.demand.borrow().total(&service.name, now);
-        let zones = &state.site.zones;
+        let zones = &state.settings.zones;
         let orders = &mut holder.orders;
         let wishes = orders.desired_counts(&state.endpoints.borrow(), service, zones, work, now);
         for wish in wishes {
--- a/daemon/src/relay/peers.rs
+++ b/daemon/src/relay/peers.rs
@@ -127,7 +127,7 @@
         endpoints: endpoints.into_iter().map(tell_use).collect(),
     };
     let digest = Digest {
-        name: state.site.name.to_string(),
+        name: state.settings.name.to_string(),
         incarnation: state.incarnation,
         sequence: state.next_digest(),
         zone: place.zone,
@@ -141,7 +141,7 @@
 }
 
 fn send_to(state: &State, socket: &UdpSocket, peer: &Peer, bytes: &[u8]) {
-    let to = SocketAddr::new(IpAddr::V4(peer.address), state.site.peers.port());
+    let to = SocketAddr::new(IpAddr::V4(peer.address), state.settings.peers.port());
     if let Err(error) = socket.try_send_to(bytes, to) {
         log::debug!("peers: nothing sent to {}, {error}.", peer.address);
     }
@@ -199,7 +199,7 @@
     let place = state.peers.borrow().place();
     let crashes = state.crashes.borrow();
     Digest {
-        name: state.site.name.to_string(),
+        name: state.settings.name.to_string(),
         incarnation: state.incarnation,
         sequence,
         zone: place.zone,
--- a/daemon/src/relay/run.rs
+++ b/daemon/src/relay/run.rs
@@ -8,7 +8,7 @@
 
 use error_stack::{Report, ResultExt as _};
 use poplarvale_lib::relay::life::{Closing, Leaving, Life};
-use poplarvale_lib::relay::site::Site;
+use poplarvale_lib::relay::settings::RelaySettings;
 use tokio::net::{TcpListener, TcpSocket, TcpStream, UdpSocket};
 use tokio::signal::unix::{SignalKind, signal};
 
@@ -45,7 +45,7 @@
 }
 
 /// Reads the platform's settings file.
-fn read_site(path: &Path) -> Result<Site, Report<RelayError>> {
+fn read_settings(path: &Path) -> Result<RelaySettings, Report<RelayError>> {
     let text = fs::read_to_string(path).change_context(RelayError::Settings)?;
     poplarvale_platform::read_settings(&text).change_context(RelayError::Settings)
 }
@@ -66,17 +66,17 @@
     ///
     /// # Errors
     /// If an address cannot be listened at.
-    pub async fn start(site: Site) -> Result<Self, Report<RelayError>> {
-        let callers = listen(site.callers)?;
-        let ready = listen(site.ready)?;
-        let status = site.metrics.map(listen).transpose()?;
-        let socket = UdpSocket::bind(site.peers).await;
+    pub async fn start(settings: RelaySettings) -> Result<Self, Report<RelayError>> {
+        let callers = listen(settings.callers)?;
+        let ready = listen(settings.ready)?;
+        let status = settings.metrics.map(listen).transpose()?;
+        let socket = UdpSocket::bind(settings.peers).await;
         let socket = Rc::new(socket.change_context(RelayError::Listen)?);
         let relay = Self {
             callers: callers.local_addr().change_context(RelayError::Listen)?,
             ready: ready.local_addr().change_context(RelayError::Listen)?,
             status: status.as_ref().and_then(|status| status.local_addr().ok()),
-            state: State::new(site),
+            state: State::new(settings),
             peers: socket,
         };
         let state = || Rc::clone(&relay.state);
@@ -111,9 +111,9 @@
 
     /// Takes settings that were read again. Hosts of other daemons are learned;
     /// addresses, zone and bounds hold until the next start.
-    fn reload(&self, site: &Site) {
-        self.state.learn(site);
-        if *site != self.state.site && !self.state.differs.replace(true) {
+    fn reload(&self, settings: &RelaySettings) {
+        self.state.learn(settings);
+        if *settings != self.state.settings && !self.state.differs.replace(true) {
             log::info!("daemon: the settings differ from those of the start.");
         }
     }
@@ -122,7 +122,7 @@
     /// waits until all answers are out or the process would be killed.
     pub async fn stop(&self) {
         let state = &self.state;
-        let leaving = Leaving::begin(Instant::now(), state.site.bounds.grace);
+        let leaving = Leaving::begin(Instant::now(), state.settings.bounds.grace);
         state.turn(Life::Leaving(leaving));
         let active = state.active.get();
         log::info!("daemon: shutting down with {active} requests in progress.");
@@ -143,9 +143,9 @@
 /// # Errors
 /// If the settings cannot be used or an address not be listened at.
 pub async fn run(path: &Path) -> Result<(), Report<RelayError>> {
-    let site = read_site(path)?;
-    log::info!("daemon: {} starts in zone {}.", site.name, site.zone);
-    let relay = Relay::start(site).await?;
+    let settings = read_settings(path)?;
+    log::info!("daemon: {} starts in zone {}.", settings.name, settings.zone);
+    let relay = Relay::start(settings).await?;
     log::info!(
         callers:% = relay.callers, ready:% = relay.ready, status:? = relay.status;
         "daemon: serves."
@@ -229,8 +229,8 @@
             _ = hup.recv() => log::info!("daemon: told to read its settings."),
             () = tokio::time::sleep(RELOAD) => {}
         }
-        match read_site(path) {
-            Ok(site) => relay.reload(&site),
+        match read_settings(path) {
+            Ok(settings) => relay.reload(&settings),
             Err(error) => log::warn!("daemon: new settings not used, {error:?}."),
         }
     }
--- a/daemon/src/relay/state.rs
+++ b/daemon/src/relay/state.rs
@@ -18,7 +18,7 @@
 use poplarvale_lib::relay::life::Life;
 use poplarvale_lib::relay::quota::{Quota, short};
 use poplarvale_lib::relay::rollout::Rollouts;
-use poplarvale_lib::relay::site::Site;
+use poplarvale_lib::relay::settings::RelaySettings;
 use poplarvale_lib::relay::usage::{Usage, WindowId};
 use poplarvale_lib::{CustomerId, Incarnation};
 use tokio::sync::Notify;
@@ -34,7 +34,7 @@
 /// Shared state; all tasks run on one thread and none holds a borrow across a wait.
 #[derive(Debug)]
 pub(crate) struct State {
-    pub(crate) site: Site,
+    pub(crate) settings: RelaySettings,
     /// Configuration in force; `None` until the first one was read.
     pub(crate) catalog: RefCell<Option<Rc<Catalog>>>,
     pub(crate) endpoints: RefCell<EndpointTable>,
@@ -85,18 +85,18 @@
 }
 
 impl State {
-    pub(crate) fn new(site: Site) -> Rc<Self> {
+    pub(crate) fn new(settings: RelaySettings) -> Rc<Self> {
         let started = Instant::now();
         let incarnation = fastrand::u64(..);
-        let me = v4(&site.peers.ip()).unwrap_or(Ipv4Addr::LOCALHOST);
-        let seeds: Vec<Ipv4Addr> = site.seeds.iter().filter_map(v4).collect();
+        let me = v4(&settings.peers.ip()).unwrap_or(Ipv4Addr::LOCALHOST);
+        let seeds: Vec<Ipv4Addr> = settings.seeds.iter().filter_map(v4).collect();
         let place = Place {
-            zone: short(&site.zone),
-            memory: u32::try_from(site.memory / MEGABYTE).unwrap_or(u32::MAX),
+            zone: short(&settings.zone),
+            memory: u32::try_from(settings.memory / MEGABYTE).unwrap_or(u32::MAX),
         };
         let quota = Quota::new(
-            site.bounds.quota_window,
-            site.bounds.quota_tolerance,
+            settings.bounds.quota_window,
+            settings.bounds.quota_tolerance,
             started,
         );
         Rc::new(Self {
@@ -104,16 +104,16 @@
             endpoints: RefCell::default(),
             quota: RefCell::new(quota.with_phase(fastrand::f64())),
             budget: RefCell::new(Budget::new(
-                site.bounds.repeat,
-                site.bounds.repeat_slack,
-                site.bounds.repeat_window,
+                settings.bounds.retry_ratio,
+                settings.bounds.retry_slack,
+                settings.bounds.retry_window,
             )),
             crashes: RefCell::default(),
             suspicions: RefCell::default(),
             quarantined: Notify::new(),
             demand: RefCell::default(),
-            rollouts: RefCell::new(Rollouts::new(site.bounds.exposure)),
-            usage: RefCell::new(Usage::new(site.name.clone(), incarnation)),
+            rollouts: RefCell::new(Rollouts::new(settings.bounds.exposure)),
+            usage: RefCell::new(Usage::new(settings.name.clone(), incarnation)),
             clock: RefCell::new(Clock::new(started)),
             peers: RefCell::new(Peers::new(me, place, &seeds, started)),
             follow: RefCell::default(),
@@ -122,7 +122,7 @@
             leader: RefCell::new(None),
             incarnation,
             started,
-            site,
+            settings,
             listed: Cell::new(false),
             upstreams: Upstreams::default(),
             contact: Cell::new(Contact::new(started)),
@@ -177,10 +177,10 @@
     }
 
     /// Learns the hosts of other daemons that the settings name.
-    pub(crate) fn learn(&self, site: &Site) {
+    pub(crate) fn learn(&self, settings: &RelaySettings) {
         let now = Instant::now();
         let mut peers = self.peers.borrow_mut();
-        for seed in site.seeds.iter().filter_map(v4) {
+        for seed in settings.seeds.iter().filter_map(v4) {
             peers.learn(seed, now);
         }
     }
@@ -205,7 +205,7 @@
     /// Usage window at a moment of the steady clock.
     pub(crate) fn window_at(&self, at: Instant) -> WindowId {
         let ago = at.elapsed().as_millis() as u64;
-        let length = self.site.bounds.usage_window.as_millis().max(1) as u64;
+        let length = self.settings.bounds.usage_window.as_millis().max(1) as u64;
         self.true_ms().saturating_sub(ago) / length
     }
 
--- a/daemon/src/relay/status.rs
+++ b/daemon/src/relay/status.rs
@@ -59,8 +59,8 @@
         .map(|content| format!("{content:016x}"))
         .collect();
     json!({
-        "name": state.site.name.as_str(),
-        "zone": state.site.zone.as_str(),
+        "name": state.settings.name.as_str(),
+        "zone": state.settings.zone.as_str(),
         "ready": state.is_ready(),
         "ending": !state.life().is_serving(),
         "active": state.active.get(),
--- a/daemon/src/relay/watch.rs
+++ b/daemon/src/relay/watch.rs
@@ -120,7 +120,7 @@
     let peers = state.peers.borrow();
     let mut others = peers.rows().len();
     if peers.is_watcher(Instant::now()) {
-        others = others.min(WATCHERS * state.site.zones.len());
+        others = others.min(WATCHERS * state.settings.zones.len());
     }
     (PAUSE + PAUSE_EACH * others as u32).min(MOST_PAUSE)
 }
--- a/lib/src/relay.rs
+++ b/lib/src/relay.rs
@@ -29,6 +29,6 @@
 pub mod selection;
 pub mod quota;
 pub mod rollout;
-pub mod site;
+pub mod settings;
 pub mod sse;
 pub mod usage;
--- a/lib/src/relay/selection.rs
+++ b/lib/src/relay/selection.rs
@@ -40,8 +40,8 @@
 /// factor of the time beyond it, where answers begin to be late.
 const ON_TIME_SHARE: f64 = 0.6;
 const LATE_FACTOR: f64 = 4.0;
-/// Cost of each request that runs at an engine, in seconds: each lengthens all steps of the
-/// others by about a fortieth.
+/// Cost of each request that runs at an engine, in seconds of the new request's answer: each
+/// lengthens all steps of the others by about a fortieth.
 const RUNNING_COST_S: f64 = 0.002;
 /// Share of an engine's slots that daemons fill before it counts as full. The rest is left for
 /// requests that other daemons sent since their last digest.
--- a/lib/src/relay/site.rs
+++ b/lib/src/relay/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a daemon that relays on a platform, and their checks.
+//! Settings of a daemon that relays requests on a platform.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -8,60 +8,60 @@
 use super::quota::Tolerance;
 use crate::ZoneId;
 
-/// Where a daemon runs, what it talks to and what binds it.
+/// Where a daemon runs, which addresses it uses and which bounds it keeps.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Site {
+pub struct RelaySettings {
     /// Name of this daemon's host.
     pub name: CompactString,
     /// Availability zone.
     pub zone: ZoneId,
     /// All availability zones, sorted.
     pub zones: Vec<ZoneId>,
-    /// Where callers connect.
+    /// Address at which callers connect.
     pub callers: SocketAddr,
-    /// Where the balancer asks for readiness.
+    /// Address at which the load balancer probes readiness.
     pub ready: SocketAddr,
-    /// Where operators read metrics and the dump.
+    /// Address at which operators read metrics and the dump.
     pub metrics: Option<SocketAddr>,
-    /// Where other daemons send their digests.
+    /// Address to which other daemons send their digests.
     pub peers: SocketAddr,
     /// Hosts of a few other daemons; some may be gone.
     pub seeds: Vec<IpAddr>,
-    /// The platform's key-value service.
+    /// Address of the platform's key-value service.
     pub store: SocketAddr,
-    /// The platform's API for reports and orders.
+    /// Address of the platform's API for usage reports and endpoint orders.
     pub cloud: Option<SocketAddr>,
-    /// Whether usage is to be reported.
+    /// Whether the duty holder reports usage.
     pub reports: bool,
-    /// Whether endpoints may be ordered.
+    /// Whether the duty holder orders endpoints.
     pub orders: bool,
     /// Memory that the process may use, in bytes.
     pub memory: u64,
-    /// Bounds that the daemons keep together.
+    /// Bounds that all daemons together keep.
     pub bounds: Bounds,
 }
 
-/// Bounds that the daemons keep together.
+/// Bounds that all daemons together keep.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
     /// Time from SIGTERM to SIGKILL.
     pub grace: Duration,
-    /// Repeats allowed for each request.
-    pub repeat: f64,
-    /// Window over which repeats are counted.
-    pub repeat_window: Duration,
-    /// Repeats allowed on top, over all daemons.
-    pub repeat_slack: f64,
+    /// Retries allowed for each request.
+    pub retry_ratio: f64,
+    /// Window over which retries are counted.
+    pub retry_window: Duration,
+    /// Retries allowed in addition, over all daemons.
+    pub retry_slack: f64,
     /// Window over which a team's allowance is counted.
     pub quota_window: Duration,
-    /// How far beyond its allowance a team may come within it.
+    /// How far a team may exceed its allowance within a window.
     pub quota_tolerance: Tolerance,
-    /// Life of a lease that guards a duty.
+    /// Time to live of a lease that guards a duty.
     pub lease: Duration,
     /// Length of a usage window.
     pub usage_window: Duration,
     /// How long after its end a usage window may be reported.
-    pub usage_late: Duration,
-    /// Share of a service's requests that an unproved version may get.
+    pub report_deadline: Duration,
+    /// Share of a service's requests that may go to a version that is still under test.
     pub exposure: f64,
 }
