--- a/daemon/src/relay/attempt.rs
+++ b/daemon/src/relay/attempt.rs
@@ -7,15 +7,15 @@
 use bytes::Bytes;
 use poplarvale_lib::EndpointId;
 use poplarvale_lib::http1::{Request, Response};
-use poplarvale_lib::relay::request::RequestHead;
-use poplarvale_lib::relay::endpoint_table::{Endpoint, EndpointState};
 use poplarvale_lib::relay::catalog::{CatalogVersion, Route, Service, Team};
 use poplarvale_lib::relay::crash::SETTLED;
+use poplarvale_lib::relay::endpoint_table::{Endpoint, EndpointState};
 use poplarvale_lib::relay::limit::Said;
 use poplarvale_lib::relay::listing::Listing;
-use poplarvale_lib::relay::selection::{self, Choice, Criteria};
+use poplarvale_lib::relay::request::RequestHead;
 use poplarvale_lib::relay::rollout::Versions;
 use poplarvale_lib::relay::rollout::evidence::Sample;
+use poplarvale_lib::relay::selection::{self, Choice, Criteria};
 use poplarvale_platform::{NamedLimit, Outbound, request_head};
 use tokio::net::tcp::WriteHalf;
 use tokio::time::{Instant, timeout_at};
@@ -209,7 +209,11 @@
         }
     };
     let said = Said { rate, heard: now };
-    if state.endpoints.borrow_mut().record_limit(&endpoint.id, said) {
+    if state
+        .endpoints
+        .borrow_mut()
+        .record_limit(&endpoint.id, said)
+    {
         log::info!(now:? = rate; "limit: endpoint {} names another.", endpoint.id);
         state.news.notify_one();
     }
--- a/daemon/src/relay/duties.rs
+++ b/daemon/src/relay/duties.rs
@@ -7,7 +7,7 @@
 use compact_str::{CompactString, format_compact};
 use poplarvale_lib::protos::relay::UsageRecord;
 use poplarvale_lib::relay::duty::Held;
-use poplarvale_lib::relay::fleet::{Orders, DesiredCount};
+use poplarvale_lib::relay::fleet::{DesiredCount, Orders};
 use poplarvale_lib::relay::rollout::Status;
 use poplarvale_lib::relay::usage::{Counts, Report, WindowId};
 use poplarvale_lib::{Era, era_of};
--- a/daemon/src/relay/peers.rs
+++ b/daemon/src/relay/peers.rs
@@ -7,10 +7,10 @@
 use compact_str::CompactString;
 use poplarvale_lib::ZoneHash;
 use poplarvale_lib::protos::relay::{Digest, UsageRecord, digest};
-use poplarvale_lib::relay::endpoint_table::{Load, Reporter};
 use poplarvale_lib::relay::contact::Span;
 use poplarvale_lib::relay::demand::Work;
 use poplarvale_lib::relay::digest::{Peer, Place, Turn, Turns};
+use poplarvale_lib::relay::endpoint_table::{Load, Reporter};
 use poplarvale_lib::relay::limit::{Said, Sharers};
 use poplarvale_lib::relay::quota::{Told, Use, ZoneSummary, ZoneUse};
 use poplarvale_lib::relay::rollout::evidence::{Key, Side, Sides};
@@ -263,7 +263,11 @@
         return;
     }
     let said = Said { rate, heard };
-    if state.endpoints.borrow_mut().merge_limit(told.endpoint, said) {
+    if state
+        .endpoints
+        .borrow_mut()
+        .merge_limit(told.endpoint, said)
+    {
         log::info!(endpoint = told.endpoint, now:? = rate; "limit: an endpoint names another, {name} tells.");
     }
 }
@@ -284,7 +288,11 @@
         return;
     };
     let well = now.saturating_duration_since(since);
-    for id in state.endpoints.borrow_mut().registry_healthy_since(since, now) {
+    for id in state
+        .endpoints
+        .borrow_mut()
+        .registry_healthy_since(since, now)
+    {
         log::info!(
             well_ms = well.as_millis() as u64;
             "board: endpoint {id} leaves, the store was well as {name} tells."
--- a/daemon/src/relay/run.rs
+++ b/daemon/src/relay/run.rs
@@ -144,7 +144,11 @@
 /// If the settings cannot be used or an address not be listened at.
 pub async fn run(path: &Path) -> Result<(), Report<RelayError>> {
     let settings = read_settings(path)?;
-    log::info!("daemon: {} starts in zone {}.", settings.name, settings.zone);
+    log::info!(
+        "daemon: {} starts in zone {}.",
+        settings.name,
+        settings.zone
+    );
     let relay = Relay::start(settings).await?;
     log::info!(
         callers:% = relay.callers, ready:% = relay.ready, status:? = relay.status;
--- a/daemon/src/relay/serve.rs
+++ b/daemon/src/relay/serve.rs
@@ -5,10 +5,10 @@
 
 use bytes::Bytes;
 use poplarvale_lib::http1::{Framing, Request, Response};
-use poplarvale_lib::relay::request::RequestHead;
 use poplarvale_lib::relay::catalog::{Backend, Catalog, Route};
 use poplarvale_lib::relay::demand;
 use poplarvale_lib::relay::quota;
+use poplarvale_lib::relay::request::RequestHead;
 use poplarvale_lib::relay::rollout::Versions;
 use poplarvale_lib::{Code, Ran};
 use poplarvale_platform::{refusal, response_head};
@@ -153,7 +153,10 @@
 }
 
 /// Route and team of a request.
-fn admit<'c>(catalog: &'c Catalog, head: &RequestHead) -> Result<(&'c Route, Option<usize>), Refusal> {
+fn admit<'c>(
+    catalog: &'c Catalog,
+    head: &RequestHead,
+) -> Result<(&'c Route, Option<usize>), Refusal> {
     let route = catalog
         .route(&head.host, &head.path)
         .ok_or(Refusal::bad(Code::NoRoute))?;
--- a/daemon/src/relay/state.rs
+++ b/daemon/src/relay/state.rs
@@ -6,7 +6,6 @@
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 use compact_str::CompactString;
-use poplarvale_lib::relay::endpoint_table::EndpointTable;
 use poplarvale_lib::relay::budget::Budget;
 use poplarvale_lib::relay::catalog::Catalog;
 use poplarvale_lib::relay::clock::Clock;
@@ -14,6 +13,7 @@
 use poplarvale_lib::relay::crash::Crashes;
 use poplarvale_lib::relay::demand::Demand;
 use poplarvale_lib::relay::digest::{Peers, Place};
+use poplarvale_lib::relay::endpoint_table::EndpointTable;
 use poplarvale_lib::relay::follow::Follow;
 use poplarvale_lib::relay::life::Life;
 use poplarvale_lib::relay::quota::{Quota, short};
--- a/daemon/src/relay/status.rs
+++ b/daemon/src/relay/status.rs
@@ -5,8 +5,8 @@
 
 use bytes::BytesMut;
 use poplarvale_lib::http1::Request;
-use poplarvale_lib::relay::endpoint_table::{Endpoint, EndpointState};
 use poplarvale_lib::relay::contact::Span;
+use poplarvale_lib::relay::endpoint_table::{Endpoint, EndpointState};
 use poplarvale_lib::relay::limit::Limit;
 use poplarvale_lib::{Code, Ran};
 use poplarvale_platform::refusal;
--- a/daemon/src/relay/watch.rs
+++ b/daemon/src/relay/watch.rs
@@ -8,8 +8,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use poplarvale_lib::relay::endpoint_table::Changed;
 use poplarvale_lib::relay::digest::WATCHERS;
+use poplarvale_lib::relay::endpoint_table::Changed;
 use poplarvale_lib::relay::follow::{Entry, Heard, News};
 use poplarvale_lib::relay::listing::Listing;
 use poplarvale_lib::relay::quota::short;
--- a/lib/src/relay.rs
+++ b/lib/src/relay.rs
@@ -7,10 +7,7 @@
 //! modules decide. Nothing here reads a socket or a clock.
 
 pub mod admit;
-pub mod request;
-pub mod endpoint_table;
 pub mod budget;
-pub mod prefix_cache;
 pub mod catalog;
 pub mod clock;
 pub mod contact;
@@ -19,6 +16,7 @@
 pub mod digest;
 pub mod duty;
 pub(crate) mod ended;
+pub mod endpoint_table;
 pub mod engine;
 pub mod evidence;
 pub mod fleet;
@@ -26,9 +24,11 @@
 pub mod life;
 pub mod limit;
 pub mod listing;
-pub mod selection;
+pub mod prefix_cache;
 pub mod quota;
+pub mod request;
 pub mod rollout;
+pub mod selection;
 pub mod settings;
 pub mod sse;
 pub mod usage;
--- a/lib/src/relay/demand.rs
+++ b/lib/src/relay/demand.rs
@@ -9,8 +9,8 @@
 
 use compact_str::CompactString;
 
-use super::request::Prompt;
 use super::quota::short;
+use super::request::Prompt;
 
 /// Span over which rates are taken; traffic swings over tens of seconds, and an
 /// endpoint takes a few to start.
--- a/lib/src/relay/endpoint_table.rs
+++ b/lib/src/relay/endpoint_table.rs
@@ -13,12 +13,12 @@
 
 use compact_str::CompactString;
 
-use super::prefix_cache::PrefixCache;
 use super::ended::Ended;
 use super::engine::{Pace, Speed};
 use super::evidence::Evidence;
 use super::limit::{Limit, Said, Sharers};
 use super::listing::Listing;
+use super::prefix_cache::PrefixCache;
 use super::quota::short;
 use crate::{EndpointId, ServiceId, ZoneHash};
 
@@ -232,7 +232,10 @@
             return;
         };
         let row = &self.rows[at];
-        let request = row.in_flight.iter().find(|request| request.number == number);
+        let request = row
+            .in_flight
+            .iter()
+            .find(|request| request.number == number);
         let Some(first_event) = request.and_then(|request| request.first_event) else {
             return;
         };
@@ -252,7 +255,9 @@
                 && row.listing.version != version
                 && row.state != EndpointState::Leaving
         });
-        rows.fold((0, 0), |sum, row| (sum.0 + 1, sum.1 + row.active_requests()))
+        rows.fold((0, 0), |sum, row| {
+            (sum.0 + 1, sum.1 + row.active_requests())
+        })
     }
 
     /// Applies a registry entry; one that is older than the known entry changes nothing.
@@ -374,12 +379,7 @@
 
     /// Applies a load report: load by hash of the endpoint's id. The report of a zone replaces
     /// those of its daemons for as long as it is current.
-    pub fn apply_report(
-        &mut self,
-        reporter: Reporter,
-        mut loads: Vec<(u32, Load)>,
-        now: Instant,
-    ) {
+    pub fn apply_report(&mut self, reporter: Reporter, mut loads: Vec<(u32, Load)>, now: Instant) {
         loads.sort_by_key(|(endpoint, _)| *endpoint);
         self.expire_reports(now);
         match &reporter {
@@ -402,7 +402,10 @@
     /// sorted.
     pub fn zone_load(&self, zone: ZoneHash) -> Vec<(u32, Load)> {
         let local = self.rows.iter().map(|row| (row.hash, row.local_load()));
-        let peers = self.reports.iter().filter(|report| report.is_daemon_of(zone));
+        let peers = self
+            .reports
+            .iter()
+            .filter(|report| report.is_daemon_of(zone));
         let peers = peers.flat_map(|report| report.loads.iter().copied());
         let mut all: Vec<(u32, Load)> = local.chain(peers).collect();
         all.sort_by_key(|row| row.0);
@@ -419,7 +422,8 @@
     }
 
     fn find_report(&self, reporter: &Reporter) -> Result<usize, usize> {
-        self.reports.binary_search_by(|report| report.reporter.cmp(reporter))
+        self.reports
+            .binary_search_by(|report| report.reporter.cmp(reporter))
     }
 
     fn expire_reports(&mut self, now: Instant) {
@@ -542,7 +546,8 @@
         for row in &mut self.rows {
             row.speed.fade();
         }
-        let is_over = |row: &Endpoint| row.state == EndpointState::Leaving && row.in_flight.is_empty();
+        let is_over =
+            |row: &Endpoint| row.state == EndpointState::Leaving && row.in_flight.is_empty();
         for row in self.rows.iter().filter(|row| is_over(row)) {
             self.ended.note(row.listing.clone(), now);
         }
@@ -622,7 +627,10 @@
 
     /// Load from this daemon.
     pub fn local_load(&self) -> Load {
-        let waiting = self.in_flight.iter().filter(|request| request.first_event.is_none());
+        let waiting = self
+            .in_flight
+            .iter()
+            .filter(|request| request.first_event.is_none());
         Load {
             requests: self.in_flight.len() as u32,
             tokens: waiting.map(|request| request.prefill).sum(),
--- a/lib/src/relay/fleet.rs
+++ b/lib/src/relay/fleet.rs
@@ -14,9 +14,9 @@
 
 use std::time::{Duration, Instant};
 
-use super::endpoint_table::{EndpointTable, EndpointState};
 use super::catalog::{Scaling, Service};
 use super::demand::Work;
+use super::endpoint_table::{EndpointState, EndpointTable};
 use super::engine::Pace;
 use crate::{ServiceId, ZoneId};
 
@@ -188,12 +188,18 @@
         // then would take as long again to come back.
         return Totals {
             on_demand: serving.on_demand(),
-            reclaimable: if spot { serving.reclaimable().max(baseline) } else { 0 },
+            reclaimable: if spot {
+                serving.reclaimable().max(baseline)
+            } else {
+                0
+            },
         };
     };
     if !spot {
         return Totals {
-            on_demand: (need * (ON_DEMAND_FACTOR + RECLAIMABLE_FACTOR)).max(MIN_ENDPOINTS).round() as u32,
+            on_demand: (need * (ON_DEMAND_FACTOR + RECLAIMABLE_FACTOR))
+                .max(MIN_ENDPOINTS)
+                .round() as u32,
             reclaimable: 0,
         };
     }
@@ -315,7 +321,10 @@
 
     /// Updates and returns the on-demand endpoints seen of a service.
     fn baseline(&mut self, service: &ServiceId, serving: &Serving, now: Instant) -> Baseline {
-        let at = self.baselines.iter().position(|row| row.service == *service);
+        let at = self
+            .baselines
+            .iter()
+            .position(|row| row.service == *service);
         let at = at.unwrap_or_else(|| {
             self.baselines.push(Baseline {
                 service: service.clone(),
@@ -367,7 +376,11 @@
                 .and_then(|row| row.need)
         } else {
             let pace = table.pace(&service.name);
-            self.level(&service.name, endpoints_needed(work, engine.slots, pace), now)
+            self.level(
+                &service.name,
+                endpoints_needed(work, engine.slots, pace),
+                now,
+            )
         };
         let baseline = self.baseline(&service.name, &serving, now);
         let total = totals(scaling, level, &serving, baseline.total());
@@ -389,8 +402,12 @@
             } else {
                 reclaimable
             };
-            let reclaimable = reclaimable.min(scaling.most.saturating_sub(on_demand.max(held_on_demand)));
-            for (spot, wanted, held) in [(true, reclaimable, held_reclaimable), (false, on_demand, held_on_demand)] {
+            let reclaimable =
+                reclaimable.min(scaling.most.saturating_sub(on_demand.max(held_on_demand)));
+            for (spot, wanted, held) in [
+                (true, reclaimable, held_reclaimable),
+                (false, on_demand, held_on_demand),
+            ] {
                 if wanted != held {
                     counts.push(DesiredCount {
                         service: service.name.clone(),
--- a/lib/src/relay/quota.rs
+++ b/lib/src/relay/quota.rs
@@ -46,8 +46,8 @@
 use self::steps::{StepId, Steps};
 use self::zones::Zone;
 pub use self::zones::{ZoneSummary, ZoneUse};
-use super::request::RequestHead;
 use super::catalog::{Team, Unit};
+use super::request::RequestHead;
 use crate::{CustomerId, ZoneHash};
 
 /// Steps in which the window moves on. A step counts until all of it is out of the
--- a/lib/src/relay/selection.rs
+++ b/lib/src/relay/selection.rs
@@ -156,7 +156,9 @@
             }
         }
         None if full => Err(SelectError::Full),
-        None => Err(limited.map_or(SelectError::None, |wait| SelectError::Busy(wait.min(LATEST)))),
+        None => Err(limited.map_or(SelectError::None, |wait| {
+            SelectError::Busy(wait.min(LATEST))
+        })),
     }
 }
 
--- a/lib/tests/relay_engines.rs
+++ b/lib/tests/relay_engines.rs
@@ -1,9 +1,9 @@
-//! A table of engines that are all alike.
+//! An endpoint table of identical engines.
 
 use poplarvale_lib::relay::endpoint_table::EndpointTable;
 use poplarvale_lib::relay::listing::Listing;
 
-/// Engines `e0` and on of the service `pool`, in one zone.
+/// Engines `e0`, `e1` and so on of the service `pool`, in one zone.
 pub(crate) fn engines(count: u32, slots: u32) -> EndpointTable {
     let mut table = EndpointTable::default();
     for number in 0..count {
--- a/lib/tests/test_relay_admit.rs
+++ b/lib/tests/test_relay_admit.rs
@@ -3,10 +3,10 @@
 use std::time::{Duration, Instant};
 
 use poplarvale_lib::relay::admit::Limits;
-use poplarvale_lib::relay::request::Prompt;
 use poplarvale_lib::relay::catalog::{Engine, Service};
-use poplarvale_lib::relay::selection::{SelectError, Criteria, book, choose};
+use poplarvale_lib::relay::request::Prompt;
 use poplarvale_lib::relay::rollout::Versions;
+use poplarvale_lib::relay::selection::{Criteria, SelectError, book, choose};
 
 use crate::relay_engines::engines;
 
--- a/lib/tests/test_relay_contact.rs
+++ b/lib/tests/test_relay_contact.rs
@@ -2,8 +2,8 @@
 
 use std::time::{Duration, Instant};
 
-use poplarvale_lib::relay::endpoint_table::{EndpointTable, REREGISTER_GRACE};
 use poplarvale_lib::relay::contact::{Contact, Span};
+use poplarvale_lib::relay::endpoint_table::{EndpointTable, REREGISTER_GRACE};
 
 use crate::test_relay_endpoint_table::{listing, usable};
 
--- a/lib/tests/test_relay_endpoint_table.rs
+++ b/lib/tests/test_relay_endpoint_table.rs
@@ -1,8 +1,10 @@
-//! The table of endpoints while the registry changes, is away and comes back.
+//! The endpoint table while the registry changes, is unavailable and returns.
 
 use std::time::{Duration, Instant};
 
-use poplarvale_lib::relay::endpoint_table::{EndpointTable, Changed, Load, REREGISTER_GRACE, EndpointState, Reporter};
+use poplarvale_lib::relay::endpoint_table::{
+    Changed, EndpointState, EndpointTable, Load, REREGISTER_GRACE, Reporter,
+};
 use poplarvale_lib::relay::listing::Listing;
 use poplarvale_lib::relay::quota::short;
 
@@ -25,8 +27,8 @@
     table.get(id).is_some_and(|row| row.is_usable(now))
 }
 
-/// An endpoint says that it leaves. What is sent to it later may be cut off when it
-/// ends.
+/// An endpoint's entry is marked as leaving. A request that is sent to it later may be cut off
+/// when its process ends.
 #[test]
 fn a_leaving_endpoint_gets_nothing_from_that_instant() {
     let now = Instant::now();
@@ -41,9 +43,9 @@
     assert!(!usable(&table, "a", now));
 }
 
-/// The registry was away so long that the entries of living endpoints lapsed, and
-/// the first list after its return is empty. If they were dropped at once, every
-/// caller would be refused though all endpoints live.
+/// The registry was unavailable for so long that the entries of running endpoints expired, and
+/// the first list after its return is empty. If the endpoints were dropped at once, every
+/// caller would be rejected though all endpoints run.
 #[test]
 fn entries_missing_right_after_an_outage_stay_in_use_for_a_while() {
     let now = Instant::now();
@@ -63,11 +65,11 @@
     assert!(!usable(&table, "b", end));
 }
 
-/// An endpoint's entry is still missing when its time is over. It must get nothing from
-/// that moment on, not only from the next time that the table is cleaned: half a second
-/// later is past the time that a leaving endpoint goes on serving.
+/// An endpoint's entry is still missing when its grace is over. The endpoint must get nothing
+/// from that moment on, not only after the next cleanup of the table: that may be half a second
+/// later, when an endpoint that left no longer serves.
 #[test]
-fn doubt_is_over_at_its_moment() {
+fn a_doubtful_endpoint_gets_nothing_once_its_grace_is_over() {
     let now = Instant::now();
     let mut table = EndpointTable::default();
     table.put(listing("a"));
@@ -77,10 +79,10 @@
     assert!(!usable(&table, "a", now + REREGISTER_GRACE));
 }
 
-/// An entry is removed while the registry is well: the endpoint leaves without
-/// saying so first.
+/// An entry is removed while the registry is available, without having been marked as leaving
+/// before. The endpoint has left.
 #[test]
-fn an_entry_that_is_removed_in_calm_times_is_a_leaving_endpoint() {
+fn an_endpoint_leaves_when_its_entry_is_removed_from_an_available_registry() {
     let now = Instant::now();
     let mut table = EndpointTable::default();
     table.put(listing("a"));
@@ -90,27 +92,27 @@
     assert!(!usable(&table, "a", later));
 }
 
-/// An endpoint crashes and starts again under the id that it had. What was learned
-/// of its first life must not be taken for its second.
+/// An endpoint crashes and starts again under the same id. Failures of its former incarnation
+/// must not count for the new one.
 #[test]
-fn another_life_under_the_same_id_begins_anew() {
+fn a_restart_under_the_same_id_resets_what_was_learned() {
     let now = Instant::now();
     let mut table = EndpointTable::default();
     table.put(listing("a"));
-    let row = table.get_mut("a").expect("it is there");
+    let row = table.get_mut("a").expect("the endpoint is in the table");
     for _ in 0..8 {
         row.evidence.bad(now);
     }
     assert!(!usable(&table, "a", now));
-    let born = Listing {
+    let restarted = Listing {
         born: Some(2),
         ..listing("a")
     };
-    assert_eq!(table.put(born), Changed::Joined);
+    assert_eq!(table.put(restarted), Changed::Joined);
     assert!(usable(&table, "a", now));
 }
 
-/// Another daemon sees an endpoint leave before this one looks at the registry.
+/// Another daemon sees an endpoint leave before this daemon reads the registry.
 #[test]
 fn an_endpoint_that_another_daemon_saw_leave_gets_nothing() {
     let now = Instant::now();
@@ -125,9 +127,10 @@
     );
 }
 
-/// An endpoint's write gets no answer, so it writes on, and says that it leaves. The
-/// store carries the first write out seconds later, and the entry reads as ready again.
-/// Taken at its word, the endpoint gets requests until it ends, which then break off.
+/// A write of an endpoint gets no answer, so the endpoint writes again, and then writes that it
+/// is leaving. The store applies the first write seconds later, so that the entry reads as
+/// ready again. If it were applied here, the endpoint would get requests until it ends, and
+/// these would be cut off.
 #[test]
 fn an_older_entry_that_comes_late_makes_no_endpoint_ready_again() {
     let now = Instant::now();
@@ -148,10 +151,10 @@
     assert!(usable(&table, "a", now));
 }
 
-/// An endpoint is restarted under its id and leaves, and a late entry of the life before
-/// says that it is ready.
+/// An endpoint is restarted under the same id and leaves, and a late entry of its former
+/// incarnation reads as ready.
 #[test]
-fn a_late_entry_of_a_former_life_is_not_taken() {
+fn a_late_entry_of_a_former_incarnation_is_ignored() {
     let now = Instant::now();
     let mut table = EndpointTable::default();
     let entry = |born, count, leaving| Listing {
@@ -172,10 +175,10 @@
     (short(id), Load { requests, tokens })
 }
 
-/// Watchers tell what their zone has in progress as a whole, and its daemons tell theirs
-/// more seldom. Counted twice, an endpoint would seem full that has room.
+/// Watchers report the load of their whole zone, and its daemons report their own load less
+/// often. If the load counted twice, an endpoint that has room would seem full.
 #[test]
-fn what_a_zone_has_in_progress_counts_once() {
+fn load_of_a_zone_counts_once() {
     let now = Instant::now();
     let mut table = EndpointTable::default();
     table.put(listing("a"));
@@ -191,23 +194,23 @@
     assert_eq!(busy(&table), Some(6));
     table.apply_report(Reporter::Zone(7), vec![load("a", 4)], now);
     assert_eq!(busy(&table), Some(4));
-    // The watchers of that zone are lost; its daemons stand for themselves again.
+    // The watchers of that zone are lost, so the reports of its daemons count again.
     let later = now + Duration::from_secs(3);
     table.apply_report(daemon("d2"), vec![load("a", 1)], later);
     assert_eq!(busy(&table), Some(1));
 }
 
-/// An endpoint joins after others have begun to send to it. Its load must not be missing,
-/// nor be taken off later without having been added.
+/// An endpoint joins after other daemons have begun to send to it. Their load must not be
+/// missing, nor be subtracted later without having been added.
 #[test]
-fn what_was_told_before_an_endpoint_joined_counts() {
+fn load_reported_before_an_endpoint_joined_counts() {
     let now = Instant::now();
     let mut table = EndpointTable::default();
-    let teller = Reporter::Daemon(7, "d1".into());
-    table.apply_report(teller.clone(), vec![load("a", 3)], now);
+    let reporter = Reporter::Daemon(7, "d1".into());
+    table.apply_report(reporter.clone(), vec![load("a", 3)], now);
     table.put(listing("a"));
-    let others = |table: &EndpointTable| table.get("a").map(|row| row.remote_load);
-    assert_eq!(others(&table), Some(load("a", 3).1));
-    table.apply_report(teller, vec![], now);
-    assert_eq!(others(&table), Some(Load::default()));
+    let remote = |table: &EndpointTable| table.get("a").map(|row| row.remote_load);
+    assert_eq!(remote(&table), Some(load("a", 3).1));
+    table.apply_report(reporter, vec![], now);
+    assert_eq!(remote(&table), Some(Load::default()));
 }
--- a/lib/tests/test_relay_fleet.rs
+++ b/lib/tests/test_relay_fleet.rs
@@ -1,12 +1,12 @@
-//! Orders of endpoints under traffic that swings and zones that are reclaimed.
+//! Orders of endpoints while traffic swings and zones are reclaimed.
 
 use std::time::{Duration, Instant};
 
-use poplarvale_lib::relay::endpoint_table::{EndpointTable, Endpoint};
 use poplarvale_lib::relay::catalog::{Engine, Scaling, Service};
 use poplarvale_lib::relay::demand::Work;
+use poplarvale_lib::relay::endpoint_table::{Endpoint, EndpointTable};
 use poplarvale_lib::relay::engine::Pace;
-use poplarvale_lib::relay::fleet::{Orders, DesiredCount, endpoints_needed};
+use poplarvale_lib::relay::fleet::{DesiredCount, Orders, endpoints_needed};
 use poplarvale_lib::relay::listing::Listing;
 
 const ZONES: [&str; 4] = ["espoo", "hanko", "kotka", "porkkala"];
@@ -37,10 +37,10 @@
     }
 }
 
-fn table(dear: u32, cheap: u32) -> EndpointTable {
+fn table(on_demand: u32, reclaimable: u32) -> EndpointTable {
     let mut table = EndpointTable::default();
     for (zone, at) in ZONES.iter().zip(0_u32..) {
-        for number in 0..dear + cheap {
+        for number in 0..on_demand + reclaimable {
             table.put(Listing {
                 id: format!("{zone}-{number}").into(),
                 service: "pool".into(),
@@ -49,7 +49,7 @@
                 version: "v1".into(),
                 slots: 64,
                 leaving: false,
-                spot: number >= dear,
+                spot: number >= on_demand,
                 born: None,
                 count: 1,
             });
@@ -58,33 +58,33 @@
     table
 }
 
-/// The endpoints of the day's begin stand and nobody asks anything yet. Keeping all of
-/// the dear ones beside as many cheap ones would pay twice for the same places.
+/// The on-demand endpoints that the operators set up run, and no requests come yet. If all of
+/// them were kept beside as many reclaimable ones, the same capacity would be paid for twice.
 #[test]
-fn some_dear_endpoints_make_room_for_cheap_ones_before_the_first_request() {
+fn some_on_demand_endpoints_are_given_up_for_reclaimable_ones_before_the_first_request() {
     let mut orders = Orders::default();
     let start = Instant::now();
     let none = Work::default();
     let at = |seconds| start + Duration::from_secs(seconds);
     run(&mut orders, &table(1, 0), none, start, 1);
-    // The list is still being filled: nothing is given up.
-    let wishes = run(&mut orders, &table(3, 3), none, at(1), 1);
-    assert!(wishes.is_empty(), "{wishes:?}");
-    let wishes = run(&mut orders, &table(3, 3), none, at(5), 1);
-    assert_eq!(total(&wishes, false), 8);
-    assert!(wishes.iter().all(|wish| !wish.spot));
-    // Callers come, and their need is not known yet: nothing more is given up.
-    let wishes = run(&mut orders, &table(2, 3), work(), at(6), 1);
-    assert!(wishes.is_empty(), "{wishes:?}");
+    // The list is still being read, so nothing is given up.
+    let counts = run(&mut orders, &table(3, 3), none, at(1), 1);
+    assert!(counts.is_empty(), "{counts:?}");
+    let counts = run(&mut orders, &table(3, 3), none, at(5), 1);
+    assert_eq!(total(&counts, false), 8);
+    assert!(counts.iter().all(|desired| !desired.spot));
+    // Requests come, and the need is not known yet, so nothing more is given up.
+    let counts = run(&mut orders, &table(2, 3), work(), at(6), 1);
+    assert!(counts.is_empty(), "{counts:?}");
 }
 
-/// The daemon that ordered is killed in the middle of the day, and the next one knows
-/// no need yet. Cheap endpoints that it gave up would be missing for seconds.
+/// The duty holder is killed in the middle of the day, and the next one does not know the need
+/// yet. Reclaimable endpoints that it gave up would be missing for seconds.
 #[test]
 fn a_new_holder_gives_no_endpoint_up_before_it_knows_the_need() {
     let mut orders = Orders::default();
-    let wishes = run(&mut orders, &table(1, 3), work(), Instant::now(), 1);
-    assert!(wishes.is_empty(), "{wishes:?}");
+    let counts = run(&mut orders, &table(1, 3), work(), Instant::now(), 1);
+    assert!(counts.is_empty(), "{counts:?}");
 }
 
 /// Work that keeps four engines fully busy.
@@ -103,61 +103,69 @@
     }
 }
 
-fn run(orders: &mut Orders, table: &EndpointTable, work: Work, from: Instant, seconds: u64) -> Vec<DesiredCount> {
+fn run(
+    orders: &mut Orders,
+    table: &EndpointTable,
+    work: Work,
+    from: Instant,
+    seconds: u64,
+) -> Vec<DesiredCount> {
     let zones = ZONES.map(Into::into);
-    let mut wishes = Vec::new();
+    let mut counts = Vec::new();
     for step in 0..seconds * 4 {
         let now = from + Duration::from_millis(step * 250);
-        wishes = orders.desired_counts(table, &service(), &zones, work, now);
+        counts = orders.desired_counts(table, &service(), &zones, work, now);
     }
-    wishes
+    counts
 }
 
-fn total(wishes: &[DesiredCount], spot: bool) -> u32 {
-    let kind = wishes.iter().filter(|wish| wish.spot == spot);
-    kind.map(|wish| wish.count).sum()
+fn total(counts: &[DesiredCount], spot: bool) -> u32 {
+    let kind = counts.iter().filter(|desired| desired.spot == spot);
+    kind.map(|desired| desired.count).sum()
 }
 
-/// Nothing is asked yet. What the operators have stays, and cheap endpoints are
-/// ordered, as a wave of reclaims may come right after the start.
+/// No requests come yet. The operators' endpoints stay, and reclaimable ones are ordered, as a
+/// wave of reclaims may come right after the start.
 #[test]
-fn before_the_first_request_only_cheap_endpoints_are_ordered() {
+fn before_the_first_request_only_reclaimable_endpoints_are_ordered() {
     let now = Instant::now();
-    let wishes = run(
+    let counts = run(
         &mut Orders::default(),
         &table(2, 0),
         Work::default(),
         now,
         1,
     );
-    assert!(wishes.iter().all(|wish| wish.spot));
-    assert_eq!(total(&wishes, true), 8);
+    assert!(counts.iter().all(|desired| desired.spot));
+    assert_eq!(total(&counts, true), 8);
 }
 
-/// All zones are reclaimed one after the other, and nothing is to be had meanwhile.
-/// The dear endpoints that stand must carry the work alone, so they are not given up.
+/// All zones are reclaimed one after the other, and no endpoints are available meanwhile.
+/// The remaining on-demand endpoints have all the work, so they are not given up.
 #[test]
-fn dear_endpoints_are_kept_while_cheap_ones_are_missing() {
+fn on_demand_endpoints_are_kept_while_reclaimable_ones_are_missing() {
     let now = Instant::now();
-    let wishes = run(&mut Orders::default(), &table(2, 0), work(), now, 20);
-    let given_up = wishes.iter().filter(|wish| !wish.spot);
-    let left: u32 = 8 - given_up.map(|wish| 2 - wish.count.min(2)).sum::<u32>();
+    let counts = run(&mut Orders::default(), &table(2, 0), work(), now, 20);
+    let given_up = counts.iter().filter(|desired| !desired.spot);
+    let left: u32 = 8 - given_up
+        .map(|desired| 2 - desired.count.min(2))
+        .sum::<u32>();
     assert!(left >= 6, "{left} of 8 would be left for the work of 4");
 }
 
-/// Cheap endpoints stand in every zone. The dear ones that the work does not need
-/// any more cost five times as much and go.
+/// Every zone has reclaimable endpoints. On-demand ones that the work no longer needs cost five
+/// times as much and are given up.
 #[test]
-fn dear_endpoints_go_once_the_cheap_ones_stand() {
+fn on_demand_endpoints_are_given_up_once_there_are_reclaimable_ones() {
     let now = Instant::now();
-    let wishes = run(&mut Orders::default(), &table(2, 2), work(), now, 20);
-    let dear: Vec<&DesiredCount> = wishes.iter().filter(|wish| !wish.spot).collect();
-    assert_eq!(dear.len(), 4);
-    assert!(dear.iter().all(|wish| wish.count <= 1));
+    let counts = run(&mut Orders::default(), &table(2, 2), work(), now, 20);
+    let on_demand: Vec<&DesiredCount> = counts.iter().filter(|desired| !desired.spot).collect();
+    assert_eq!(on_demand.len(), 4);
+    assert!(on_demand.iter().all(|desired| desired.count <= 1));
 }
 
 /// Traffic swings by a third. Following each swing would start and drain endpoints
-/// all day, each of which begins with an empty cache.
+/// all day, each of which starts with an empty cache.
 #[test]
 fn a_swing_of_the_traffic_changes_no_order() {
     let now = Instant::now();
@@ -172,13 +180,13 @@
     assert_eq!(before, after);
 }
 
-/// A refused order is not repeated at once: each call is paid for, and the platform
-/// limits them.
+/// A rejected order is not repeated at once: each call costs money, and the platform limits the
+/// rate of calls.
 #[test]
-fn a_refused_order_waits_longer_each_time() {
+fn a_rejected_order_is_retried_after_longer_pauses() {
     let now = Instant::now();
     let mut orders = Orders::default();
-    let wish = DesiredCount {
+    let desired = DesiredCount {
         service: "pool".into(),
         zone: "hanko".into(),
         spot: true,
@@ -188,20 +196,20 @@
     let mut calls = 0;
     for step in 0..400 {
         let at = now + Duration::from_millis(step * 50);
-        if orders.is_due(&wish, at) {
+        if orders.is_due(&desired, at) {
             calls += 1;
-            orders.record(&wish, false, boot, at);
+            orders.record(&desired, false, boot, at);
         }
     }
     assert!(calls <= 7, "{calls} calls in 20 s");
 }
 
-/// The cheap endpoints of three zones are reclaimed, and no others are to be had. What
-/// is left reads every prompt's beginning anew beside the usual work, and callers wait
-/// for seconds unless dear ones are ordered at the notice. They go where the cheap ones
-/// were, so that none of those that stand elsewhere makes room for them.
+/// The reclaimable endpoints of three zones are reclaimed, and no others are available. The
+/// remaining ones prefill every prompt prefix again beside the usual work, and callers wait for
+/// seconds unless on-demand endpoints are ordered at the notice. These go to the zones that were
+/// reclaimed, so that no reclaimable endpoint of another zone is given up for them.
 #[test]
-fn dear_endpoints_replace_those_that_are_reclaimed() {
+fn on_demand_endpoints_replace_reclaimed_ones() {
     let now = Instant::now();
     let mut orders = Orders::default();
     let whole = table(0, 3);
@@ -211,28 +219,34 @@
     for row in whole.rows().iter().filter(stay) {
         left.put(row.listing.clone());
     }
-    let wishes = run(&mut orders, &left, work(), now + Duration::from_secs(8), 1);
-    // Three stand, and the work keeps four busy.
-    assert!(3 + total(&wishes, false) >= 6, "{wishes:?}");
-    let hanko: Vec<&DesiredCount> = wishes.iter().filter(|wish| wish.zone == "hanko").collect();
+    let counts = run(&mut orders, &left, work(), now + Duration::from_secs(8), 1);
+    // Three endpoints are left, and the work keeps four busy.
+    assert!(3 + total(&counts, false) >= 6, "{counts:?}");
+    let hanko: Vec<&DesiredCount> = counts
+        .iter()
+        .filter(|desired| desired.zone == "hanko")
+        .collect();
     assert!(
-        hanko.iter().all(|wish| !wish.spot || wish.count >= 3),
-        "{wishes:?}"
+        hanko
+            .iter()
+            .all(|desired| !desired.spot || desired.count >= 3),
+        "{counts:?}"
     );
 }
 
-/// The daemon that orders is killed in the first seconds of the traffic, before the need
-/// was known, and a wave of reclaims begins. The next holder has heard the rates of all
-/// daemons for long enough, and orders without waiting for as long again.
+/// The duty holder is killed in the first seconds of the traffic, before the need is known, and
+/// a wave of reclaims begins. The next holder has received the rates of all daemons for long
+/// enough, and orders without waiting for as long again.
 #[test]
-fn a_new_holder_orders_at_once_what_is_asked_for_long() {
+fn a_new_holder_orders_at_once_if_it_knows_the_rates() {
     let start = Instant::now();
-    let taken = start + Duration::from_secs(5);
-    let dear = |mut orders: Orders| total(&run(&mut orders, &table(0, 1), work(), taken, 1), false);
+    let takeover = start + Duration::from_secs(5);
+    let on_demand =
+        |mut orders: Orders| total(&run(&mut orders, &table(0, 1), work(), takeover, 1), false);
     assert_eq!(
-        dear(Orders::new(Some(taken))),
+        on_demand(Orders::new(Some(takeover))),
         0,
-        "the rate is not whole yet"
+        "the rate is not known yet"
     );
-    assert!(dear(Orders::new(Some(start))) >= 2);
+    assert!(on_demand(Orders::new(Some(start))) >= 2);
 }
--- a/lib/tests/test_relay_selection.rs
+++ b/lib/tests/test_relay_selection.rs
@@ -1,15 +1,15 @@
-//! Which endpoint gets a request, under loads that plain counting serves badly.
+//! Endpoint selection under loads for which the fewest requests are a bad criterion.
 
 use std::time::{Duration, Instant};
 
-use poplarvale_lib::relay::request::Prompt;
-use poplarvale_lib::relay::endpoint_table::{EndpointTable, InFlight, Load, Reporter};
 use poplarvale_lib::relay::catalog::{Engine, Service};
+use poplarvale_lib::relay::endpoint_table::{EndpointTable, InFlight, Load, Reporter};
 use poplarvale_lib::relay::evidence::Evidence;
 use poplarvale_lib::relay::listing::Listing;
-use poplarvale_lib::relay::selection::{Choice, SelectError, Criteria, book, choose};
 use poplarvale_lib::relay::quota::short;
+use poplarvale_lib::relay::request::Prompt;
 use poplarvale_lib::relay::rollout::Versions;
+use poplarvale_lib::relay::selection::{Choice, Criteria, SelectError, book, choose};
 
 use crate::relay_engines::engines;
 
@@ -34,14 +34,14 @@
     }
 }
 
-struct Trial {
+struct Fixture {
     table: EndpointTable,
     service: Service,
     number: u64,
     now: Instant,
 }
 
-impl Trial {
+impl Fixture {
     fn new(count: u32) -> Self {
         Self {
             table: engines(count, 4),
@@ -52,10 +52,10 @@
     }
 
     fn choose(&self, prompt: &Prompt) -> Result<Choice, SelectError> {
-        choose(&self.table, &self.wanted(prompt))
+        choose(&self.table, &self.criteria(prompt))
     }
 
-    fn wanted<'r>(&'r self, prompt: &'r Prompt) -> Criteria<'r> {
+    fn criteria<'r>(&'r self, prompt: &'r Prompt) -> Criteria<'r> {
         Criteria {
             versions: &Versions::Any,
             service: &self.service,
@@ -70,10 +70,10 @@
     }
 
     fn send(&mut self, prompt: &Prompt) -> Choice {
-        let choice = self.choose(prompt).expect("there is room");
+        let choice = self.choose(prompt).expect("an endpoint has room");
         self.number += 1;
         let service = self.service.clone();
-        let wanted = Criteria {
+        let criteria = Criteria {
             versions: &Versions::Any,
             service: &service,
             prompt: Some(prompt),
@@ -84,117 +84,123 @@
             seed: 0,
             now: self.now,
         };
-        book(&mut self.table, &wanted, &choice, self.number);
+        book(&mut self.table, &criteria, &choice, self.number);
         choice
     }
 }
 
-/// A long plan is being read at one engine. Counting requests, both engines have
-/// one, and a short question would wait half a second behind the plan.
+/// One engine prefills a long prompt. By number of requests, both engines are equal after a
+/// short prompt was sent to the other, and the next short one would wait half a second behind
+/// the long prompt.
 #[test]
-fn a_short_question_goes_past_a_long_prompt() {
-    let mut trial = Trial::new(2);
-    let long = trial.send(&prompt(1, 100, 40_000));
-    let short = trial.send(&prompt(2, 100, 200));
+fn a_short_prompt_avoids_the_engine_with_a_long_one() {
+    let mut fixture = Fixture::new(2);
+    let long = fixture.send(&prompt(1, 100, 40_000));
+    let short = fixture.send(&prompt(2, 100, 200));
     assert_ne!(long.id, short.id);
-    let next = trial.send(&prompt(3, 100, 200));
+    let next = fixture.send(&prompt(3, 100, 200));
     assert_eq!(short.id, next.id);
 }
 
-/// Requests of one session share the beginning of their prompts. Read again at
-/// every engine, it would take twice the time.
+/// Requests of one session share a prefix of their prompts. If every engine had to prefill it
+/// again, that would take twice the time.
 #[test]
-fn a_session_stays_where_its_beginning_is_held() {
-    let mut trial = Trial::new(6);
-    let first = trial.send(&prompt(5, 8000, 500));
-    let began = trial.now + Duration::from_millis(200);
-    trial.table.record_first_event(&first.id, 1, began);
-    if let Some(row) = trial.table.get_mut(&first.id) {
+fn a_session_stays_where_its_prefix_is_cached() {
+    let mut fixture = Fixture::new(6);
+    let first = fixture.send(&prompt(5, 8000, 500));
+    let began = fixture.now + Duration::from_millis(200);
+    fixture.table.record_first_event(&first.id, 1, began);
+    if let Some(row) = fixture.table.get_mut(&first.id) {
         row.remove_request(1);
     }
-    let again = trial.choose(&prompt(5, 8000, 700)).expect("there is room");
+    let again = fixture
+        .choose(&prompt(5, 8000, 700))
+        .expect("an endpoint has room");
     assert_eq!(again.id, first.id);
-    assert!(again.own <= 700.0);
+    assert!(again.prefill <= 700.0);
 }
 
-/// One session gets much of the traffic. Kept at its engine at all costs, its
-/// requests would wait while other engines are idle.
+/// One session has much of the traffic. If all its requests were sent to the same engine, they
+/// would wait while other engines are idle.
 #[test]
-fn a_session_in_great_demand_is_spread() {
-    let mut trial = Trial::new(4);
+fn a_busy_session_is_spread_over_engines() {
+    let mut fixture = Fixture::new(4);
     let mut used = Vec::new();
     for _ in 0..8 {
-        used.push(trial.send(&prompt(5, 2000, 6000)).id);
+        used.push(fixture.send(&prompt(5, 2000, 6000)).id);
     }
     used.sort();
     used.dedup();
     assert!(used.len() >= 3, "{used:?}");
 }
 
-/// Daemons that do not hear each other choose the same engine for a new session,
-/// so its beginning is read once.
+/// Daemons that receive nothing from each other choose the same engine for a new session, so
+/// that its prefix is prefilled once.
 #[test]
-fn daemons_agree_on_an_engine_without_a_word() {
-    let one = Trial::new(9).choose(&prompt(11, 5000, 500));
-    let other = Trial::new(9).choose(&prompt(11, 5000, 900));
+fn daemons_agree_on_an_engine_without_messages() {
+    let one = Fixture::new(9).choose(&prompt(11, 5000, 500));
+    let other = Fixture::new(9).choose(&prompt(11, 5000, 900));
     assert_eq!(one.map(|choice| choice.id), other.map(|choice| choice.id));
 }
 
-/// Other daemons fill an engine. One that looks only at its own requests would
-/// send there too, and be refused.
+/// Other daemons fill an engine. A daemon that counts only its own requests would send to that
+/// engine too, and be rejected.
 #[test]
-fn what_other_daemons_sent_counts() {
-    let mut trial = Trial::new(2);
+fn load_from_other_daemons_counts() {
+    let mut fixture = Fixture::new(2);
     let full = Load {
         requests: 4,
         tokens: 9000.0,
     };
-    trial.table.apply_report(
+    fixture.table.apply_report(
         Reporter::Daemon(1, "b".into()),
         vec![(short("e0"), full)],
-        trial.now,
+        fixture.now,
     );
     for session in 20..24 {
-        assert_eq!(trial.send(&prompt(session, 100, 100)).id, "e1");
+        assert_eq!(fixture.send(&prompt(session, 100, 100)).id, "e1");
     }
-    assert_eq!(trial.choose(&prompt(30, 100, 100)), Err(SelectError::Full));
+    assert_eq!(
+        fixture.choose(&prompt(30, 100, 100)),
+        Err(SelectError::Full)
+    );
 }
 
-/// An engine turns ten times slower while it says that it is well. Its first
-/// answers show it, and the next requests go elsewhere.
+/// An engine becomes ten times slower while its health check passes. Its first answers show
+/// that, and the next requests go to other engines.
 #[test]
-fn a_slow_engine_is_left_for_the_others() {
-    let mut trial = Trial::new(3);
+fn a_slow_engine_is_avoided() {
+    let mut fixture = Fixture::new(3);
     let slow = "e1";
     for round in 0..6 {
-        let flight = InFlight {
+        let request = InFlight {
             number: 900 + round,
-            own: 1000.0,
+            prefill: 1000.0,
             ahead: 0.0,
-            memory: 1000,
-            sent: trial.now,
-            began: None,
+            kv_tokens: 1000,
+            sent: fixture.now,
+            first_event: None,
         };
-        let came = trial.now + Duration::from_millis(450);
-        if let Some(row) = trial.table.get_mut(slow) {
-            row.add_request(flight);
+        let came = fixture.now + Duration::from_millis(450);
+        if let Some(row) = fixture.table.get_mut(slow) {
+            row.add_request(request);
         }
-        trial.table.record_first_event(slow, 900 + round, came);
-        if let Some(row) = trial.table.get_mut(slow) {
+        fixture.table.record_first_event(slow, 900 + round, came);
+        if let Some(row) = fixture.table.get_mut(slow) {
             row.remove_request(900 + round);
         }
-        trial.now += Duration::from_millis(round);
+        fixture.now += Duration::from_millis(round);
     }
     for session in 40..46 {
-        let choice = trial.send(&prompt(session, 100, 1000));
+        let choice = fixture.send(&prompt(session, 100, 1000));
         assert_ne!(choice.id, slow);
     }
 }
 
-/// An engine fails its requests while its health check passes. It is left out, and
-/// comes back by a trial with one real request, not by all of them at once.
+/// An engine fails its requests while its health check passes. It is excluded, and comes back
+/// after a trial with one real request, not with all requests at once.
 #[test]
-fn a_failing_endpoint_is_left_out_and_tried_with_one_request() {
+fn a_failing_endpoint_is_excluded_and_tried_with_one_request() {
     let now = Instant::now();
     let mut evidence = Evidence::default();
     for _ in 0..6 {
@@ -209,10 +215,10 @@
     assert!(evidence.is_fit(later));
 }
 
-/// Some services fail 14 of 100 requests by themselves. Leaving their endpoints out
-/// for it would leave none.
+/// Some services usually fail 14 of 100 requests. If their endpoints were excluded for that,
+/// none would be left.
 #[test]
-fn a_few_failures_leave_no_endpoint_out() {
+fn a_few_failures_exclude_no_endpoint() {
     let now = Instant::now();
     let mut evidence = Evidence::default();
     for at in 0..700 {
@@ -225,10 +231,10 @@
     }
 }
 
-/// Plain endpoints of six zones as many daemons see them. Each daemon knows what it sent
-/// itself, what those of its zone had in progress at their last words, and the same of each
-/// other zone as a whole.
-struct Herd {
+/// Simulation of many daemons that send plain requests to endpoints of six zones. Each daemon
+/// knows its own load, the last reported load of each daemon of its zone, and that of each other
+/// zone as a whole.
+struct Simulation {
     service: Service,
     start: Instant,
     tables: Vec<EndpointTable>,
@@ -236,16 +242,17 @@
     ends: Vec<Vec<Instant>>,
     random: fastrand::Rng,
     number: u64,
-    /// Requests in progress: their end, who sent them and the endpoint's number.
-    sent: Vec<(Instant, usize, usize, u64)>,
+    /// Requests in progress: end, number of the daemon, number of the endpoint, and number of
+    /// the request.
+    in_flight: Vec<(Instant, usize, usize, u64)>,
 }
 
-impl Herd {
+impl Simulation {
     const ZONES: usize = 6;
     const DAEMONS: usize = 96;
     const SLOTS: usize = 6;
-    /// Milliseconds between two words of a daemon.
-    const PERIOD: u64 = 264;
+    /// Milliseconds between two reports of a daemon.
+    const PERIOD_MS: u64 = 264;
 
     fn new() -> Self {
         let mut table = EndpointTable::default();
@@ -273,39 +280,40 @@
             ends: vec![Vec::new(); Self::ZONES],
             random: fastrand::Rng::with_seed(3),
             number: 0,
-            sent: Vec::new(),
+            in_flight: Vec::new(),
         }
     }
 
-    /// Tells what one daemon has in progress to its zone, and if it is the first of its
-    /// zone what that has as a whole to the others.
-    fn tell(&mut self, from: usize, now: Instant) {
+    /// Reports the load of one daemon to the daemons of its zone, and, if it is the first daemon
+    /// of its zone, the load of the zone to all others.
+    fn report(&mut self, from: usize, now: Instant) {
         let zone = from % Self::ZONES;
-        let own = self.tables[from].rows().iter();
-        let own: Vec<_> = own.map(|row| (row.hash, row.local_load())).collect();
-        let word = self.tables[from].zone_load(zone as u32);
+        let local = self.tables[from].rows().iter();
+        let local: Vec<_> = local.map(|row| (row.hash, row.local_load())).collect();
+        let zone_load = self.tables[from].zone_load(zone as u32);
         for to in (0..Self::DAEMONS).filter(|to| *to != from) {
             let table = &mut self.tables[to];
             if to % Self::ZONES == zone {
-                let teller = Reporter::Daemon(zone as u32, format!("d{from}").into());
-                table.apply_report(teller, own.clone(), now);
+                let reporter = Reporter::Daemon(zone as u32, format!("d{from}").into());
+                table.apply_report(reporter, local.clone(), now);
             } else if from < Self::ZONES {
-                table.apply_report(Reporter::Zone(zone as u32), word.clone(), now);
+                table.apply_report(Reporter::Zone(zone as u32), zone_load.clone(), now);
             }
         }
     }
 
     fn end(&mut self, now: Instant) {
-        for (_, from, to, number) in self.sent.extract_if(.., |row| row.0 <= now) {
+        for (_, from, to, number) in self.in_flight.extract_if(.., |row| row.0 <= now) {
             let row = self.tables[from].get_mut(&format!("e{to}"));
-            row.expect("it stands").end(number);
+            row.expect("the endpoint is in the table")
+                .remove_request(number);
         }
     }
 
-    /// Sends a request from a daemon; gives how long it waits at its endpoint for a slot.
+    /// Sends a request from a daemon; returns how long it waits for a slot at its endpoint.
     fn send(&mut self, from: usize, work: Duration, now: Instant) -> Duration {
         let zone = format!("z{}", from % Self::ZONES);
-        let wanted = Criteria {
+        let criteria = Criteria {
             versions: &Versions::Any,
             service: &self.service,
             prompt: None,
@@ -316,9 +324,9 @@
             seed: self.random.u64(..),
             now,
         };
-        let choice = choose(&self.tables[from], &wanted).expect("there is room");
+        let choice = choose(&self.tables[from], &criteria).expect("an endpoint has room");
         self.number += 1;
-        book(&mut self.tables[from], &wanted, &choice, self.number);
+        book(&mut self.tables[from], &criteria, &choice, self.number);
         let to: usize = choice.id[1..].parse().expect("a number");
         let ends = &mut self.ends[to];
         ends.retain(|end| *end > now);
@@ -326,20 +334,20 @@
         let free = ends.len().checked_sub(Self::SLOTS).map(|at| ends[at]);
         let begin = free.unwrap_or(now);
         ends.push(begin + work);
-        self.sent.push((begin + work, from, to, self.number));
+        self.in_flight.push((begin + work, from, to, self.number));
         begin - now
     }
 
-    /// Sends so many requests a second of 60 ms for a minute; gives how many there were,
-    /// and how many waited for more than 100 ms.
-    fn play(&mut self, rate: f64) -> (u32, u32) {
+    /// Sends `rate` requests a second of 60 ms on average for a minute; returns how many there
+    /// were, and how many waited for more than 100 ms.
+    fn run(&mut self, rate: f64) -> (u32, u32) {
         let (mut all, mut late) = (0, 0);
         for millis in 0..60_000_u64 {
             let now = self.start + Duration::from_millis(millis);
             self.end(now);
             for from in 0..Self::DAEMONS {
-                if (millis + from as u64 * 11).is_multiple_of(Self::PERIOD) {
-                    self.tell(from, now);
+                if (millis + from as u64 * 11).is_multiple_of(Self::PERIOD_MS) {
+                    self.report(from, now);
                 }
             }
             if self.random.f64() < rate / 1000.0 {
@@ -354,12 +362,12 @@
 }
 
 /// Six endpoints of six slots each are a quarter busy, and then nearly half, with requests
-/// that come through daemons of six zones that hear one another four times a second. Whoever
-/// is told to have nothing to do must not get the requests of all zones until the next word.
+/// that come through daemons of six zones which report to each other four times a second. An
+/// endpoint that is reported idle must not get the requests of all zones until the next report.
 #[test]
 fn plain_requests_do_not_herd_to_the_endpoint_that_looked_idle() {
     for rate in [150.0, 260.0] {
-        let (all, late) = Herd::new().play(rate);
+        let (all, late) = Simulation::new().run(rate);
         assert!(late * 200 < all, "{late} of {all} at {rate} a second");
     }
 }
