--- a/lib/src/load.rs
+++ b/lib/src/load.rs
@@ -1,8 +1,9 @@
-//! Decisions under load: what is let in, what waits, what is turned away.
+//! Decisions under load: which requests are admitted, which wait, and which are
+//! rejected.
 //!
-//! Each module answers one pattern of load and can be used alone: it holds no
-//! network and no clock, and the time is an argument. [`Load`] gathers their
-//! state in the tables of a daemon; the systems feed it and ask it.
+//! Each module answers one pattern of load and can be used independently: it has
+//! no network and no clock, and takes the time as an argument. [`Load`] holds
+//! their state for a daemon; the systems feed it and query it.
 
 pub mod board;
 pub mod budget;
--- a/lib/src/load/board.rs
+++ b/lib/src/load/board.rs
@@ -1,6 +1,8 @@
-//! What this daemon claims of customers' limits, and what it heard of others.
+//! Shares of customers' limits: the claims of this daemon and those that it
+//! received from its peers.
 //!
-//! Joins the rule of `shares` with the daemons and customers that there are.
+//! Applies the rules of [`shares`](crate::load::shares) to each customer and to
+//! the peers that are known now.
 
 use std::time::{Duration, Instant};
 
@@ -22,7 +24,8 @@
     }
 }
 
-/// Claims on one customer's limits, and the rows of others about it.
+/// This daemon's claim on one customer's limits, and the rows of its peers about
+/// the same customer.
 #[proc_macros::row]
 struct Account {
     customer: CustomerId,
@@ -70,12 +73,13 @@
 }
 
 impl Board {
-    /// How many daemons there should be, this one included.
+    /// Sets how many daemons there should be, this one included.
     pub fn expect(&mut self, fleet: usize) {
         self.fleet = fleet;
     }
 
-    /// Another daemon was heard of, with all rows that it wrote until then.
+    /// Records that a peer is alive and that all rows it wrote until `now` have
+    /// been received.
     pub fn meet(&mut self, now: Instant, incarnation: Incarnation) {
         self.peers.insert(Peer {
             incarnation,
@@ -83,7 +87,8 @@
         });
     }
 
-    /// A daemon is known to be gone for good, so its claims are free.
+    /// Removes a daemon that is known to be gone for good, which frees its
+    /// claims.
     pub fn part(&mut self, incarnation: Incarnation) {
         self.peers.remove(&incarnation);
         for account in &mut self.accounts {
@@ -91,7 +96,7 @@
         }
     }
 
-    /// Takes in another daemon's row.
+    /// Applies a row received from a peer.
     pub fn hear(&mut self, now: Instant, row: ShareRow) {
         self.meet(now, row.incarnation);
         self.account(now, &row.customer.clone()).put(row);
@@ -104,17 +109,17 @@
         self.accounts.get_mut(customer).expect("was just put in")
     }
 
-    /// Notes that a customer asked for something.
+    /// Counts a request of a customer towards its demand here.
     pub fn ask(&mut self, now: Instant, customer: &CustomerId, tokens: f64) {
         self.account(now, customer).holder.ask(now, tokens);
     }
 
-    /// Notes how many requests in progress a customer wants here.
+    /// Raises a customer's demand for requests in progress here to `running`.
     pub fn run(&mut self, now: Instant, customer: &CustomerId, running: f64) {
         self.account(now, customer).holder.run(running);
     }
 
-    /// Claims a customer's limits anew.
+    /// Updates this daemon's claim on a customer's limits.
     pub fn claim(&mut self, now: Instant, customer: &CustomerId, limit: Amounts, running: f64) {
         let members = self.members(now);
         let Some(Account { holder, rows, .. }) = self.accounts.get_mut(customer) else {
@@ -128,13 +133,14 @@
         holder.turn(now, limit, heard, members);
     }
 
-    /// Forgets customers of whom neither this daemon nor another claims a thing.
+    /// Removes customers that neither this daemon nor a peer has a claim or
+    /// demand for.
     pub fn tidy(&mut self) {
         let idle = |account: &Account| account.holder.is_idle() && account.rows.is_empty();
         self.accounts.retain(|account| !idle(account));
     }
 
-    /// What may be given out of a customer's limits here.
+    /// The part of a customer's limits that this daemon may give out.
     pub fn share(&self, now: Instant, customer: &CustomerId, limit: Amounts) -> Amounts {
         if self.peers.is_empty() && self.fleet <= 1 {
             return limit;
@@ -146,20 +152,22 @@
         holder.share(now, limit, members)
     }
 
-    /// Rows to tell the other daemons.
+    /// Rows to send to the peers.
     pub fn rows(&self, incarnation: Incarnation) -> Vec<ShareRow> {
         let accounts = self.accounts.iter();
         let rows = accounts.filter_map(|a| a.holder.row(&a.customer, incarnation));
         rows.collect()
     }
 
-    /// Customers that ask or claim here. Of the others nothing is to be decided.
+    /// Customers with demand or a claim here. The claims of all others need no
+    /// update.
     pub fn customers(&self) -> impl Iterator<Item = &CustomerId> {
         let busy = self.accounts.iter().filter(|a| !a.holder.is_idle());
         busy.map(|account| &account.customer)
     }
 
-    /// Whether it is time to claim anew; counts as done when it is.
+    /// Whether `every` has passed since the last update of all claims. If so, an
+    /// update counts as made now.
     pub fn is_due(&mut self, now: Instant, every: Duration) -> bool {
         let due = self.turned.is_none_or(|at| now >= at + every);
         if due {
--- a/lib/src/load/budget.rs
+++ b/lib/src/load/budget.rs
@@ -1,21 +1,21 @@
-//! How many failed requests may be sent again.
+//! Retry budget: how many failed requests may be retried.
 //!
-//! Answers endpoints that fail under load. With three tries for each request,
-//! endpoints that are overloaded get up to three times the load, fail the more
-//! for it, and stay down after the cause is gone. One would notice sendings far
-//! above arrivals while little is answered. A budget that only successes fill
-//! keeps retries a small share of the work, whatever fails.
+//! Answers endpoints that fail under load. With three attempts for each request,
+//! overloaded endpoints get up to three times the load, fail all the more and
+//! stay down after the cause is gone. It would show as many more attempts than
+//! requests while few are answered. A budget that only successes fill keeps
+//! retries a small share of the work, whatever fails.
 
 use crate::ids::ServiceId;
 use crate::table::Row;
 
-/// Retries earned by each success: at most a tenth more load by retries.
+/// Retries earned by each success: retries add at most a tenth to the load.
 pub const FRACTION: f64 = 0.1;
-/// Most retries saved up, and what a service starts with: enough for the
-/// requests that one endpoint of many was running when it broke.
+/// Most retries saved up, and the initial balance: enough for the requests that
+/// one endpoint of many was running when it failed.
 pub const MOST: f64 = 10.0;
 
-/// Retries that a service has left.
+/// Retry budget of a service.
 #[proc_macros::row]
 pub struct Budget {
     service: ServiceId,
@@ -23,7 +23,7 @@
 }
 
 impl Budget {
-    /// Full budget.
+    /// Creates a full budget.
     pub fn new(service: ServiceId) -> Self {
         Self {
             service,
@@ -31,12 +31,12 @@
         }
     }
 
-    /// A request was answered.
+    /// Adds what a successful request earns.
     pub fn earn(&mut self) {
         self.left = (self.left + FRACTION).min(MOST);
     }
 
-    /// Takes one retry; false if there is none.
+    /// Takes one retry out; false if there is none.
     pub fn spend(&mut self) -> bool {
         let enough = self.left >= 1.0;
         if enough {
--- a/lib/src/load/comeback.rs
+++ b/lib/src/load/comeback.rs
@@ -1,30 +1,31 @@
-//! When a caller that is turned away is told to come back.
+//! Retry-after times of rejected requests.
 //!
-//! Answers the burst after the burst. Told only by how much they were late, all
-//! callers of a burst come back together and most are turned away again; one
-//! would notice several arrivals for each answer. So the work of those that were
-//! told to come back counts as a queue of its own, which empties as fast as the
-//! endpoints work, and each is told to come when its turn would be.
+//! Answers the second burst that rejected callers make. If each is told only by
+//! how much it was late, all callers of a burst retry at the same time and most
+//! are rejected again; it would show as several arrivals for each answer. So the
+//! work of rejected requests is kept as a backlog of its own, which drains as
+//! fast as the endpoints work, and each caller is told to retry when the backlog
+//! ahead of it is drained.
 
 use std::time::{Duration, Instant};
 
 use crate::ids::ServiceId;
 use crate::table::Row;
 
-/// Least time after which a caller is told to come back: shorter would only
-/// bring the same load again while the queue is as long as it was.
+/// Shortest delay before a retry: a shorter one would only repeat the same load
+/// while the queue is as long as it was.
 const LEAST: Duration = Duration::from_millis(250);
-/// Longest such time; what is further ahead rests on load that changes.
+/// Longest delay before a retry: load further ahead cannot be predicted.
 const MOST: Duration = Duration::from_secs(30);
 
-/// A time to come back after about `wait`. `draw` in 0 to 1 spreads the callers of
-/// one moment, who would otherwise come back as the same burst.
+/// A time to retry after about `wait`. `draw` in 0 to 1 spreads callers that were
+/// rejected at the same moment and would otherwise form the same burst again.
 pub fn spread(now: Instant, wait: Duration, draw: f64) -> Instant {
     let wait = wait.clamp(LEAST, MOST);
     now + wait + wait.mul_f64(draw.clamp(0.0, 1.0) / 4.0)
 }
 
-/// Work that was told to come back to a service.
+/// Work of the rejected requests of a service that are expected to be retried.
 #[proc_macros::row]
 pub struct Comeback {
     service: ServiceId,
@@ -33,7 +34,7 @@
 }
 
 impl Comeback {
-    /// Nobody was told to come back.
+    /// Creates an empty backlog.
     pub fn new(service: ServiceId, now: Instant) -> Self {
         Self {
             service,
@@ -42,9 +43,9 @@
         }
     }
 
-    /// When a request of some units of work is to come back that was late by
-    /// `excess`, at a rate in units a second. `draw` in 0 to 1 spreads those of
-    /// one moment.
+    /// When to retry a request of `work` units that would have been late by
+    /// `excess`, at a `rate` in units per second. `draw` in 0 to 1 spreads
+    /// requests of the same moment.
     pub fn tell(
         &mut self,
         now: Instant,
--- a/lib/src/load/fair.rs
+++ b/lib/src/load/fair.rs
@@ -1,18 +1,18 @@
-//! Whose request goes next when not all can.
+//! Fair queue: the order in which waiting requests are sent.
 //!
-//! Answers a few customers that take most of the load, and long work among
-//! short. First in, first out gives each customer what it asks for: one that
-//! floods takes nearly all, and a quiet customer's tag waits behind a thousand
-//! season plans. One would notice quiet customers timing out while the flooding
-//! one is served. Three rules prevent it:
+//! Answers a few customers that make most of the load, and long work among short.
+//! First in, first out gives each customer as much as it asks for: a customer
+//! that floods takes nearly all, and a quiet customer's short request waits
+//! behind thousands of long ones. It would show as quiet customers timing out
+//! while the flooding one is served. Three rules prevent it:
 //!
-//! 1. Across priorities: each higher priority gets [`STEP`] times the work of
-//!    the next lower one while both wait. So a lower priority never waits
-//!    without bound: with `A` units ahead in its own priority, a request is
-//!    sent before the endpoints have done `A * (W / w)` units, where `w` is the
-//!    weight of its priority and `W` the sum of all weights.
-//! 2. Across customers of one priority: deficit round robin by work, so a
-//!    customer gains nothing by many requests or by long ones.
+//! 1. Between priorities: each priority gets [`STEP`] times the work of the next
+//!    lower one while both wait. So a lower priority never waits without bound:
+//!    with `A` units ahead in its own priority, a request is sent before the
+//!    endpoints have done `A * (W / w)` units, where `w` is the weight of its
+//!    priority and `W` the sum of all weights.
+//! 2. Between customers of one priority: deficit round robin by work, so a
+//!    customer gains nothing by sending many requests or long ones.
 //! 3. Within a customer: earliest deadline first.
 
 use std::collections::VecDeque;
@@ -22,22 +22,22 @@
 use crate::lists::MOST_PRIORITY;
 use crate::table::Row;
 
-/// Work of a priority against the next lower one while both wait. Eight gives
-/// the highest of two 89% and still empties the lower one's queue.
+/// Work of a priority relative to the next lower one while both wait. Eight gives
+/// the higher of two 89% and still empties the lower one's queue.
 pub const STEP: f64 = 8.0;
-/// Work that a customer may send per round: about one short chat answer. Less
-/// only means more rounds; more lets a customer's short requests bunch up.
+/// Units of work that a customer may send per round: about one short chat answer.
+/// Less only means more rounds; more lets a customer's short requests bunch up.
 const QUANTUM: f64 = 256.0;
 
-/// A request that waits.
+/// A waiting request.
 #[proc_macros::row]
 #[derive(Copy)]
 pub struct Entry {
-    /// Request.
+    /// Id of the request.
     pub id: RequestId,
-    /// When its answer must be complete.
+    /// Time by which its answer must be complete.
     pub deadline: Instant,
-    /// Units of work that are left of it.
+    /// Units of work that remain.
     pub work: f64,
 }
 
@@ -47,19 +47,19 @@
     }
 }
 
-/// An entry taken from its place, with what is needed to put it back.
+/// An entry popped from the queue, with what is needed to put it back.
 #[proc_macros::row]
 pub struct Taken {
-    /// Priority it stood in.
+    /// Priority that it waited in.
     pub priority: u8,
-    /// Customer it is of.
+    /// Customer that sent it.
     pub customer: CustomerId,
     /// The entry.
     pub entry: Entry,
 }
 
-/// Entries of one customer, the earliest deadline first. New ones mostly belong
-/// at the back and the front leaves, so the sorted rows stand in a ring.
+/// Entries of one customer, sorted by deadline. New ones mostly belong at the
+/// back and entries leave at the front, so a ring buffer holds them.
 #[proc_macros::row]
 struct Flow {
     customer: CustomerId,
@@ -81,13 +81,13 @@
         }
     }
 
-    /// Work that is due no later than a deadline.
+    /// Work that is due no later than `deadline`.
     fn due(&self, deadline: Instant) -> f64 {
         let until = self.entries.partition_point(|e| e.deadline <= deadline);
         self.entries.range(..until).map(|e| e.work).sum()
     }
 
-    /// Rounds until its first entry may go.
+    /// Rounds until its first entry may be sent.
     fn rounds(&self) -> f64 {
         let first = self.entries.front().map_or(0.0, |e| e.work);
         ((first - self.deficit) / QUANTUM).ceil().max(0.0)
@@ -129,7 +129,7 @@
         self.flows.iter().map(|f| f.work).sum()
     }
 
-    /// Takes the next entry by deficit round robin.
+    /// Pops the next entry by deficit round robin.
     fn pop(&mut self) -> Option<(CustomerId, Entry)> {
         if self.flows.is_empty() {
             return None;
@@ -149,8 +149,8 @@
         }
     }
 
-    /// Gives all flows the rounds in which none could send, at one go: a long
-    /// request would otherwise cost thousands of empty rounds.
+    /// Credits all flows at once with the rounds in which none could send: a long
+    /// request would otherwise take thousands of empty rounds.
     fn skip_rounds(&mut self) {
         let least = self.flows.iter().map(Flow::rounds).fold(f64::MAX, f64::min);
         let rounds = (least - 1.0).max(0.0);
@@ -169,8 +169,9 @@
         Some((customer, entry))
     }
 
-    /// A flow that is empty loses its deficit: credit saved up while idle would
-    /// let a customer come back with a burst that shuts the others out.
+    /// Removes a flow that is empty, and with it its deficit: credit saved up
+    /// while idle would let a customer return with a burst that starves the
+    /// others.
     fn drop_empty(&mut self, at: usize) {
         if !self.flows[at].entries.is_empty() {
             return;
@@ -206,7 +207,7 @@
 }
 
 impl Lane {
-    /// Nothing waits.
+    /// Creates an empty queue.
     pub fn new(service: ServiceId) -> Self {
         Self {
             service,
@@ -216,12 +217,12 @@
         }
     }
 
-    /// Number of requests that wait.
+    /// Number of waiting requests.
     pub fn len(&self) -> u32 {
         self.len
     }
 
-    /// Whether none waits.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
@@ -231,19 +232,19 @@
         self.classes.iter().map(Class::work).sum()
     }
 
-    /// Puts a request in.
+    /// Adds a request.
     pub fn push(&mut self, priority: u8, customer: &CustomerId, entry: Entry) {
         let clock = self.clock;
         let class = &mut self.classes[usize::from(priority.min(MOST_PRIORITY))];
         if class.flows.is_empty() {
-            // A priority that was idle starts level with the others.
+            // A priority that was idle gets no credit for that time.
             class.served = class.served.max(clock);
         }
         class.flow(customer).push(entry);
         self.len += 1;
     }
 
-    /// Takes the request out that goes next.
+    /// Removes the request that is sent next.
     pub fn pop(&mut self) -> Option<Taken> {
         let waiting = self.classes.iter_mut().enumerate();
         let (priority, class) = waiting
@@ -260,7 +261,8 @@
         })
     }
 
-    /// Puts a request back that was taken out and not sent, as if never taken.
+    /// Puts back a request that was popped and not sent, as if it had not been
+    /// popped.
     pub fn restore(&mut self, taken: &Taken) {
         let class = &mut self.classes[usize::from(taken.priority)];
         class.served -= taken.entry.work / weight(usize::from(taken.priority));
@@ -270,7 +272,7 @@
         self.len += 1;
     }
 
-    /// Takes a request out that no longer waits; false if it was not there.
+    /// Removes a request; false if it was not in the queue.
     pub fn remove(&mut self, customer: &CustomerId, entry: &Entry) -> bool {
         for class in &mut self.classes {
             let Ok(at) = class.position(customer) else {
@@ -289,7 +291,7 @@
         false
     }
 
-    /// Whether a request waits here.
+    /// Whether a request is in the queue.
     pub fn contains(&self, customer: &CustomerId, entry: &Entry) -> bool {
         let mut classes = self.classes.iter();
         classes.any(|class| {
@@ -298,7 +300,7 @@
         })
     }
 
-    /// Keeps the requests for which `keep` holds.
+    /// Removes the requests for which `keep` is false.
     pub fn keep(&mut self, keep: impl Fn(&Entry) -> bool) {
         let gone = self.iter().filter(|(_, entry)| !keep(entry));
         let gone: Vec<(CustomerId, Entry)> = gone.map(|(c, e)| (c.clone(), *e)).collect();
@@ -307,9 +309,9 @@
         }
     }
 
-    /// Units of work that would be sent before a request that came now: the
-    /// customer's own that is due sooner, as much again of each other customer,
-    /// and of each other priority what its weight earns meanwhile.
+    /// Units of work that would be sent before a request that arrived now: the
+    /// customer's own work that is due sooner, as much of each other customer of
+    /// the priority, and of each other priority what its weight earns meanwhile.
     pub fn ahead(&self, priority: u8, customer: &CustomerId, entry: &Entry) -> f64 {
         let priority = usize::from(priority.min(MOST_PRIORITY));
         let class = &self.classes[priority];
@@ -331,7 +333,7 @@
         own + beside + rest
     }
 
-    /// Every request that waits, with its customer.
+    /// All waiting requests with their customers.
     pub fn iter(&self) -> impl Iterator<Item = (&CustomerId, &Entry)> {
         let flows = self.classes.iter().flat_map(|class| &class.flows);
         flows.flat_map(|flow| flow.entries.iter().map(move |e| (&flow.customer, e)))
--- a/lib/src/load/forecast.rs
+++ b/lib/src/load/forecast.rs
@@ -1,32 +1,32 @@
-//! When a request would be finished, given what waits ahead of it.
+//! Forecast of when a request would finish, given the work ahead of it.
 //!
-//! Answers saturation. Without it every request is let in until the queue is
-//! longer than the deadlines: then each is begun too late to be of use, the
-//! endpoints are busy with answers nobody waits for, and goodput falls to
-//! nothing while load grows. One would notice full endpoints and hardly any
-//! answer in time. A request that would be late hears so on arrival instead.
+//! Answers saturation. Without it every request is admitted until the queue is
+//! longer than the deadlines: then each starts too late to be of use, the
+//! endpoints are busy with answers that nobody waits for, and goodput falls to
+//! nothing while load grows. It would show as full endpoints and hardly any
+//! answer in time. Instead, a request that would be late is rejected on arrival.
 //!
-//! The forecast is work ahead over the measured rate, plus the request's own
-//! time at the number of requests that run side by side. Before a rate is
-//! measured there is no forecast, and requests are let in.
+//! The forecast is the work ahead divided by the measured rate, plus the
+//! request's own service time at the present concurrency. Before a rate is
+//! measured there is no forecast, and requests are admitted.
 
 use std::time::{Duration, Instant};
 
-/// Factor on the forecast when a request arrives. One that would only just make it
-/// is overtaken by the next change for the worse, and told after a wait.
+/// Factor on the forecast when a request arrives. A request with no margin is
+/// late as soon as conditions get worse, and is then rejected after a wait.
 const MARGIN: f64 = 1.25;
 
-/// What the open endpoints of a service can do for this daemon.
+/// What the available endpoints of a service can do for this daemon.
 #[proc_macros::row]
 #[derive(Copy, Default)]
 pub struct Capacity {
     /// Units of work per second, all endpoints together.
     pub rate: f64,
-    /// Seconds per unit of work of a single request, as of late.
+    /// Recent seconds per unit of work of a single request.
     pub pace: f64,
     /// Requests that run.
     pub running: u32,
-    /// Requests that may run at once.
+    /// Requests that may run at the same time.
     pub limit: u32,
 }
 
@@ -36,21 +36,22 @@
         self.limit.saturating_sub(self.running)
     }
 
-    /// Seconds of a request's own: as long as requests take now. The rate, which
-    /// is too low while an endpoint has little to do, would call it late for no
-    /// reason.
+    /// Service time of a single request in seconds, by the recent time per unit.
+    /// The rate is too low while an endpoint has little to do, and would call the
+    /// request late for no reason.
     fn own(&self, work: f64) -> f64 {
         work * self.pace
     }
 
-    /// Whether nothing of this daemon is there. It then lets one request in
-    /// whatever the pace was: nothing else could show that times are better.
+    /// Whether this daemon has no request running or waiting. It then admits one
+    /// request whatever the time per unit was: nothing else could show that the
+    /// service is fast again.
     fn is_empty(&self, waiting: u32) -> bool {
         self.running == 0 && waiting == 0
     }
 
-    /// When a request would be finished that has `ahead` units of work in
-    /// `waiting` requests before it; none if nothing was measured.
+    /// When a request would finish with `ahead` units of work in `waiting`
+    /// requests before it; none if nothing was measured.
     pub fn finish(&self, now: Instant, ahead: f64, waiting: u32, work: f64) -> Option<Instant> {
         if self.rate <= 0.0 || self.is_empty(waiting) {
             return None;
@@ -59,8 +60,8 @@
         Some(now + Duration::from_secs_f64(seconds.min(1e6)))
     }
 
-    /// Latest moment to send a request that must finish by its deadline; none
-    /// if nothing was measured.
+    /// Latest time to send a request that must finish by its deadline; none if
+    /// nothing was measured.
     pub fn latest(&self, deadline: Instant, work: f64) -> Option<Instant> {
         if self.rate <= 0.0 || self.running == 0 {
             return None;
--- a/lib/src/load/gauge.rs
+++ b/lib/src/load/gauge.rs
@@ -1,4 +1,4 @@
-//! What is measured of one endpoint.
+//! Measurements of one endpoint.
 
 use std::time::Instant;
 
@@ -9,25 +9,25 @@
 use crate::load::meter::Meter;
 use crate::table::Row;
 
-/// What is measured of one endpoint.
+/// Measurements of one endpoint.
 #[proc_macros::row]
 pub(crate) struct Gauge {
-    /// Endpoint.
+    /// Id of the endpoint.
     pub(crate) id: EndpointId,
     /// Version that was measured.
     pub(crate) version: VersionId,
-    /// Service it serves.
+    /// Service of the endpoint.
     pub(crate) service: ServiceId,
     /// How fast it does this daemon's work.
     pub(crate) meter: Meter,
-    /// How many requests it gets at once.
+    /// How many requests this daemon may run there at the same time.
     pub(crate) limiter: Limiter,
-    /// Whether it gets work.
+    /// Whether it gets requests.
     pub(crate) ejection: Ejection,
 }
 
 impl Gauge {
-    /// Nothing measured yet.
+    /// Creates empty measurements.
     pub(crate) fn new(endpoint: &Endpoint, now: Instant, ceiling: u32) -> Self {
         Self {
             id: endpoint.id.clone(),
@@ -39,8 +39,8 @@
         }
     }
 
-    /// Units of work per second that it does for this daemon; none before enough
-    /// was seen.
+    /// Units of work per second that it does for this daemon; none before there
+    /// are enough samples.
     pub(crate) fn rate(&self) -> Option<f64> {
         self.meter.rate(self.limiter.promise())
     }
--- a/lib/src/load/limiter.rs
+++ b/lib/src/load/limiter.rs
@@ -1,58 +1,62 @@
-//! How many requests one endpoint gets at once.
+//! Adaptive concurrency limit of an endpoint or a service.
 //!
 //! Answers a slow endpoint, and any load past the point where an engine's batch
-//! is full. With a fixed limit too much work stands inside the endpoints: it
-//! cannot be reordered, so a tag waits behind season plans whatever its
-//! priority, and a slow endpoint collects the most. One would notice that
-//! answers take longer at the endpoints while no queue is seen here.
+//! is full. With a fixed limit too much work is inside the endpoints, where it
+//! cannot be reordered: a short request waits behind long ones whatever its
+//! priority, and a slow endpoint collects the most. It would show as answers that
+//! take longer at the endpoints while no queue is seen in this daemon.
 //!
-//! The limiter compares the time per unit of work with the best it has seen. The
-//! ratio is the gradient: while it is near one the limit grows, when latency has
-//! risen past [`TOLERANCE`] it shrinks. Requests of other daemons at the same
-//! endpoint raise the latency too, so daemons share an endpoint without talk.
+//! The limiter compares the time per unit of work with the lowest that it has
+//! seen. The ratio is the gradient: the limit grows while it is near one, and
+//! shrinks when latency has risen past [`TOLERANCE`]. Requests of other daemons
+//! at the same endpoint raise the latency too, so daemons share an endpoint
+//! without exchanging messages.
 //!
-//! An endpoint may also break what it is given past some number, with no sign in
+//! An endpoint may also fail the requests past some number, with no sign of it in
 //! its latency. So failures shrink the limit, but only if they are more frequent
-//! while the endpoint is full than otherwise: requests that break for a reason of
-//! their own would shrink every limit to the floor.
+//! while the endpoint is full than otherwise: requests that fail for another
+//! reason would shrink every limit to the minimum.
 
-/// Times the best latency that is still taken as normal. Batches slow a little
-/// before they are full; a lower value would give throughput away, a higher one
-/// lets work pile up inside the endpoint.
+/// Latency relative to the lowest that still counts as normal. Batches slow down
+/// a little before they are full; a lower value would give throughput away, a
+/// higher one lets work pile up inside the endpoint.
 pub const TOLERANCE: f64 = 1.3;
-/// Least requests at once. One keeps the endpoint measured; more would, times
-/// some hundred daemons, overload an endpoint by the floor alone.
+/// Least requests at the same time. One keeps the endpoint measured; a higher
+/// minimum, times some hundred daemons, would overload an endpoint by itself.
 pub const FLOOR: u32 = 1;
-/// Limit at the start. A batching engine runs this many at once without loss,
-/// and the limit doubles within a few windows.
+/// Initial limit of an endpoint, in requests. A batching engine runs this many at
+/// the same time without loss, and the limit doubles within a few windows.
 const START: f64 = 16.0;
-/// Limit of a service at the start: small, as each of hundreds of daemons may
-/// send this many before it has seen an answer.
+/// Initial limit of a service, in requests: small, as each of hundreds of daemons
+/// may send this many before it receives an answer.
 const OPENING: f64 = 8.0;
-/// Completions in a window at least; fewer show the spread of single requests.
+/// Least completions in a window; fewer show the variance of single requests.
 const WINDOW: u32 = 8;
-/// Most that a window may shrink the limit by, so that one stall does not.
+/// Lowest gradient of a window, so that one stall does not shrink the limit
+/// further.
 const LEAST_GRADIENT: f64 = 0.5;
-/// Share of a window's new limit that is taken on.
+/// Share of the way that the limit moves to a window's result.
 const SMOOTHING: f64 = 0.3;
-/// Share of the way that the best latency moves up to what is measured while
+/// Share of the way that the baseline latency moves up to the measured one while
 /// the endpoint has little to do: so a version that is slower by nature becomes
 /// the norm, but saturation, in which latency is high too, never does.
 const DRIFT: f64 = 0.1;
-/// Weight of the latest outcome in the share of failures: the last fifty count.
+/// Weight of the latest outcome in the share of failures: about the last fifty
+/// count.
 const GAIN: f64 = 0.02;
 /// Outcomes of each kind before they are compared.
 const ENOUGH: u32 = 10;
-/// Times more failures while full that show the limit to be too high.
+/// The limit is too high if failures while full are more frequent than otherwise
+/// by this factor.
 const WORSE: f64 = 2.0;
-/// Share of failures that is let pass, so that a single one does nothing.
+/// Share of failures that is tolerated, so that a single one has no effect.
 const CHANCE: f64 = 0.05;
-/// Factor on the limit per failure that shows it to be too high.
+/// Factor on the limit for each failure that shows it to be too high.
 const BACKOFF: f64 = 0.9;
-/// Units of work that stand for what each request costs beside its tokens.
+/// Fixed cost of each request beside its tokens, in units of work.
 const OVERHEAD: f64 = 8.0;
 
-/// Limit of one endpoint.
+/// Concurrency limit of one endpoint or service.
 #[proc_macros::row]
 pub struct Limiter {
     limit: f64,
@@ -67,7 +71,7 @@
     opening: bool,
 }
 
-/// Share of failures among the last requests.
+/// Share of failures among the recent requests.
 #[proc_macros::row]
 #[derive(Copy, Default)]
 struct Failures {
@@ -84,7 +88,7 @@
 }
 
 impl Limiter {
-    /// Nothing measured yet.
+    /// Creates the limiter of an endpoint, with nothing measured.
     pub fn new(ceiling: u32) -> Self {
         Self {
             limit: START.min(f64::from(ceiling)),
@@ -100,7 +104,7 @@
         }
     }
 
-    /// Nothing measured yet of a service with any number of endpoints: the limit
+    /// Creates the limiter of a service with any number of endpoints: the limit
     /// grows with each answer until latency rises for the first time.
     pub fn opening(ceiling: u32) -> Self {
         Self {
@@ -110,23 +114,23 @@
         }
     }
 
-    /// Whether the limit has not met its bounds yet.
+    /// Whether latency has not yet risen for the first time.
     pub fn is_opening(&self) -> bool {
         self.opening
     }
 
-    /// Requests that may run at once.
+    /// Requests that may run at the same time.
     pub fn limit(&self) -> u32 {
         (self.limit as u32).clamp(FLOOR, self.ceiling.max(FLOOR))
     }
 
-    /// Seconds per unit of work that are still taken as normal.
+    /// Seconds per unit of work that still count as normal.
     pub fn normal(&self) -> f64 {
         self.best.unwrap_or(0.0) * TOLERANCE
     }
 
-    /// Units of work per second that the endpoint does at its limit, if the
-    /// limit is right.
+    /// Units of work per second that the endpoint should do at its limit, if the
+    /// limit is right; zero if nothing was measured.
     pub fn promise(&self) -> f64 {
         let normal = self.normal();
         if normal > 0.0 {
@@ -136,8 +140,8 @@
         }
     }
 
-    /// Counts a completed request in: seconds it took, its units of work, and
-    /// how many ran beside it in the mean.
+    /// Records a completed request: its seconds from start to end, its units of
+    /// work, and the mean concurrency meanwhile.
     pub fn complete(&mut self, took: f64, work: f64, beside: f64) {
         self.count += 1;
         self.took += took;
@@ -151,7 +155,7 @@
         }
     }
 
-    /// Counts whether a request was answered, with how many ran then.
+    /// Records whether a request succeeded, and how many ran then.
     pub fn judge(&mut self, whole: bool, running: u32) {
         let full = f64::from(running) * 2.0 > self.limit;
         let failures = if full {
@@ -165,8 +169,8 @@
         let enough = self.full.count >= ENOUGH;
         let crowded = enough && self.full.share > WORSE * usual + CHANCE;
         if !whole && full && crowded {
-            // An endpoint that was full from the start has shown no other side
-            // yet; half of the first limit is low enough to see one.
+            // An endpoint that was full from the start has no outcomes to compare
+            // with yet; half of the initial limit is low enough to get some.
             let least = if compared {
                 f64::from(FLOOR)
             } else {
@@ -187,8 +191,9 @@
         let best = self.learn(latency, beside);
         let full = beside * 2.0 >= self.limit;
         let gradient = (TOLERANCE * best / latency).clamp(LEAST_GRADIENT, 1.0);
-        // The root lets the limit feel for more, and more boldly where more
-        // runs. An endpoint that is not used to its limit tells nothing of it.
+        // The square root lets the limit grow, in larger steps where more
+        // requests run. An endpoint that is not used up to its limit shows
+        // nothing about it.
         let room = if full { self.limit.sqrt() } else { 0.0 };
         let aim = self.limit * gradient + room;
         self.opening &= gradient >= 1.0;
--- a/lib/src/load/meter.rs
+++ b/lib/src/load/meter.rs
@@ -1,11 +1,11 @@
-//! How fast an endpoint does this daemon's work.
+//! Measures how fast an endpoint does this daemon's work.
 //!
-//! Every decision about time rests on this figure. Counting completions per
-//! second would not do: while long requests run nothing completes and the
-//! endpoint would look dead, and an endpoint that gets little to do would look
-//! slow. So each completed request is set against the time it had its share of
-//! the endpoint: with `n` requests running, one second gives each `1/n` second.
-//! Work over shared time is the endpoint's rate, however many run beside it.
+//! Every decision about time rests on this rate. Completions per second would not
+//! do: while long requests run nothing completes and the endpoint would look
+//! dead, and an endpoint that gets little to do would look slow. So the work of
+//! each completed request is divided by its share of the endpoint's time: with
+//! `n` requests running, one second gives each `1/n` second. Work over shared
+//! time is the endpoint's rate, whatever the concurrency.
 //!
 //! An engine that batches does less in all while it has little to do. Samples
 //! from such times would make the endpoint look weak when a burst comes, so they
@@ -13,16 +13,16 @@
 
 use std::time::Instant;
 
-/// Share of the old estimate that is forgotten per completed request at most.
-/// One twentieth follows a change of speed within some tens of requests and
-/// keeps the spread of a single request's length out.
+/// Least weight of a completed request in the estimate. One twentieth follows a
+/// change of speed within some tens of requests and smooths the variance of
+/// single requests.
 const GAIN: f64 = 0.05;
 /// Completions after which the estimate is used.
 const ENOUGH: u32 = 4;
 /// Completions after which an endpoint may be called slow.
 const SURE: u32 = 16;
 
-/// Rate of one endpoint, measured.
+/// Measured rate of an endpoint or a service.
 #[proc_macros::row]
 pub struct Meter {
     running: u32,
@@ -33,8 +33,8 @@
     alone: Means,
 }
 
-/// Means of work and shared time; their ratio is a rate in which a long request
-/// counts as much as many short ones.
+/// Means of work and time; their ratio is a rate in which a long request counts
+/// as much as many short ones.
 #[proc_macros::row]
 #[derive(Copy, Default)]
 struct Means {
@@ -71,20 +71,20 @@
     }
 }
 
-/// What one completed request showed.
+/// Measurement of one completed request.
 #[proc_macros::row]
 #[derive(Copy)]
 pub struct Sample {
     /// Seconds from sending to end.
     pub took: f64,
-    /// Requests that ran there in the mean.
+    /// Mean number of requests that ran there meanwhile.
     pub beside: f64,
     /// Seconds per unit of work.
     pub pace: f64,
 }
 
 impl Meter {
-    /// Nothing measured yet.
+    /// Creates a meter with nothing measured.
     pub fn new(now: Instant) -> Self {
         Self {
             running: 0,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Notes how many requests run from now on.
+    /// Sets how many requests run from now on.
     pub fn turn(&mut self, now: Instant, running: u32) {
         self.shared = self.shared_at(now);
         self.turned = now;
@@ -119,8 +119,8 @@
         }
     }
 
-    /// Counts a completed request in. The endpoint was busy if at least half as
-    /// many ran beside it as its `limit` allows.
+    /// Records a completed request. The endpoint counts as busy if the
+    /// concurrency was at least half of its `limit`.
     pub fn complete(&mut self, now: Instant, mark: Mark, work: f64, limit: u32) -> Option<Sample> {
         let shared = self.shared_at(now) - mark.shared;
         let took = now.saturating_duration_since(mark.at).as_secs_f64();
@@ -138,9 +138,9 @@
         Some(Sample { took, beside, pace })
     }
 
-    /// Units of work per second, all requests together; none before enough was
-    /// seen. `promise` is what the endpoint should do at its limit, which counts
-    /// until busy times have shown it.
+    /// Units of work per second, all requests together; none before there are
+    /// enough samples. `promise` is what the endpoint should do at its limit,
+    /// which counts until busy times have shown its rate.
     pub fn rate(&self, promise: f64) -> Option<f64> {
         let idle = self.idle.rate();
         let busy = self.busy.rate();
@@ -148,18 +148,20 @@
         busy.into_iter().chain(idle).reduce(f64::max)
     }
 
-    /// Forgets the pace, after a rest that may have mended the endpoint.
+    /// Discards the time per unit, after an ejection in which the endpoint may
+    /// have recovered.
     pub fn forget_pace(&mut self) {
         self.alone = Means::default();
     }
 
-    /// The same once enough was seen to blame an endpoint for it: answers end
-    /// before their longest, so a few requests differ widely in time for their work.
+    /// The time per unit once there are enough samples to call an endpoint slow
+    /// by it: answers end before their maximum length, so the time of a few
+    /// requests differs widely for the same work.
     pub fn sure_pace(&self) -> Option<f64> {
         self.pace().filter(|_| self.alone.count >= SURE)
     }
 
-    /// Seconds per unit of work of a single request, as of late.
+    /// Recent seconds per unit of work of a single request.
     pub fn pace(&self) -> Option<f64> {
         self.alone.rate().map(|rate| 1.0 / rate)
     }
--- a/lib/src/load/pace.rs
+++ b/lib/src/load/pace.rs
@@ -1,27 +1,30 @@
-//! How long a service takes for a unit of work, as of now.
+//! Estimates how long a service takes for a unit of work at present.
 //!
-//! Answers overload by all daemons together. Hundreds of daemons share the
-//! endpoints, each with few requests at each: none of them queues anything, and
-//! what one endpoint did for one daemon is old when the next request goes there.
-//! What a daemon does see is that its requests take longer, at whichever
-//! endpoint. Without this module each lets everything in and all of it is late.
+//! Answers overload that all daemons make together. Hundreds of daemons share the
+//! endpoints, each with few requests at each: none of them has a queue, and what
+//! one endpoint did for one daemon is out of date when that daemon's next request
+//! goes there. What a daemon does see is that its requests take longer, at
+//! whichever endpoint. Without this module each daemon admits everything and all
+//! of it is late.
 //!
-//! Completed requests tell of the past, and under overload hardly any complete.
-//! So requests that run count too: one that has run longer than was usual shows
+//! Completed requests describe the past, and under overload hardly any complete.
+//! So running requests count too: one that has run longer than is typical shows
 //! that the time is at least that. A request whose deadline passed counts as one
 //! that took until then.
 
 use std::time::{Duration, Instant};
 
-/// Weight of the latest request. Five tell of a change; a daemon that lets few
-/// requests in, because times were bad, must notice soon that they are better.
+/// Weight of the latest request. Five requests show a change; a daemon that
+/// admits few requests, because the service was slow, must notice soon that it is
+/// fast again.
 const GAIN: f64 = 0.2;
 
-/// Time without a request that ended after which earlier ones tell nothing. After
-/// overload the first callers would be turned away by endpoints that stand idle.
+/// Time without a completed request after which earlier ones no longer count.
+/// Otherwise the first callers after overload would be rejected while endpoints
+/// are idle.
 const STALE: Duration = Duration::from_secs(2);
 
-/// Speed of single requests, as of late.
+/// Recent speed of single requests of a service.
 #[proc_macros::row]
 #[derive(Copy, Default)]
 pub struct Pace {
@@ -32,8 +35,9 @@
 }
 
 impl Pace {
-    /// Counts a request in that took some seconds for its units of work. Speeds
-    /// are weighted by work, so an endpoint that does little says little.
+    /// Records a request that took `took` seconds for its units of work. Speeds
+    /// are weighted by work, so an endpoint that does little has little
+    /// influence.
     pub fn add(&mut self, now: Instant, work: f64, took: f64) {
         if work <= 0.0 || took <= 0.0 {
             return;
@@ -53,8 +57,8 @@
         self.last.is_some_and(|last| now < last + STALE)
     }
 
-    /// Seconds per unit of work of those that ended. If none did of late, it is
-    /// no more than what is `normal`.
+    /// Seconds per unit of work of the requests that ended. If none ended
+    /// recently, it is at most `normal`.
     fn ended(&self, now: Instant, normal: f64) -> f64 {
         let ended = self.weight / self.speed;
         if self.is_fresh(now) {
@@ -64,8 +68,8 @@
         }
     }
 
-    /// Seconds per unit of work with those that run: their ages and works.
-    /// None before any ended.
+    /// Seconds per unit of work, with the running requests included by their ages
+    /// in seconds and their units of work. None before any request ended.
     pub fn now(
         &self,
         now: Instant,
--- a/lib/src/load/policy.rs
+++ b/lib/src/load/policy.rs
@@ -1,37 +1,37 @@
-//! Which decisions are made the plain way, for comparison.
+//! Selects for each kind of decision the adaptive or the plain method.
 //!
-//! Every adaptive decision has to show on the same trace that it beats the
-//! plain one, so the plain ones stay runnable. Daemons run all of them adaptive.
+//! Every adaptive decision has to show on the same trace that it beats the plain
+//! one, so the plain ones can still be run. Daemons use the adaptive one for all.
 
-/// How one kind of decision is made.
+/// Method for one kind of decision.
 #[proc_macros::kind]
 #[derive(Default)]
 pub enum Choice {
     /// By fixed limits and in order of arrival.
     Plain,
-    /// By what is measured.
+    /// By measurements.
     #[default]
     Adaptive,
 }
 
-/// How each kind of decision is made.
+/// Method for each kind of decision.
 #[proc_macros::row]
 #[derive(Copy, Default)]
 pub struct Policy {
-    /// Whether requests that would be late are turned away.
+    /// Whether requests that would be late are rejected.
     pub admission: Choice,
     /// Order in which waiting requests are sent.
     pub queue: Choice,
-    /// Requests sent to one endpoint at once.
+    /// Requests sent to one endpoint at the same time.
     pub concurrency: Choice,
-    /// Whether failed requests are sent again.
+    /// Whether failed requests are retried.
     pub retry: Choice,
-    /// Which endpoints are kept from work.
+    /// Which endpoints are ejected.
     pub ejection: Choice,
 }
 
 impl Policy {
-    /// Every decision the plain way.
+    /// The plain method for every decision.
     pub fn plain() -> Self {
         Self {
             admission: Choice::Plain,
--- a/lib/src/load/pool.rs
+++ b/lib/src/load/pool.rs
@@ -1,4 +1,4 @@
-//! What the open endpoints of a service can do now.
+//! Capacity of the available endpoints of a service.
 
 use crate::endpoint::Endpoint;
 use crate::ids::ServiceId;
@@ -7,15 +7,16 @@
 use crate::load::whole::Whole;
 use crate::table::Row;
 
-/// Requests at once for each endpoint before anything is known of the service.
+/// Concurrent requests for each endpoint until latency has risen for the first
+/// time.
 const EACH: u32 = 2;
 
-/// What the endpoints of a service can do.
+/// Capacity of the available endpoints of a service.
 #[proc_macros::row]
 pub(crate) struct Pool {
-    /// Service.
+    /// Id of the service.
     pub(crate) service: ServiceId,
-    /// What they can do.
+    /// Their capacity together.
     pub(crate) capacity: Capacity,
     measured: u32,
     open: u32,
@@ -23,7 +24,7 @@
 }
 
 impl Pool {
-    /// No endpoints.
+    /// Creates a pool without endpoints.
     pub(crate) fn new(service: ServiceId) -> Self {
         Self {
             service,
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Adds an endpoint that reports room for so many requests more.
+    /// Adds an endpoint that reports room for `room` more requests.
     pub(crate) fn add(&mut self, endpoint: &Endpoint, gauge: &Gauge, room: u32) {
         let rate = gauge.rate();
         self.open += 1;
@@ -47,8 +48,8 @@
         capacity.pace += rate.unwrap_or(0.0) * gauge.pace();
     }
 
-    /// Turns sums to means. An endpoint that was not measured yet counts as the
-    /// mean of those that were.
+    /// Turns the sums into means. An endpoint without measurements counts as the
+    /// mean of those with.
     pub(crate) fn close(&mut self) {
         let share = f64::from(self.open) / f64::from(self.measured.max(1));
         let capacity = &mut self.capacity;
@@ -56,15 +57,17 @@
         capacity.rate *= share;
     }
 
-    /// Limits what runs at the service at once. Until latency has risen once, each
-    /// endpoint gets some: the first requests may be long, and those behind them
-    /// would wait for the first to end while most endpoints stand idle.
+    /// Limits the concurrency of the service. Until latency has risen for the
+    /// first time, each endpoint gets some requests: the first ones may be long,
+    /// and those behind them would wait for the first to end while most endpoints
+    /// are idle.
     ///
-    /// What the endpoints report to have room for is let through whatever latency
-    /// says. A prompt token takes a small part of the time of an answer token, so
-    /// the latency per unit of work varies with the mix and its best is that of the
-    /// luckiest one: the limit shrank and guests waited for their first token
-    /// before idle endpoints. Latency decides where no report tells of room.
+    /// The room that endpoints report is used whatever the latency is. A prompt
+    /// token takes a small part of the time of an answer token, so the latency
+    /// per unit of work varies with the mix, and its lowest value is that of the
+    /// most favourable mix: the limit shrank, and callers waited for their first
+    /// token while endpoints were idle. Latency decides where no load report
+    /// shows room.
     pub(crate) fn limit(&mut self, whole: &Whole) {
         let mut limit = whole.limiter.limit();
         if whole.limiter.is_opening() {
@@ -74,7 +77,8 @@
         self.capacity.limit = self.capacity.limit.min(limit.max(known));
     }
 
-    /// Sets what the endpoints can do one by one against what they did together.
+    /// Corrects the sum of the endpoints' rates by the rate that was measured
+    /// over the whole service.
     pub(crate) fn join(&mut self, whole: &Whole) {
         let capacity = &mut self.capacity;
         let unknown = capacity.rate <= 0.0;
--- a/lib/src/load/sent.rs
+++ b/lib/src/load/sent.rs
@@ -1,23 +1,23 @@
-//! Requests that run, and what was measured when they were sent.
+//! Attempts in flight, and the state of the meters when they were sent.
 
 use crate::ids::{AttemptId, EndpointId, ServiceId};
 use crate::load::meter::Mark;
 use crate::table::Row;
 
-/// A request that runs, and what the meter showed when it was sent.
+/// An attempt in flight, and the state of the meters when it was sent.
 #[proc_macros::row]
 pub(crate) struct Sent {
-    /// The sending.
+    /// Id of the attempt.
     pub(crate) id: AttemptId,
-    /// Endpoint it runs at.
+    /// Endpoint that it was sent to.
     pub(crate) endpoint: EndpointId,
     /// Mark of the endpoint's meter.
     pub(crate) mark: Mark,
     /// Mark of the service's meter.
     pub(crate) whole: Mark,
-    /// Service it is of.
+    /// Service of the request.
     pub(crate) service: ServiceId,
-    /// Units of work that it was sent with.
+    /// Units of work that remained when it was sent.
     pub(crate) work: f64,
 }
 
--- a/lib/src/load/shares.rs
+++ b/lib/src/load/shares.rs
@@ -1,35 +1,36 @@
 //! How much of a customer's limits this daemon may give out.
 //!
-//! Answers a customer whose requests come in at many daemons. Were each daemon
-//! to allow the whole plan, the customer would get it as many times as there are
-//! daemons; were each to allow an equal part, a customer whose requests reach
-//! few of them would be refused while most of its plan lies idle. One would
-//! notice use above the plan, or refusals below it.
+//! Answers a customer whose requests arrive at many daemons. If each daemon
+//! allowed the whole plan, the customer would get it as many times as there are
+//! daemons; if each allowed an equal part, a customer whose requests reach few of
+//! them would be rejected while most of its plan is unused. It would show as use
+//! above the plan, or rejections below it.
 //!
-//! A small part of each limit, [`BASE`], is split evenly and needs no talk, so
-//! that a first request is never refused for want of a share. The rest follows
-//! demand by claims that daemons tell each other in [`ShareRow`]s:
+//! A small part of each limit, [`BASE`], is split evenly and needs no messages,
+//! so that a first request is never rejected for want of a share. The rest
+//! follows demand by claims, which daemons exchange in [`ShareRow`]s:
 //!
-//! 1. A claim is never more than the limit less all other claims as heard; it is
-//!    cut at once when one hears of too much.
-//! 2. What a daemon gives out is the least of its own claims over the last
+//! 1. A claim is never more than the limit less all claims received from peers;
+//!    it is cut at once when these leave less.
+//! 2. What a daemon gives out is the lowest of its own claims over the last
 //!    [`HOLD`].
+//! 3. While no row has been received from some daemon for longer than [`FRESH`],
+//!    no claim grows, and claims that have grown within `HOLD` fall back.
 //!
-//! 3. While some daemon is silent for longer than [`FRESH`], no claim grows, and
-//!    those that have grown within `HOLD` fall back.
+//! So what all daemons give out never sums above the limit while all receive each
+//! other's rows. Take any daemon `i`: the claim that `i` last received from each
+//! other daemon `k` was written within `HOLD`, as `HOLD` is longer than `FRESH`
+//! and [`TRANSIT`] together; what `k` gives out now is at most that claim, and by
+//! rule 1 these claims and `i`'s own sum to the limit at most.
 //!
-//! So what all daemons give out never sums above the limit while each hears the
-//! others: take any daemon `i`. The claim of each other `k` that `i` heard last
-//! was written within `HOLD`, as `HOLD` is longer than `FRESH` and [`TRANSIT`]
-//! together; what `k` gives out now is at most that claim, and by rule 1 these
-//! and `i`'s own claim sum to the limit at most.
-//!
-//! The claim of a silent daemon goes on counting. After [`GRACE`] those who
-//! still hear more than half of all daemons take it over, as its holder has most
-//! likely died; who hears half or fewer keeps its share and no more. If the
-//! silent ones live, cut off, they keep theirs too: use is then above the limit
-//! by at most the shares of those cut off. A daemon whose count of members is
-//! out of date by `d` of `n` adds at most `BASE * d/n` of the limit.
+//! The claim of an unresponsive daemon continues to count. After [`GRACE`],
+//! daemons that still receive rows from more than half of all daemons, themselves
+//! included, take it over, as its owner has most likely died; a daemon that is in
+//! contact with half or fewer keeps its share and does not grow. If the
+//! unresponsive daemons are alive but partitioned, they keep their shares too:
+//! use is then above the limit by at most the shares of those partitioned. A
+//! daemon whose count of members is out of date by `d` of `n` adds at most `BASE
+//! * d/n` of the limit.
 
 use std::time::{Duration, Instant};
 
@@ -38,25 +39,28 @@
 
 /// Part of each limit that is split evenly among all daemons.
 pub const BASE: f64 = 0.2;
-/// Longest time that a row takes from one daemon to another: gossip has a round
-/// a second, and two hops between availability zones.
+/// Longest time that a row takes from one daemon to another: gossip has one round
+/// per second, and there are two hops between availability zones.
 pub const TRANSIT: Duration = Duration::from_secs(2);
-/// Silence after which a daemon is not counted on: more than the longest time
-/// between two rows that are sent each round and may be late.
+/// Time since a daemon's last row after which it is no longer relied on: more
+/// than the longest time between two rows that are sent each round and may be
+/// late.
 pub const FRESH: Duration = Duration::from_millis(2_500);
-/// Time for which a claim is held before it is given out: the two above, and as
-/// long as a daemon may take to look at what it heard.
+/// Time for which a claim must have stood before it is given out: `FRESH` and
+/// `TRANSIT` together, and as long as a daemon may take to process what it
+/// received.
 pub const HOLD: Duration = Duration::from_secs(5);
-/// Silence after which a daemon counts as gone.
+/// Time since a daemon's last row after which it counts as dead.
 pub const GRACE: Duration = Duration::from_secs(10);
-/// Times its due that a claim may be before it is lowered: demand is noisy, and
-/// each lowering takes `HOLD` to win back.
+/// A claim is lowered only when it is above the daemon's fair part by this
+/// factor: demand is noisy, and what is lowered takes `HOLD` to regain.
 const SLACK: f64 = 1.2;
-/// Time over which demand is averaged.
+/// Time over which demand is averaged, in seconds.
 const WINDOW: f64 = 3.0;
-/// Rate that counts as none, or a row would be told for ever after one request.
+/// Demand per second below which it counts as none; it decays forever, and
+/// without a threshold a row would be sent forever after one request.
 const NOTHING: f64 = 0.001;
-/// Share of a limit below which demand counts as none.
+/// Fraction of a limit below which demand counts as none.
 const LEAST: f64 = 0.001;
 
 /// An amount of each thing that a plan limits.
@@ -72,7 +76,7 @@
 }
 
 impl Amounts {
-    /// What a plan allows.
+    /// Amounts that a plan allows.
     pub fn of(plan: &Plan) -> Self {
         Self {
             requests: plan.requests,
@@ -81,7 +85,7 @@
         }
     }
 
-    /// Puts two together, amount by amount.
+    /// Combines two amounts field by field.
     #[must_use]
     pub fn zip(self, other: Self, join: impl Fn(f64, f64) -> f64) -> Self {
         Self {
@@ -91,40 +95,40 @@
         }
     }
 
-    /// Each amount times a factor.
+    /// Each amount multiplied by `factor`.
     #[must_use]
     pub fn times(self, factor: f64) -> Self {
         self.zip(self, |a, _| a * factor)
     }
 
-    /// Whether there is nothing of anything.
+    /// Whether all amounts are zero.
     pub fn is_zero(&self) -> bool {
         self.requests <= 0.0 && self.tokens <= 0.0 && self.running <= 0.0
     }
 }
 
-/// What a daemon tells the others about one customer. Its writer is the only
-/// one; a later row of the same writer replaces it, and one without any amount
-/// takes it back.
+/// What a daemon advertises to its peers about one customer. Only that daemon
+/// writes it; a later row of the same daemon replaces it, and one without any
+/// amount withdraws it.
 #[proc_macros::row]
 pub struct ShareRow {
-    /// Customer.
+    /// Id of the customer.
     pub customer: CustomerId,
-    /// Daemon that writes it.
+    /// Daemon that wrote the row.
     pub incarnation: Incarnation,
-    /// What the customer asks for there.
+    /// What the customer asks for at that daemon.
     pub demand: Amounts,
     /// What that daemon may give out, now or soon.
     pub claim: Amounts,
 }
 
-/// A row of another daemon.
+/// A row received from a peer.
 #[proc_macros::row]
 #[derive(Copy)]
 pub struct Heard<'a> {
     /// The row.
     pub row: &'a ShareRow,
-    /// When its writer was last heard.
+    /// When anything was last received from its writer.
     pub at: Instant,
 }
 
@@ -134,12 +138,12 @@
 pub struct Members {
     /// How many there should be, by the list of hosts.
     pub all: usize,
-    /// How many it ever heard of and that are not known to be gone for good,
-    /// itself included.
+    /// How many this daemon has ever received from, less those that are known to
+    /// be gone for good; itself included.
     pub known: usize,
-    /// How many of these it heard within `FRESH`, itself included.
+    /// How many of these it received from within `FRESH`, itself included.
     pub fresh: usize,
-    /// How many have been silent for longer than `GRACE`.
+    /// How many of these it has not received from for `GRACE` or longer.
     pub gone: usize,
 }
 
@@ -152,8 +156,8 @@
         self.fresh * 2 > self.count()
     }
 
-    /// Whether claims may grow. A daemon that has just started has heard of few,
-    /// and must not take the rows it lacks for claims that nobody makes.
+    /// Whether claims may grow. A daemon that has just started has received few
+    /// rows, and must not treat the rows it lacks as claims that nobody makes.
     fn is_steady(&self) -> bool {
         if self.most_are_fresh() {
             self.fresh + self.gone >= self.known
@@ -172,7 +176,7 @@
 }
 
 impl Holder {
-    /// No claims.
+    /// Creates a share without claims.
     pub fn new(now: Instant) -> Self {
         Self {
             past: vec![(now, Amounts::default())],
@@ -181,14 +185,16 @@
         }
     }
 
-    /// Notes that the customer asked for something, whether it got it or not.
+    /// Counts a request towards the customer's demand, whether it was admitted or
+    /// not.
     pub fn ask(&mut self, now: Instant, tokens: f64) {
         self.fade(now);
         self.demand.requests += 1.0 / WINDOW;
         self.demand.tokens += tokens / WINDOW;
     }
 
-    /// Notes how many requests are in progress and refused for being too many.
+    /// Raises the demand for requests in progress: those that run, and one more
+    /// if a request was rejected for being too many.
     pub fn run(&mut self, running: f64) {
         self.demand.running = self.demand.running.max(running);
     }
@@ -212,7 +218,7 @@
             .map_or(Amounts::default(), |(_, claim)| *claim)
     }
 
-    /// Claims anew from what is heard of the others.
+    /// Updates the claim by the rows received from peers.
     pub fn turn<'a>(
         &mut self,
         now: Instant,
@@ -254,7 +260,7 @@
         base.zip(self.in_force(now), |a, b| a + b)
     }
 
-    /// Least of the claims over the last `HOLD`.
+    /// Lowest of the claims over the last `HOLD`.
     fn in_force(&self, now: Instant) -> Amounts {
         let first = self.past.iter().rposition(|(at, _)| *at + HOLD <= now);
         let recent = &self.past[first.unwrap_or(0)..];
@@ -263,12 +269,12 @@
         least.unwrap_or_default()
     }
 
-    /// Whether it neither asks for anything nor claims it.
+    /// Whether there is neither demand nor a claim.
     pub fn is_idle(&self) -> bool {
         self.demand.is_zero() && self.claim().is_zero()
     }
 
-    /// Row to tell the others; none if there is nothing to tell.
+    /// Row to send to the peers; none if there is neither demand nor a claim.
     pub fn row(&self, customer: &CustomerId, incarnation: Incarnation) -> Option<ShareRow> {
         let row = ShareRow {
             customer: customer.clone(),
@@ -280,8 +286,8 @@
     }
 }
 
-/// Part of the pool that is due to this daemon: by demand, also of what nobody
-/// asks for, so that there is room for more.
+/// Part of the pool that this daemon's demand entitles it to. All of the pool is
+/// divided by demand, also what nobody asks for, so that there is room to grow.
 fn due(pool: Amounts, own: Amounts, others: Amounts) -> Amounts {
     let demand = own.zip(pool, |own, pool| if own < LEAST * pool { 0.0 } else { own });
     let total = demand.zip(others, |a, b| a + b);
--- a/lib/src/load/state.rs
+++ b/lib/src/load/state.rs
@@ -1,4 +1,4 @@
-//! What a daemon keeps for its decisions under load.
+//! What a daemon stores for its decisions under load.
 
 use std::time::{Duration, Instant};
 
@@ -20,12 +20,12 @@
 use crate::routing::View;
 use crate::table::Table;
 
-/// State of the decisions under load.
+/// State of all decisions under load.
 #[derive(Debug, Default)]
 pub struct Load {
-    /// How each kind of decision is made.
+    /// Method for each kind of decision.
     pub policy: Policy,
-    /// Claims on customers' limits.
+    /// Shares of customers' limits.
     pub board: Board,
     pub(crate) lanes: Table<Lane>,
     pub(crate) gauges: Table<Gauge>,
@@ -38,13 +38,13 @@
     comebacks: Table<Comeback>,
 }
 
-/// Units of work that are left of a waiting request.
+/// Units of work that remain of a waiting request.
 pub(crate) fn left(waiting: &Waiting) -> f64 {
     let left = waiting.order.work().saturating_sub(waiting.delivered);
     f64::from(left.max(1))
 }
 
-/// Place of a waiting request in its queue.
+/// Entry of a waiting request in its service's queue.
 pub(crate) fn entry(waiting: &Waiting) -> Entry {
     Entry {
         id: waiting.order.id,
@@ -62,7 +62,7 @@
         self.lanes.get_mut(service).expect("was just put in")
     }
 
-    /// Builds the queues anew from the requests that wait.
+    /// Makes the queues hold exactly the requests that wait.
     pub(crate) fn requeue(&mut self, requests: &Table<Request>, priorities: &[(CustomerId, u8)]) {
         for lane in &mut self.lanes {
             lane.keep(|entry| matches!(requests.get(&entry.id), Some(Request::Waiting(_))));
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Forgets sendings that run no more.
+    /// Removes attempts that are no longer in flight.
     pub(crate) fn prune(&mut self, requests: &Table<Request>) {
         let mut attempts: Vec<AttemptId> = requests.iter().filter_map(Request::attempt).collect();
         attempts.sort_unstable();
@@ -88,7 +88,7 @@
             .retain(|sent| attempts.binary_search(&sent.id).is_ok());
     }
 
-    /// Retries that a service has left.
+    /// Retry budget of a service.
     pub(crate) fn budget(&mut self, service: &ServiceId) -> &mut Budget {
         if !self.budgets.contains(service) {
             self.budgets.insert(Budget::new(service.clone()));
@@ -96,7 +96,7 @@
         self.budgets.get_mut(service).expect("was just put in")
     }
 
-    /// When a request is to come back that is late by `excess`.
+    /// When to retry a request that would have been late by `excess`.
     pub(crate) fn come_back(
         &mut self,
         now: Instant,
@@ -113,19 +113,19 @@
         comeback.tell(now, excess, work, rate, draw)
     }
 
-    /// Number of requests that wait, for all services.
+    /// Number of waiting requests of all services.
     pub fn waiting(&self) -> usize {
         self.lanes.iter().map(|lane| lane.len() as usize).sum()
     }
 
-    /// A request waits from now on.
+    /// Adds a waiting request to the queue of its service.
     pub(crate) fn wait(&mut self, priority: u8, waiting: &Waiting) {
         let customer = &waiting.order.customer;
         self.lane(&waiting.order.service)
             .push(priority, customer, entry(waiting));
     }
 
-    /// A request ended, whether it waited or ran.
+    /// Removes a request that ended, whether it was waiting or running.
     pub(crate) fn forget(&mut self, request: &Request) {
         if let Some(attempt) = request.attempt() {
             self.sent.remove(&attempt);
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Takes a request out of the queue of its service.
+    /// Removes a request from the queue of its service.
     pub(crate) fn unqueue(&mut self, service: &ServiceId, customer: &CustomerId, entry: &Entry) {
         if let Some(lane) = self.lanes.get_mut(service) {
             lane.remove(customer, entry);
@@ -153,9 +153,9 @@
             .map_or_else(Capacity::default, |pool| pool.capacity)
     }
 
-    /// Keeps a gauge for each endpoint and no other, so that both tables can be
-    /// walked side by side. Another version under the same id starts anew: what
-    /// was measured of the old one would misjudge it.
+    /// Keeps measurements for each endpoint and no other, so that both tables can
+    /// be iterated side by side. Another version under the same id starts without
+    /// measurements: those of the old version would misjudge it.
     pub(crate) fn attend(&mut self, now: Instant, endpoints: &Table<Endpoint>, ceiling: u32) {
         let pairs = endpoints.iter().zip(&self.gauges);
         let mut same = pairs.map(|(e, g)| e.id == g.id && e.version == g.version);
@@ -171,7 +171,8 @@
         }
     }
 
-    /// Sets how many requests each endpoint gets at once; `ceiling` at most.
+    /// Sets how many requests each endpoint gets at the same time, at most
+    /// `ceiling`.
     pub(crate) fn limit(&self, endpoints: &mut Table<Endpoint>, ceiling: u32) {
         for (endpoint, gauge) in endpoints.iter_mut().zip(&self.gauges) {
             endpoint.limit = match self.policy.concurrency {
@@ -184,8 +185,8 @@
         }
     }
 
-    /// Seconds per unit of work that are usual among a service's endpoints: the
-    /// lower median, so that of two the better one sets the norm.
+    /// Seconds per unit of work that are typical of a service's endpoints: the
+    /// lower median, so that of two endpoints the better one sets the norm.
     pub(crate) fn normal(&self, service: &ServiceId) -> Option<f64> {
         let here = self.gauges.iter().filter(|g| g.service == *service);
         let mut paces: Vec<f64> = here.filter_map(|g| g.meter.pace()).collect();
@@ -194,8 +195,8 @@
         paces.get(middle).copied()
     }
 
-    /// Share of failures that is usual among the fellows of an endpoint: the
-    /// lower median; 0 if it has none.
+    /// Share of failures that is typical of the other endpoints of a service: the
+    /// lower median; 0 if there are none.
     pub(crate) fn usual(&self, service: &ServiceId, but: &EndpointId) -> f64 {
         let gauges = self.gauges.iter();
         let others = gauges.filter(|g| g.service == *service && g.id != *but);
@@ -205,7 +206,7 @@
         shares.get(middle).copied().unwrap_or(0.0)
     }
 
-    /// Notes what runs at each endpoint.
+    /// Updates the meters with the number of requests that run at each endpoint.
     pub(crate) fn gauge(&mut self, now: Instant, endpoints: &Table<Endpoint>) {
         for (endpoint, gauge) in endpoints.iter().zip(&mut self.gauges) {
             gauge.meter.turn(now, endpoint.running);
@@ -216,7 +217,7 @@
         }
     }
 
-    /// Adds up what the open endpoints of each service can do.
+    /// Adds up the capacity of the available endpoints of each service.
     pub(crate) fn pool(&mut self, now: Instant, endpoints: &Table<Endpoint>, view: &View) {
         self.pools = Table::new();
         let pairs = endpoints.iter().zip(&self.gauges).enumerate();
@@ -236,7 +237,7 @@
         self.join(now);
     }
 
-    /// Sets what the endpoints can do one by one against what they did together.
+    /// Corrects each pool by what was measured over its whole service.
     fn join(&mut self, now: Instant) {
         for pool in &mut self.pools {
             if !self.wholes.contains(&pool.service) {
@@ -257,7 +258,7 @@
         }
     }
 
-    /// Learns from a request that ran until now.
+    /// Records an attempt that was in flight until now.
     pub(crate) fn learn(&mut self, now: Instant, sent: &Sent) -> Option<Sample> {
         if let Some(whole) = self.wholes.get_mut(&sent.service) {
             whole.learn(now, sent);
@@ -270,7 +271,7 @@
         Some(sample)
     }
 
-    /// Notes what a request was sent with.
+    /// Records an attempt that is sent now, with the state of the meters.
     pub(crate) fn mark(&mut self, now: Instant, id: AttemptId, endpoint: &EndpointId, work: f64) {
         if let Some(gauge) = self.gauges.get(endpoint) {
             let mark = gauge.meter.mark(now);
--- a/lib/src/load/whole.rs
+++ b/lib/src/load/whole.rs
@@ -1,7 +1,7 @@
-//! What is measured of all endpoints of a service together.
+//! Measurements of all endpoints of a service together.
 //!
-//! Single endpoints tell too little where there are thousands: a daemon sends
-//! each of them a request in half a minute.
+//! Measurements of single endpoints show too little where there are thousands: a
+//! daemon sends each of them one request per half minute.
 
 use std::time::Instant;
 
@@ -12,24 +12,24 @@
 use crate::load::sent::Sent;
 use crate::table::Row;
 
-/// Most requests that a daemon has at a service at once.
+/// Most requests that a daemon runs at a service at the same time.
 const MOST_RUNNING: u32 = 100_000;
 
-/// What is measured of all endpoints of a service together.
+/// Measurements of all endpoints of a service together.
 #[proc_macros::row]
 pub(crate) struct Whole {
-    /// Service.
+    /// Id of the service.
     pub(crate) service: ServiceId,
     /// How fast they do this daemon's work together.
     pub(crate) meter: Meter,
-    /// How many requests this daemon has there at once.
+    /// How many requests this daemon may run there at the same time.
     pub(crate) limiter: Limiter,
-    /// How long single requests take.
+    /// How long single requests take per unit of work.
     pub(crate) pace: Pace,
 }
 
 impl Whole {
-    /// Nothing measured yet.
+    /// Creates empty measurements.
     pub(crate) fn new(service: ServiceId, now: Instant) -> Self {
         Self {
             service,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Learns from a request that ran until now.
+    /// Records an attempt that was in flight until now.
     pub(crate) fn learn(&mut self, now: Instant, sent: &Sent) {
         let limit = self.limiter.limit();
         self.pace.add(now, sent.work, sent.mark.age(now));
--- a/lib/tests/test_load.rs
+++ b/lib/tests/test_load.rs
@@ -1,4 +1,4 @@
-//! Decisions under load, by replay of the committed traces.
+//! Decisions under load, tested by replay of the committed traces.
 
 use std::time::{Duration, Instant};
 
@@ -47,9 +47,9 @@
     }
 }
 
-/// Far more requests come than the endpoints can do. With nothing turned away
-/// each one is begun late and hardly any is answered in time: guests wait in
-/// front of a spinner and then get an error.
+/// Far more requests arrive than the endpoints can do. If none is rejected, each
+/// one starts late and hardly any is answered in time: callers wait and then get
+/// an error.
 #[test]
 fn goodput_does_not_fall_as_load_grows() {
     let once = goodput(&play("saturation-1", Policy::default()));
@@ -61,9 +61,9 @@
     }
 }
 
-/// A request that cannot be done in time is turned away. Its caller would lose
-/// the whole deadline if the answer came at its end, and could not say when to
-/// try again.
+/// A request that cannot be done in time must be rejected on arrival. Otherwise
+/// its caller waits for the whole deadline, gets its answer only then, and does
+/// not know when to retry.
 #[test]
 fn who_is_too_late_hears_so_at_once_and_when_to_come_back() {
     let admission = Policy {
@@ -90,9 +90,9 @@
     }
 }
 
-/// More customers' work is let in than fits when load overtakes the forecast.
-/// What never left for an endpoint must be said to have not run, and nothing
-/// that left may be.
+/// More work is admitted than fits when load grows faster than forecast. A
+/// request that was never sent to an endpoint must be reported as not run, and a
+/// request that was sent must not be.
 #[test]
 fn only_what_never_left_is_called_not_run() {
     for name in ["burst", "saturation-5"] {
@@ -105,8 +105,8 @@
 }
 
 /// One customer sends twenty-five times what another does, and more than the
-/// endpoints can do. In order of arrival the quiet one's guests share the
-/// flood's fate: nine in ten time out through no doing of their own.
+/// endpoints can do. In order of arrival, nine in ten of the quiet customer's
+/// requests time out too, through no fault of its own.
 #[test]
 fn a_quiet_customer_beside_a_flood_is_served() {
     let ours = driver::of(&play("flood", Policy::default()), "quiet");
@@ -115,8 +115,8 @@
     assert!(share(&plain, Ended::good) <= 0.5);
 }
 
-/// Season plans fill the endpoints and tags come among them. The front desk
-/// notices tags that come after the guest has left.
+/// Long requests fill the endpoints and short ones arrive among them. If the
+/// short ones wait behind them, their answers come after the caller has left.
 #[test]
 fn short_work_among_long_is_on_time() {
     let ended = play("long", Policy::default());
@@ -125,9 +125,9 @@
     assert!(share(&driver::of(&ended, "plan"), Ended::good) >= 0.8);
 }
 
-/// A burst of five seconds asks several times what the endpoints can do. Served
-/// in order of arrival, everyone behind the burst is late, also those who ask
-/// for other things.
+/// A burst of five seconds asks for several times what the endpoints can do.
+/// Served in order of arrival, every request behind the burst is late, also those
+/// for other work.
 #[test]
 fn a_burst_leaves_other_work_on_time() {
     let ours = play("burst", Policy::default());
@@ -146,9 +146,9 @@
     }
 }
 
-/// One endpoint of four turns ten times slower, as one whose host throttles
-/// does. It ends nothing wrongly, so nothing but its slowness shows; a quarter
-/// of the guests wait until their deadline for as long as it gets work.
+/// One endpoint of four becomes ten times slower, as one whose host throttles
+/// does. It reports no errors, so only its slowness shows; a quarter of the
+/// callers wait until their deadline for as long as it gets requests.
 #[test]
 fn a_slow_endpoint_is_kept_from_work_and_comes_back() {
     let late = |policy| {
@@ -166,8 +166,8 @@
     assert!(ours < 0.6 * plain, "{ours} against {plain}");
 }
 
-/// Two endpoints of four break most of what they are given. They are idle
-/// sooner than the others, so the least loaded choice sends them ever more.
+/// Two endpoints of four fail most of their requests. They are idle sooner than
+/// the others, so least-loaded choice sends them ever more.
 #[test]
 fn failing_endpoints_are_kept_from_work() {
     let good = |policy| {
@@ -185,7 +185,7 @@
     assert!(f64::from(sends) <= 1.2 * ended.len() as f64, "{sends}");
 }
 
-/// Every endpoint refuses connections. Callers must hear at once that nothing
+/// Every endpoint refuses connections. Callers must be told at once that nothing
 /// ran; waiting for the deadline would not bring an endpoint back.
 #[test]
 fn when_all_refuse_the_final_answer_comes_at_once() {
@@ -199,9 +199,9 @@
     assert!(at_once >= 0.9, "{at_once}");
 }
 
-/// Endpoints break whatever they get past fourteen requests at once, as when
-/// memory for the cache runs out, and nothing in their latency warns of it. With
-/// a fixed limit, and with tries on top, most guests see an error.
+/// Endpoints fail all requests past fourteen at the same time, as when memory for
+/// the cache runs out, and nothing in their latency shows it. With a fixed limit,
+/// and with retries on top, most callers get an error.
 #[test]
 fn endpoints_that_break_when_crowded_get_fewer_at_once() {
     let good = |policy| {
@@ -219,8 +219,9 @@
     assert!(ours > 0.4 && ours > 2.0 * plain, "{ours} against {plain}");
 }
 
-/// Four daemons send to the same endpoints and none knows of the others' work.
-/// Each queues little, so each would let everything in, and all of it is late.
+/// Four daemons send to the same endpoints and none knows of the others'
+/// requests. Each has a short queue, so each would admit everything, and all of
+/// it is late.
 #[test]
 fn daemons_that_share_endpoints_turn_away_what_none_of_them_queues() {
     let play = |load, policy| {
@@ -236,9 +237,9 @@
     assert!(ours >= 0.8 * once, "{ours} against {once}");
 }
 
-/// Load falls back to a third of what the endpoints can do after twenty seconds
-/// of five times as much. What was learnt under overload must not outlive it:
-/// guests would be turned away by endpoints that stand idle.
+/// Load falls to a third of what the endpoints can do after twenty seconds of
+/// five times as much. Measurements made under overload must not outlast it:
+/// callers would be rejected while endpoints are idle.
 #[test]
 fn after_overload_nobody_is_turned_away_for_long() {
     let mut streams = generate::short(5.0, 20.0);
@@ -256,15 +257,15 @@
             let late = ended.iter().filter(|e| e.arrival.at >= from && !e.good());
             late.count()
         };
-        // What was sent under overload ends by 28 s, and tells of it for 2 s more.
+        // Requests sent under overload end by 28 s, and count for 2 s more.
         let soon = late(22_000) - late(30_000);
         assert!(soon <= 12, "{daemons} daemons: {soon} in eight seconds");
         assert_eq!(late(30_000), 0, "{daemons} daemons");
     }
 }
 
-/// Guests who were turned away come back when they are told to. Told only how
-/// late they were, all of a burst come back together and are turned away again.
+/// Rejected callers retry at the time they are told. If they were told only how
+/// late they were, all of a burst would retry together and be rejected again.
 #[test]
 fn who_comes_back_when_told_is_served() {
     let mut scene = scene(Policy::default());
--- a/lib/tests/test_load_parts.rs
+++ b/lib/tests/test_load_parts.rs
@@ -1,4 +1,4 @@
-//! The parts of `load`, each alone.
+//! The modules of `load`, each tested independently.
 
 use std::time::{Duration, Instant};
 
@@ -21,9 +21,9 @@
 proptest! {
     #![proptest_config(testutils::fixed(64))]
 
-    /// Two customers of one priority keep asking, one for long work and one for
-    /// short. Neither may get more of the endpoints than the other by more than
-    /// a piece of work and a round, or the one with the short requests waits.
+    /// Two customers of one priority keep sending, one long requests and one
+    /// short ones. Neither may get more work done than the other by more than one
+    /// request and a round, or the customer with the short requests waits.
     #[test]
     fn customers_get_equal_work(long in 1_000u32..8_000, short in 1u32..300) {
         let origin = Instant::now();
@@ -45,9 +45,9 @@
         }
     }
 
-    /// A request of the lowest priority waits while higher ones never run dry.
-    /// Its customer notices nothing as long as the stated bound holds; with
-    /// strict priorities it would never be sent.
+    /// A request of the lowest priority waits while higher ones always have
+    /// requests waiting. It must be sent within the stated bound; with strict
+    /// priorities it would never be sent.
     #[test]
     fn a_low_priority_is_sent_within_the_stated_bound(
         high in 1u8..4,
@@ -75,8 +75,8 @@
         prop_assert!(done <= bound, "{done} of {bound}");
     }
 
-    /// What is put in comes out once, whatever is taken out, put back or
-    /// withdrawn between; a lost entry would be a caller who hears nothing.
+    /// Every entry that is added comes out once, whatever is popped, restored or
+    /// removed in between; the caller of a lost entry would never get an answer.
     #[test]
     fn a_lane_loses_nothing(
         steps in prop::collection::vec((0u8..4, 0u8..4, 0u8..4, 1u32..3_000), 1..300),
@@ -121,7 +121,7 @@
         prop_assert_eq!(out, expected);
     }
 
-    /// Whatever latencies come, the limit stays between its floor and its
+    /// Whatever the latencies are, the limit stays between its minimum and its
     /// ceiling: at zero the endpoint would never be tried again.
     #[test]
     fn a_limit_stays_in_its_bounds(
@@ -136,8 +136,8 @@
     }
 }
 
-/// Within a customer the earliest deadline goes first; otherwise a guest with
-/// little time left waits behind a plan that has an hour.
+/// Within a customer the earliest deadline goes first; otherwise a request with
+/// little time left waits behind one that has an hour.
 #[test]
 fn the_earliest_deadline_of_a_customer_goes_first() {
     let origin = Instant::now();
@@ -151,8 +151,8 @@
     assert_eq!(ids, [2, 3, 1]);
 }
 
-/// Feeds a limiter with an endpoint of which every request up to `knee` runs at
-/// full speed and more share it.
+/// Feeds a limiter with an endpoint that runs up to `knee` requests at full speed
+/// and is shared evenly by more.
 fn feed(limiter: &mut Limiter, knee: f64, speed: f64, rounds: usize) {
     for _ in 0..rounds {
         let running = f64::from(limiter.limit());
@@ -161,8 +161,8 @@
     }
 }
 
-/// An endpoint turns slow, as one whose host throttles does. With a fixed limit
-/// it keeps as many requests as a sound one, and all of them are late.
+/// An endpoint becomes slow, as one whose host throttles does. With a fixed limit
+/// it keeps as many requests as a healthy one, and all of them are late.
 #[test]
 fn a_limit_finds_the_knee_and_follows_a_slow_endpoint() {
     let mut limiter = Limiter::new(64);
@@ -175,8 +175,8 @@
     assert!(limiter.limit() >= 20, "{}", limiter.limit());
 }
 
-/// A service fails altogether. Were every request sent three times, its
-/// endpoints would get three times the load just when they can carry least.
+/// All requests of a service fail. If each were attempted three times, its
+/// endpoints would get three times the load just when they can do least.
 #[test]
 fn retries_stay_a_fraction_of_successes() {
     let mut budget = Budget::new("chat".into());
@@ -190,8 +190,8 @@
     assert!((95..=100).contains(&spent), "{spent}");
 }
 
-/// An endpoint breaks everything. Its callers see errors until it is kept from
-/// work; if it came back with full load every time, they would see them again.
+/// An endpoint fails every request. Its callers get errors until it is ejected;
+/// if it came back with full load every time, they would get them again.
 #[test]
 fn an_endpoint_that_keeps_failing_rests_longer_each_time() {
     let mut now = Instant::now();
@@ -222,8 +222,8 @@
     assert_eq!(ejection.state(), State::Open);
 }
 
-/// A fault common to all endpoints makes each look bad. Were all ejected, the
-/// service would be out altogether.
+/// A fault common to all endpoints makes each look bad. If all were ejected, the
+/// whole service would be down.
 #[test]
 fn at_least_half_of_the_endpoints_stay_open() {
     for all in 0..50 {
@@ -236,8 +236,8 @@
     }
 }
 
-/// Some requests break whatever the load, for a reason of their own. If each
-/// shrank the limit, a sound endpoint would end with one request at a time.
+/// Some requests fail whatever the load is. If each shrank the limit, a healthy
+/// endpoint would end with one request at a time.
 #[test]
 fn only_failures_that_come_with_load_shrink_a_limit() {
     let mut limiter = Limiter::new(64);
@@ -257,8 +257,9 @@
     assert!(limiter.limit() <= 4, "{}", limiter.limit());
 }
 
-/// Overload by others' requests shows in requests that do not end. If only those
-/// that end told of it, each daemon would go on letting in what will be late.
+/// Overload by other daemons' requests shows in requests that do not end. If only
+/// completed ones counted, each daemon would continue to admit requests that will
+/// be late.
 #[test]
 fn requests_that_run_on_show_that_times_are_bad() {
     let now = Instant::now();
@@ -284,8 +285,8 @@
     near(pace.now(later, 0.004, long.into_iter()), 0.05);
 }
 
-/// A thousand callers of one burst are turned away. They are told to come back
-/// no faster than they can be served, and none later than half a minute or so.
+/// A thousand callers of one burst are rejected. They are told to retry no faster
+/// than they can be served, and none later than about half a minute.
 #[test]
 fn callers_are_told_to_come_back_one_after_another() {
     let now = Instant::now();
--- a/lib/tests/test_load_schedules.rs
+++ b/lib/tests/test_load_schedules.rs
@@ -1,5 +1,5 @@
-//! What must hold for every request, over generated schedules of arrivals,
-//! outcomes, cancels and leaving endpoints.
+//! Invariants of every request, over generated schedules of arrivals, outcomes,
+//! cancellations and leaving endpoints.
 
 use std::time::{Duration, Instant};
 
@@ -63,7 +63,7 @@
 #[derive(Debug, Default)]
 struct Record {
     repeatable: bool,
-    /// Sendings, with whether something of each left.
+    /// Attempts, with whether any byte of each was sent.
     sends: Vec<(u128, EndpointId, bool)>,
     endings: Vec<Ending>,
 }
@@ -258,25 +258,26 @@
 proptest! {
     #![proptest_config(testutils::fixed(400))]
 
-    /// Requests arrive, break, are refused, come late, lose their callers and
-    /// their endpoints, in any order. A caller who hears nothing waits for ever,
-    /// one who hears twice gets another's answer, and one who is told "not run"
-    /// of a booking that ran books twice.
+    /// Requests arrive, fail, are rejected, are late, lose their callers and
+    /// their endpoints, in any order. A caller that gets no ending waits forever,
+    /// one that gets two takes another request's answer for its own, and one
+    /// whose booking ran but is reported as "not run" books twice.
     #[test]
     fn every_request_ends_once_and_truly(steps in steps()) {
         check(Policy::default(), &steps)?;
     }
 
-    /// The same holds for the plain decisions, against which ours are measured.
+    /// The same holds for the plain policy, which the adaptive one is compared
+    /// with.
     #[test]
     fn every_request_ends_once_and_truly_by_the_plain_policy(steps in steps()) {
         check(Policy::plain(), &steps)?;
     }
 }
 
-/// Another system makes a running request wait by changing its row, as when its
-/// endpoint leaves. Were it in no queue, its caller would wait for the deadline
-/// in front of free endpoints. The service is in no list of settings, either.
+/// Another system sets a running request to waiting by changing its row, as when
+/// its endpoint leaves. If the request is in no queue, its caller waits for the
+/// deadline while endpoints are free. The service is not in the settings either.
 #[test]
 fn what_is_made_to_wait_by_hand_is_sent() {
     let mut run = Run::new(Policy::default());
--- a/lib/tests/test_load_shares.rs
+++ b/lib/tests/test_load_shares.rs
@@ -1,4 +1,5 @@
-//! Shares of a customer's limits across daemons, over generated demands and cuts.
+//! Shares of a customer's limits across daemons, over generated demands and
+//! partitions.
 
 use std::time::{Duration, Instant};
 
@@ -25,9 +26,10 @@
 proptest! {
     #![proptest_config(testutils::fixed(48))]
 
-    /// Demand jumps between daemons while rows are late, lost to no one. Did two
-    /// daemons raise their shares into the same room, the customer would use
-    /// more than its plan, and others would pay for it with their latency.
+    /// Demand moves between daemons while rows are delayed but not lost. If two
+    /// daemons raised their shares by the same free part of the limit, the
+    /// customer would use more than its plan, and others would pay for it with
+    /// their latency.
     #[test]
     fn shares_never_sum_above_the_limit_among_daemons_that_hear_each_other(
         count in 1usize..9,
@@ -48,9 +50,9 @@
         }
     }
 
-    /// Availability zones lose each other and come back. Each side goes on with
-    /// what it has; the side with most daemons takes over what the others had,
-    /// so use may exceed the plan by the shares of those cut off, not more.
+    /// Availability zones are partitioned. Each side continues with what it has;
+    /// the side with most daemons takes over what the others had, so use may
+    /// exceed the plan by the shares of the daemons cut off, and by no more.
     #[test]
     fn overshoot_in_a_cut_is_at_most_the_shares_of_those_cut_off(
         sides in prop::collection::vec(0usize..3, 8),
@@ -89,10 +91,11 @@
 proptest! {
     #![proptest_config(testutils::fixed(48))]
 
-    /// Daemons die, with and without notice, and others start that know nobody.
-    /// A daemon that took what it has not heard of for free would give out what
-    /// others give out; use may exceed the plan by the even part of those who
-    /// joined and are not on the list of hosts yet, and no more.
+    /// Daemons die, announced and unannounced, and others start that know no
+    /// peer. A daemon that treated claims it has not received as free would give
+    /// out what others give out; use may exceed the plan by the base shares of
+    /// the daemons that joined and are not on the list of hosts yet, and by no
+    /// more.
     #[test]
     fn overshoot_of_joins_is_at_most_their_even_part(
         changes in prop::collection::vec((0u8..5, any::<usize>(), 1usize..60), 1..12),
@@ -126,8 +129,8 @@
     }
 }
 
-/// All of a customer's requests come to one daemon of eight. With equal parts
-/// seven eighths of what the customer pays for would be refused.
+/// All of a customer's requests arrive at one daemon of eight. With equal parts,
+/// seven eighths of what the customer pays for would be rejected.
 #[test]
 fn shares_follow_demand() {
     let mut fleet = Fleet::new(8, LIMIT, Duration::from_secs(1), 3);
@@ -146,8 +149,9 @@
     assert!(fleet.share(2).requests <= 20.0, "{:?}", fleet.share(2));
 }
 
-/// One daemon is cut off from all others. Its callers go on being served within
-/// the share it had; growing would spend what the others give out too.
+/// One daemon is cut off from all others. It continues to serve its callers
+/// within the share it had; a larger share would give out what the others give
+/// out too.
 #[test]
 fn a_daemon_cut_off_keeps_its_last_share() {
     let mut fleet = Fleet::new(4, LIMIT, Duration::from_secs(1), 4);
@@ -168,8 +172,8 @@
     );
 }
 
-/// One customer's requests reach two daemons, four times what its plan allows
-/// at each. Together they must not let in more than the plan, and not much less.
+/// One customer's requests arrive at two daemons, four times what its plan allows
+/// at each. Together they must not admit more than the plan, and not much less.
 #[test]
 fn two_daemons_keep_one_plan_together() {
     let origin = Instant::now();
@@ -229,7 +233,7 @@
     }
 }
 
-/// Answers to all that was sent.
+/// Ends each attempt with a complete answer.
 fn sends(commands: &[Command]) -> Vec<Input> {
     let mut ends = Vec::new();
     for command in commands {
