--- a/daemon/src/core/views.rs
+++ b/daemon/src/core/views.rs
@@ -164,7 +164,7 @@
 
     fn handle(&mut self, _: SharesOf, _: &mut Context<Self>) -> Self::Result {
         let world = &self.world;
-        MessageResult(world.load.board.rows(world.setup.incarnation))
+        MessageResult(world.load.shares.rows(world.setup.incarnation))
     }
 }
 
--- a/lib/benches/load.rs
+++ b/lib/benches/load.rs
@@ -15,8 +15,8 @@
 
 use driver::{Arrival, Ended, Scene, goodput, of, quantile, share};
 use fleet::Fleet;
-use poplarvale_lib::load::board::Board;
-use poplarvale_lib::load::shares::{Amounts, ShareRow, TRANSIT};
+use poplarvale_lib::load::share_table::ShareTable;
+use poplarvale_lib::load::shares::{Amounts, MAX_TRANSIT, ShareRow};
 use poplarvale_lib::load::{Choice, Policy};
 use poplarvale_lib::{Command, CustomerId, Input, Outcome, World};
 use testutils::fake_endpoints::{Behaviour, Slow};
@@ -220,9 +220,9 @@
     println!("claiming anew for 20 busy customers, microseconds (median of 200)");
     for daemons in [8, 40, 400] {
         let origin = Instant::now();
-        let mut board = Board::default();
+        let mut board = ShareTable::default();
         let customers: Vec<CustomerId> = (0..20).map(|n| format!("c{n}").into()).collect();
-        board.expect(daemons);
+        board.set_expected(daemons);
         for incarnation in 1..daemons as u64 {
             for customer in &customers {
                 let row = ShareRow {
@@ -231,15 +231,15 @@
                     demand: LIMIT.times(0.01),
                     claim: LIMIT.times(0.5 / daemons as f64),
                 };
-                board.hear(origin, row);
+                board.apply_row(origin, row);
             }
         }
         let mut times: Vec<f64> = (0..200)
             .map(|_| {
                 let begin = Instant::now();
                 for customer in &customers {
-                    board.ask(origin, customer, 100.0);
-                    board.claim(origin, customer, LIMIT, 1.0);
+                    board.record_request(origin, customer, 100.0);
+                    board.update_claim(origin, customer, LIMIT, 1.0);
                 }
                 begin.elapsed().as_secs_f64() * 1e6
             })
@@ -262,7 +262,7 @@
 fn shares() {
     println!("shares of 100 requests/s among 8 daemons, 80/s asked for");
     for hot in [8, 4, 2, 1] {
-        let mut fleet = Fleet::new(8, LIMIT, TRANSIT, 31);
+        let mut fleet = Fleet::new(8, LIMIT, MAX_TRANSIT, 31);
         let ask = |at: usize| if at < hot { 80.0 / hot as f64 } else { 0.0 };
         let asks: Vec<f64> = (0..8).map(ask).collect();
         for _ in 0..120 {
@@ -274,7 +274,7 @@
         let even: f64 = asks.iter().map(|ask| ask.min(100.0 / 8.0)).sum();
         println!("  at {hot} daemons: even split {even:4.0}/s, shares by demand {given:4.0}/s");
     }
-    let mut fleet = Fleet::new(8, LIMIT, TRANSIT, 32);
+    let mut fleet = Fleet::new(8, LIMIT, MAX_TRANSIT, 32);
     let mut asks = [0.0; 8];
     asks[0] = 80.0;
     for _ in 0..120 {
@@ -298,7 +298,7 @@
         let mut held = 0.0_f64;
         for seed in 0..20 {
             let mut rng = fastrand::Rng::with_seed(seed);
-            let mut fleet = Fleet::new(8, LIMIT, TRANSIT, seed);
+            let mut fleet = Fleet::new(8, LIMIT, MAX_TRANSIT, seed);
             let sides: Vec<usize> = (0..8).map(|at| usize::from(at < cut)).collect();
             for (phase, most) in most.iter_mut().enumerate() {
                 let asks: Vec<f64> = (0..8).map(|_| 40.0 * rng.f64()).collect();
--- a/lib/src/load.rs
+++ b/lib/src/load.rs
@@ -5,24 +5,24 @@
 //! no network and no clock, and takes the time as an argument. [`Load`] holds
 //! their state for a daemon; the systems feed it and query it.
 
-pub mod board;
-pub mod budget;
-pub mod comeback;
 pub mod ejection;
-pub mod fair;
+pub mod fair_queue;
 pub mod forecast;
 pub mod limiter;
 pub mod meter;
-pub mod pace;
 pub mod policy;
+pub mod retry_after;
+pub mod retry_budget;
+pub mod share_table;
 pub mod shares;
+pub mod unit_time;
 
-mod gauge;
+mod endpoint_stats;
+mod in_flight;
 mod pool;
-mod sent;
+mod service_stats;
 mod state;
-mod whole;
 
 pub use policy::{Choice, Policy};
 pub use state::Load;
-pub(crate) use state::left;
+pub(crate) use state::remaining_work;
--- a/lib/src/load/ejection.rs
+++ b/lib/src/load/ejection.rs
@@ -16,33 +16,35 @@
 use std::time::{Duration, Instant};
 
 /// Consecutive failures that eject: one or two happen by chance.
-const ROW: u32 = 3;
+const CONSECUTIVE_FAILURES: u32 = 3;
 /// Share of failures among the recent requests that ejects, consecutive or not.
-const SHARE: f64 = 0.5;
+const MAX_FAILURE_RATIO: f64 = 0.5;
 /// Weight of the latest outcome in that share: about the last ten count.
-const GAIN: f64 = 0.1;
+const FAILURE_GAIN: f64 = 0.1;
 /// An endpoint is an outlier if its share of failures is above the other
 /// endpoints' times this factor. When all fail alike, ejecting half of them only
 /// adds load to the rest.
-const WORSE: f64 = 2.0;
+const OUTLIER_FACTOR: f64 = 2.0;
 /// An endpoint is slow if it takes longer than the others by this factor. Batches
 /// of different size make a difference up to the limiter's tolerance; more than
 /// twice that has no legitimate cause.
-pub const SLOW: f64 = 3.0;
+pub const SLOW_FACTOR: f64 = 3.0;
 /// Duration of the first ejection.
-const REST: Duration = Duration::from_secs(2);
+const FIRST_EJECTION: Duration = Duration::from_secs(2);
 /// Longest ejection: an endpoint that has recovered is back within this time.
-const LONGEST: Duration = Duration::from_secs(30);
+const MAX_EJECTION: Duration = Duration::from_secs(30);
 /// Time in use after which earlier ejections are forgotten.
-const FORGET: Duration = Duration::from_mins(1);
+const RESET_AFTER: Duration = Duration::from_mins(1);
 
 /// Whether an endpoint gets requests.
 #[proc_macros::kind]
 pub enum State {
     /// Gets requests.
-    Open,
+    #[serde(rename = "open")]
+    Healthy,
     /// Gets none until the ejection is over.
-    Resting,
+    #[serde(rename = "resting")]
+    Ejected,
     /// Gets one request at a time until one succeeds.
     Probing,
 }
@@ -51,9 +53,9 @@
 #[proc_macros::row]
 pub struct Ejection {
     state: State,
-    row: u32,
-    failed: f64,
-    rests: u32,
+    consecutive: u32,
+    failure_ratio: f64,
+    ejections: u32,
     until: Instant,
 }
 
@@ -61,10 +63,10 @@
     /// State of an endpoint of which nothing is known.
     pub fn new(now: Instant) -> Self {
         Self {
-            state: State::Open,
-            row: 0,
-            failed: 0.0,
-            rests: 0,
+            state: State::Healthy,
+            consecutive: 0,
+            failure_ratio: 0.0,
+            ejections: 0,
             until: now,
         }
     }
@@ -76,73 +78,76 @@
 
     /// End of the ejection; none if it is not ejected.
     pub fn until(&self) -> Option<Instant> {
-        (self.state == State::Resting).then_some(self.until)
+        (self.state == State::Ejected).then_some(self.until)
     }
 
     /// Counts a success; `slow` if it took too long. Returns whether this is a
     /// reason to eject the endpoint.
-    pub fn succeed(&mut self, now: Instant, slow: bool) -> bool {
-        self.row = 0;
-        self.failed -= GAIN * self.failed;
+    pub fn record_success(&mut self, now: Instant, slow: bool) -> bool {
+        self.consecutive = 0;
+        self.failure_ratio -= FAILURE_GAIN * self.failure_ratio;
         if self.state != State::Probing {
             return false;
         }
         if !slow {
-            self.state = State::Open;
+            self.state = State::Healthy;
             self.until = now;
         }
         slow
     }
 
     /// Counts a failure. Returns whether this is a reason to eject the endpoint.
-    pub fn fail(&mut self) -> bool {
-        self.row += 1;
-        self.failed += GAIN * (1.0 - self.failed);
-        let bad = self.row >= ROW || self.failed >= SHARE;
+    pub fn record_failure(&mut self) -> bool {
+        self.consecutive += 1;
+        self.failure_ratio += FAILURE_GAIN * (1.0 - self.failure_ratio);
+        let bad =
+            self.consecutive >= CONSECUTIVE_FAILURES || self.failure_ratio >= MAX_FAILURE_RATIO;
         match self.state {
-            State::Open => bad,
+            State::Healthy => bad,
             State::Probing => true,
-            State::Resting => false,
+            State::Ejected => false,
         }
     }
 
     /// Share of failures among the recent requests.
-    pub fn failed(&self) -> f64 {
-        self.failed
+    pub fn failure_ratio(&self) -> f64 {
+        self.failure_ratio
     }
 
     /// Whether it fails more than the other endpoints do, given the share that is
     /// typical of them.
-    pub fn worse(&self, usual: f64) -> bool {
-        self.failed > WORSE * usual
+    pub fn is_outlier(&self, typical: f64) -> bool {
+        self.failure_ratio > OUTLIER_FACTOR * typical
     }
 
     /// Ejects the endpoint.
     pub fn eject(&mut self, now: Instant) {
-        let forgotten = self.state == State::Open && now >= self.until + FORGET;
-        if forgotten {
-            self.rests = 0;
+        let reset = self.state == State::Healthy && now >= self.until + RESET_AFTER;
+        if reset {
+            self.ejections = 0;
         }
-        let rest = REST.saturating_mul(1 << self.rests.min(8)).min(LONGEST);
-        self.state = State::Resting;
-        self.until = now + rest;
-        self.rests += 1;
-        self.row = 0;
-        self.failed = 0.0;
+        let duration = FIRST_EJECTION
+            .saturating_mul(1 << self.ejections.min(8))
+            .min(MAX_EJECTION);
+        self.state = State::Ejected;
+        self.until = now + duration;
+        self.ejections += 1;
+        self.consecutive = 0;
+        self.failure_ratio = 0.0;
     }
 
     /// Begins to probe the endpoint when its ejection is over; returns whether it
     /// did so now.
-    pub fn wake(&mut self, now: Instant) -> bool {
-        let over = self.state == State::Resting && self.until <= now;
-        if over {
+    pub fn start_probe(&mut self, now: Instant) -> bool {
+        let expired = self.state == State::Ejected && self.until <= now;
+        if expired {
             self.state = State::Probing;
         }
-        over
+        expired
     }
 }
 
-/// Whether one more of `all` endpoints may be ejected when `out` are.
-pub fn may_eject(out: usize, all: usize) -> bool {
-    (out + 1) * 2 <= all
+/// Whether one more of `total` endpoints may be ejected when `ejected` are.
+pub fn may_eject(ejected: usize, total: usize) -> bool {
+    (ejected + 1) * 2 <= total
 }
--- a/lib/src/load/gauge.rs
+++ b/lib/src/load/endpoint_stats.rs
@@ -11,7 +11,7 @@
 
 /// Measurements of one endpoint.
 #[proc_macros::row]
-pub(crate) struct Gauge {
+pub(crate) struct EndpointStats {
     /// Id of the endpoint.
     pub(crate) id: EndpointId,
     /// Version that was measured.
@@ -26,7 +26,7 @@
     pub(crate) ejection: Ejection,
 }
 
-impl Gauge {
+impl EndpointStats {
     /// Creates empty measurements.
     pub(crate) fn new(endpoint: &Endpoint, now: Instant, ceiling: u32) -> Self {
         Self {
@@ -42,17 +42,17 @@
     /// Units of work per second that it does for this daemon; none before there
     /// are enough samples.
     pub(crate) fn rate(&self) -> Option<f64> {
-        self.meter.rate(self.limiter.promise())
+        self.meter.rate(self.limiter.expected_rate())
     }
 
     /// Seconds per unit of work of a single request, at least what is normal.
-    pub(crate) fn pace(&self) -> f64 {
-        let pace = self.meter.pace().unwrap_or(0.0);
-        pace.max(self.limiter.normal())
+    pub(crate) fn unit_time(&self) -> f64 {
+        let unit_time = self.meter.unit_time().unwrap_or(0.0);
+        unit_time.max(self.limiter.normal_unit_time())
     }
 }
 
-impl Row for Gauge {
+impl Row for EndpointStats {
     type Id = EndpointId;
     fn id(&self) -> &EndpointId {
         &self.id
--- a/lib/src/load/fair.rs
+++ b/lib/src/load/fair_queue.rs
@@ -6,10 +6,10 @@
 //! behind thousands of long ones. It would show as quiet customers timing out
 //! while the flooding one is served. Three rules prevent it:
 //!
-//! 1. Between priorities: each priority gets [`STEP`] times the work of the next
-//!    lower one while both wait. So a lower priority never waits without bound:
-//!    with `A` units ahead in its own priority, a request is sent before the
-//!    endpoints have done `A * (W / w)` units, where `w` is the weight of its
+//! 1. Between priorities: each priority gets [`PRIORITY_RATIO`] times the work of
+//!    the next lower one while both wait. So a lower priority never waits without
+//!    bound: with `A` units ahead in its own priority, a request is sent before
+//!    the endpoints have done `A * (W / w)` units, where `w` is the weight of its
 //!    priority and `W` the sum of all weights.
 //! 2. Between customers of one priority: deficit round robin by work, so a
 //!    customer gains nothing by sending many requests or long ones.
@@ -24,7 +24,7 @@
 
 /// Work of a priority relative to the next lower one while both wait. Eight gives
 /// the higher of two 89% and still empties the lower one's queue.
-pub const STEP: f64 = 8.0;
+pub const PRIORITY_RATIO: f64 = 8.0;
 /// Units of work that a customer may send per round: about one short chat answer.
 /// Less only means more rounds; more lets a customer's short requests bunch up.
 const QUANTUM: f64 = 256.0;
@@ -49,7 +49,7 @@
 
 /// An entry popped from the queue, with what is needed to put it back.
 #[proc_macros::row]
-pub struct Taken {
+pub struct Dequeued {
     /// Priority that it waited in.
     pub priority: u8,
     /// Customer that sent it.
@@ -82,13 +82,13 @@
     }
 
     /// Work that is due no later than `deadline`.
-    fn due(&self, deadline: Instant) -> f64 {
+    fn work_due(&self, deadline: Instant) -> f64 {
         let until = self.entries.partition_point(|e| e.deadline <= deadline);
         self.entries.range(..until).map(|e| e.work).sum()
     }
 
     /// Rounds until its first entry may be sent.
-    fn rounds(&self) -> f64 {
+    fn rounds_needed(&self) -> f64 {
         let first = self.entries.front().map_or(0.0, |e| e.work);
         ((first - self.deficit) / QUANTUM).ceil().max(0.0)
     }
@@ -97,13 +97,15 @@
 /// Flows of one priority.
 #[proc_macros::row]
 #[derive(Default)]
-struct Class {
+struct PriorityClass {
     flows: Vec<Flow>,
-    turn: usize,
-    served: f64,
+    /// Flow whose turn it is.
+    cursor: usize,
+    /// Work sent so far, divided by the weight of the priority.
+    virtual_time: f64,
 }
 
-impl Class {
+impl PriorityClass {
     fn position(&self, customer: &CustomerId) -> Result<usize, usize> {
         self.flows.binary_search_by(|f| f.customer.cmp(customer))
     }
@@ -117,8 +119,8 @@
                 entries: VecDeque::new(),
             };
             self.flows.insert(at, flow);
-            if at <= self.turn && self.flows.len() > 1 {
-                self.turn += 1;
+            if at <= self.cursor && self.flows.len() > 1 {
+                self.cursor += 1;
             }
             at
         });
@@ -136,83 +138,88 @@
         }
         let mut visits = 0;
         loop {
-            let flow = &self.flows[self.turn];
-            if flow.rounds() <= 0.0 {
-                return self.take(self.turn);
+            let flow = &self.flows[self.cursor];
+            if flow.rounds_needed() <= 0.0 {
+                return self.pop_at(self.cursor);
             }
             visits += 1;
             if visits % self.flows.len() == 0 {
-                self.skip_rounds();
+                self.credit_rounds();
             }
-            self.turn = (self.turn + 1) % self.flows.len();
-            self.flows[self.turn].deficit += QUANTUM;
+            self.cursor = (self.cursor + 1) % self.flows.len();
+            self.flows[self.cursor].deficit += QUANTUM;
         }
     }
 
     /// Credits all flows at once with the rounds in which none could send: a long
     /// request would otherwise take thousands of empty rounds.
-    fn skip_rounds(&mut self) {
-        let least = self.flows.iter().map(Flow::rounds).fold(f64::MAX, f64::min);
-        let rounds = (least - 1.0).max(0.0);
+    fn credit_rounds(&mut self) {
+        let least = self
+            .flows
+            .iter()
+            .map(Flow::rounds_needed)
+            .fold(f64::MAX, f64::min);
+        let skipped = (least - 1.0).max(0.0);
         for flow in &mut self.flows {
-            flow.deficit += rounds * QUANTUM;
+            flow.deficit += skipped * QUANTUM;
         }
     }
 
-    fn take(&mut self, at: usize) -> Option<(CustomerId, Entry)> {
+    fn pop_at(&mut self, at: usize) -> Option<(CustomerId, Entry)> {
         let flow = &mut self.flows[at];
         let entry = flow.entries.pop_front()?;
         flow.deficit -= entry.work;
         flow.work -= entry.work;
         let customer = flow.customer.clone();
-        self.drop_empty(at);
+        self.remove_if_empty(at);
         Some((customer, entry))
     }
 
     /// Removes a flow that is empty, and with it its deficit: credit saved up
     /// while idle would let a customer return with a burst that starves the
     /// others.
-    fn drop_empty(&mut self, at: usize) {
+    fn remove_if_empty(&mut self, at: usize) {
         if !self.flows[at].entries.is_empty() {
             return;
         }
         self.flows.remove(at);
-        if at < self.turn {
-            self.turn -= 1;
+        if at < self.cursor {
+            self.cursor -= 1;
         }
-        if self.turn >= self.flows.len() {
-            self.turn = 0;
+        if self.cursor >= self.flows.len() {
+            self.cursor = 0;
         }
-        if let Some(flow) = self.flows.get_mut(self.turn)
-            && at == self.turn
+        if let Some(flow) = self.flows.get_mut(self.cursor)
+            && at == self.cursor
         {
             flow.deficit += QUANTUM;
         }
     }
 }
 
-const CLASSES: usize = MOST_PRIORITY as usize + 1;
+const CLASS_COUNT: usize = MOST_PRIORITY as usize + 1;
 
 /// Waiting requests of one service.
 #[proc_macros::row]
-pub struct Lane {
+pub struct FairQueue {
     service: ServiceId,
-    classes: [Class; CLASSES],
-    clock: f64,
+    classes: [PriorityClass; CLASS_COUNT],
+    /// Virtual time of the priority that was served last, before that request.
+    virtual_time: f64,
     len: u32,
 }
 
 fn weight(priority: usize) -> f64 {
-    STEP.powi(i32::try_from(priority).unwrap_or(0))
+    PRIORITY_RATIO.powi(i32::try_from(priority).unwrap_or(0))
 }
 
-impl Lane {
+impl FairQueue {
     /// Creates an empty queue.
     pub fn new(service: ServiceId) -> Self {
         Self {
             service,
-            classes: std::array::from_fn(|_| Class::default()),
-            clock: 0.0,
+            classes: std::array::from_fn(|_| PriorityClass::default()),
+            virtual_time: 0.0,
             len: 0,
         }
     }
@@ -229,32 +236,32 @@
 
     /// Units of work that wait.
     pub fn work(&self) -> f64 {
-        self.classes.iter().map(Class::work).sum()
+        self.classes.iter().map(PriorityClass::work).sum()
     }
 
     /// Adds a request.
     pub fn push(&mut self, priority: u8, customer: &CustomerId, entry: Entry) {
-        let clock = self.clock;
+        let virtual_time = self.virtual_time;
         let class = &mut self.classes[usize::from(priority.min(MOST_PRIORITY))];
         if class.flows.is_empty() {
             // A priority that was idle gets no credit for that time.
-            class.served = class.served.max(clock);
+            class.virtual_time = class.virtual_time.max(virtual_time);
         }
         class.flow(customer).push(entry);
         self.len += 1;
     }
 
     /// Removes the request that is sent next.
-    pub fn pop(&mut self) -> Option<Taken> {
+    pub fn pop(&mut self) -> Option<Dequeued> {
         let waiting = self.classes.iter_mut().enumerate();
         let (priority, class) = waiting
             .filter(|(_, class)| !class.flows.is_empty())
-            .min_by(|(_, a), (_, b)| a.served.total_cmp(&b.served))?;
-        self.clock = class.served;
+            .min_by(|(_, a), (_, b)| a.virtual_time.total_cmp(&b.virtual_time))?;
+        self.virtual_time = class.virtual_time;
         let (customer, entry) = class.pop()?;
-        class.served += entry.work / weight(priority);
+        class.virtual_time += entry.work / weight(priority);
         self.len -= 1;
-        Some(Taken {
+        Some(Dequeued {
             priority: priority as u8,
             customer,
             entry,
@@ -263,12 +270,12 @@
 
     /// Puts back a request that was popped and not sent, as if it had not been
     /// popped.
-    pub fn restore(&mut self, taken: &Taken) {
-        let class = &mut self.classes[usize::from(taken.priority)];
-        class.served -= taken.entry.work / weight(usize::from(taken.priority));
-        let flow = class.flow(&taken.customer);
-        flow.deficit += taken.entry.work;
-        flow.push(taken.entry);
+    pub fn restore(&mut self, dequeued: &Dequeued) {
+        let class = &mut self.classes[usize::from(dequeued.priority)];
+        class.virtual_time -= dequeued.entry.work / weight(usize::from(dequeued.priority));
+        let flow = class.flow(&dequeued.customer);
+        flow.deficit += dequeued.entry.work;
+        flow.push(dequeued.entry);
         self.len += 1;
     }
 
@@ -284,7 +291,7 @@
             };
             let old = flow.entries.remove(place);
             flow.work -= old.map_or(0.0, |old| old.work);
-            class.drop_empty(at);
+            class.remove_if_empty(at);
             self.len -= 1;
             return true;
         }
@@ -301,7 +308,7 @@
     }
 
     /// Removes the requests for which `keep` is false.
-    pub fn keep(&mut self, keep: impl Fn(&Entry) -> bool) {
+    pub fn retain_entries(&mut self, keep: impl Fn(&Entry) -> bool) {
         let gone = self.iter().filter(|(_, entry)| !keep(entry));
         let gone: Vec<(CustomerId, Entry)> = gone.map(|(c, e)| (c.clone(), *e)).collect();
         for (customer, entry) in gone {
@@ -312,16 +319,16 @@
     /// Units of work that would be sent before a request that arrived now: the
     /// customer's own work that is due sooner, as much of each other customer of
     /// the priority, and of each other priority what its weight earns meanwhile.
-    pub fn ahead(&self, priority: u8, customer: &CustomerId, entry: &Entry) -> f64 {
+    pub fn work_ahead(&self, priority: u8, customer: &CustomerId, entry: &Entry) -> f64 {
         let priority = usize::from(priority.min(MOST_PRIORITY));
         let class = &self.classes[priority];
         let own = class
             .position(customer)
-            .map_or(0.0, |at| class.flows[at].due(entry.deadline));
+            .map_or(0.0, |at| class.flows[at].work_due(entry.deadline));
         let mine = own + entry.work;
         let others = class.flows.iter().filter(|f| f.customer != *customer);
-        let beside: f64 = others.map(|f| f.work.min(mine)).sum();
-        let until = beside + mine;
+        let others_work: f64 = others.map(|f| f.work.min(mine)).sum();
+        let until = others_work + mine;
         let rest = self.classes.iter().enumerate();
         let rest: f64 = rest
             .filter(|(other, _)| *other != priority)
@@ -330,7 +337,7 @@
                 class.work().min(earned)
             })
             .sum();
-        own + beside + rest
+        own + others_work + rest
     }
 
     /// All waiting requests with their customers.
@@ -340,7 +347,7 @@
     }
 }
 
-impl Row for Lane {
+impl Row for FairQueue {
     type Id = ServiceId;
     fn id(&self) -> &ServiceId {
         &self.service
--- a/lib/src/load/forecast.rs
+++ b/lib/src/load/forecast.rs
@@ -14,7 +14,7 @@
 
 /// Factor on the forecast when a request arrives. A request with no margin is
 /// late as soon as conditions get worse, and is then rejected after a wait.
-const MARGIN: f64 = 1.25;
+const SAFETY_FACTOR: f64 = 1.25;
 
 /// What the available endpoints of a service can do for this daemon.
 #[proc_macros::row]
@@ -23,7 +23,7 @@
     /// Units of work per second, all endpoints together.
     pub rate: f64,
     /// Recent seconds per unit of work of a single request.
-    pub pace: f64,
+    pub unit_time: f64,
     /// Requests that run.
     pub running: u32,
     /// Requests that may run at the same time.
@@ -39,34 +39,40 @@
     /// Service time of a single request in seconds, by the recent time per unit.
     /// The rate is too low while an endpoint has little to do, and would call the
     /// request late for no reason.
-    fn own(&self, work: f64) -> f64 {
-        work * self.pace
+    fn service_time(&self, work: f64) -> f64 {
+        work * self.unit_time
     }
 
     /// Whether this daemon has no request running or waiting. It then admits one
     /// request whatever the time per unit was: nothing else could show that the
     /// service is fast again.
-    fn is_empty(&self, waiting: u32) -> bool {
+    fn is_idle(&self, waiting: u32) -> bool {
         self.running == 0 && waiting == 0
     }
 
     /// When a request would finish with `ahead` units of work in `waiting`
     /// requests before it; none if nothing was measured.
-    pub fn finish(&self, now: Instant, ahead: f64, waiting: u32, work: f64) -> Option<Instant> {
-        if self.rate <= 0.0 || self.is_empty(waiting) {
+    pub fn finish_time(
+        &self,
+        now: Instant,
+        ahead: f64,
+        waiting: u32,
+        work: f64,
+    ) -> Option<Instant> {
+        if self.rate <= 0.0 || self.is_idle(waiting) {
             return None;
         }
-        let seconds = (ahead / self.rate + self.own(work)) * MARGIN;
+        let seconds = (ahead / self.rate + self.service_time(work)) * SAFETY_FACTOR;
         Some(now + Duration::from_secs_f64(seconds.min(1e6)))
     }
 
     /// Latest time to send a request that must finish by its deadline; none if
     /// nothing was measured.
-    pub fn latest(&self, deadline: Instant, work: f64) -> Option<Instant> {
+    pub fn latest_start(&self, deadline: Instant, work: f64) -> Option<Instant> {
         if self.rate <= 0.0 || self.running == 0 {
             return None;
         }
-        let own = Duration::from_secs_f64(self.own(work).min(1e6));
-        deadline.checked_sub(own)
+        let service_time = Duration::from_secs_f64(self.service_time(work).min(1e6));
+        deadline.checked_sub(service_time)
     }
 }
--- a/lib/src/load/meter.rs
+++ b/lib/src/load/meter.rs
@@ -16,21 +16,25 @@
 /// Least weight of a completed request in the estimate. One twentieth follows a
 /// change of speed within some tens of requests and smooths the variance of
 /// single requests.
-const GAIN: f64 = 0.05;
+const MIN_GAIN: f64 = 0.05;
 /// Completions after which the estimate is used.
-const ENOUGH: u32 = 4;
+const MIN_SAMPLES: u32 = 4;
 /// Completions after which an endpoint may be called slow.
-const SURE: u32 = 16;
+const RELIABLE_SAMPLES: u32 = 16;
 
 /// Measured rate of an endpoint or a service.
 #[proc_macros::row]
 pub struct Meter {
     running: u32,
-    turned: Instant,
-    shared: f64,
+    updated: Instant,
+    /// Time that one running request would have had so far, in seconds.
+    shared_time: f64,
+    /// Work and shared time of requests that completed in busy times.
     busy: Means,
+    /// Work and shared time of all other completed requests.
     idle: Means,
-    alone: Means,
+    /// Work and elapsed time of all completed requests.
+    single: Means,
 }
 
 /// Means of work and time; their ratio is a rate in which a long request counts
@@ -46,13 +50,13 @@
 impl Means {
     fn add(&mut self, work: f64, time: f64) {
         self.count = self.count.saturating_add(1);
-        let gain = GAIN.max(1.0 / f64::from(self.count));
+        let gain = MIN_GAIN.max(1.0 / f64::from(self.count));
         self.work += gain * (work - self.work);
         self.time += gain * (time - self.time);
     }
 
     fn rate(&self) -> Option<f64> {
-        (self.count >= ENOUGH && self.time > 0.0).then(|| self.work / self.time)
+        (self.count >= MIN_SAMPLES && self.time > 0.0).then(|| self.work / self.time)
     }
 }
 
@@ -60,7 +64,7 @@
 #[proc_macros::row]
 #[derive(Copy)]
 pub struct Mark {
-    shared: f64,
+    shared_time: f64,
     at: Instant,
 }
 
@@ -76,11 +80,11 @@
 #[derive(Copy)]
 pub struct Sample {
     /// Seconds from sending to end.
-    pub took: f64,
+    pub elapsed: f64,
     /// Mean number of requests that ran there meanwhile.
-    pub beside: f64,
+    pub concurrency: f64,
     /// Seconds per unit of work.
-    pub pace: f64,
+    pub unit_time: f64,
 }
 
 impl Meter {
@@ -88,81 +92,86 @@
     pub fn new(now: Instant) -> Self {
         Self {
             running: 0,
-            turned: now,
-            shared: 0.0,
+            updated: now,
+            shared_time: 0.0,
             busy: Means::default(),
             idle: Means::default(),
-            alone: Means::default(),
+            single: Means::default(),
         }
     }
 
     /// Sets how many requests run from now on.
-    pub fn turn(&mut self, now: Instant, running: u32) {
-        self.shared = self.shared_at(now);
-        self.turned = now;
+    pub fn set_running(&mut self, now: Instant, running: u32) {
+        self.shared_time = self.shared_time_at(now);
+        self.updated = now;
         self.running = running;
     }
 
-    fn shared_at(&self, now: Instant) -> f64 {
+    fn shared_time_at(&self, now: Instant) -> f64 {
         if self.running == 0 {
-            return self.shared;
+            return self.shared_time;
         }
-        let passed = now.saturating_duration_since(self.turned).as_secs_f64();
-        self.shared + passed / f64::from(self.running)
+        let elapsed = now.saturating_duration_since(self.updated).as_secs_f64();
+        self.shared_time + elapsed / f64::from(self.running)
     }
 
     /// Mark of a request that is sent now.
     pub fn mark(&self, now: Instant) -> Mark {
         Mark {
-            shared: self.shared_at(now),
+            shared_time: self.shared_time_at(now),
             at: now,
         }
     }
 
     /// Records a completed request. The endpoint counts as busy if the
     /// concurrency was at least half of its `limit`.
-    pub fn complete(&mut self, now: Instant, mark: Mark, work: f64, limit: u32) -> Option<Sample> {
-        let shared = self.shared_at(now) - mark.shared;
-        let took = now.saturating_duration_since(mark.at).as_secs_f64();
-        if shared <= 0.0 || took <= 0.0 {
+    pub fn record(&mut self, now: Instant, mark: Mark, work: f64, limit: u32) -> Option<Sample> {
+        let shared_time = self.shared_time_at(now) - mark.shared_time;
+        let elapsed = now.saturating_duration_since(mark.at).as_secs_f64();
+        if shared_time <= 0.0 || elapsed <= 0.0 {
             return None;
         }
-        let beside = took / shared;
-        self.alone.add(work, took);
-        if beside * 2.0 >= f64::from(limit) {
-            self.busy.add(work, shared);
+        let concurrency = elapsed / shared_time;
+        self.single.add(work, elapsed);
+        if concurrency * 2.0 >= f64::from(limit) {
+            self.busy.add(work, shared_time);
         } else {
-            self.idle.add(work, shared);
+            self.idle.add(work, shared_time);
         }
-        let pace = took / work;
-        Some(Sample { took, beside, pace })
+        let unit_time = elapsed / work;
+        Some(Sample {
+            elapsed,
+            concurrency,
+            unit_time,
+        })
     }
 
     /// Units of work per second, all requests together; none before there are
-    /// enough samples. `promise` is what the endpoint should do at its limit,
+    /// enough samples. `expected` is what the endpoint should do at its limit,
     /// which counts until busy times have shown its rate.
-    pub fn rate(&self, promise: f64) -> Option<f64> {
+    pub fn rate(&self, expected: f64) -> Option<f64> {
         let idle = self.idle.rate();
         let busy = self.busy.rate();
-        let busy = busy.or_else(|| idle.map(|_| promise));
+        let busy = busy.or_else(|| idle.map(|_| expected));
         busy.into_iter().chain(idle).reduce(f64::max)
     }
 
     /// Discards the time per unit, after an ejection in which the endpoint may
     /// have recovered.
-    pub fn forget_pace(&mut self) {
-        self.alone = Means::default();
+    pub fn reset_unit_time(&mut self) {
+        self.single = Means::default();
     }
 
     /// The time per unit once there are enough samples to call an endpoint slow
     /// by it: answers end before their maximum length, so the time of a few
     /// requests differs widely for the same work.
-    pub fn sure_pace(&self) -> Option<f64> {
-        self.pace().filter(|_| self.alone.count >= SURE)
+    pub fn reliable_unit_time(&self) -> Option<f64> {
+        self.unit_time()
+            .filter(|_| self.single.count >= RELIABLE_SAMPLES)
     }
 
     /// Recent seconds per unit of work of a single request.
-    pub fn pace(&self) -> Option<f64> {
-        self.alone.rate().map(|rate| 1.0 / rate)
+    pub fn unit_time(&self) -> Option<f64> {
+        self.single.rate().map(|rate| 1.0 / rate)
     }
 }
--- a/lib/src/load/budget.rs
+++ b/lib/src/load/retry_budget.rs
@@ -10,43 +10,43 @@
 use crate::table::Row;
 
 /// Retries earned by each success: retries add at most a tenth to the load.
-pub const FRACTION: f64 = 0.1;
+pub const RETRIES_PER_SUCCESS: f64 = 0.1;
 /// Most retries saved up, and the initial balance: enough for the requests that
 /// one endpoint of many was running when it failed.
-pub const MOST: f64 = 10.0;
+pub const MAX_BALANCE: f64 = 10.0;
 
 /// Retry budget of a service.
 #[proc_macros::row]
-pub struct Budget {
+pub struct RetryBudget {
     service: ServiceId,
-    left: f64,
+    balance: f64,
 }
 
-impl Budget {
+impl RetryBudget {
     /// Creates a full budget.
     pub fn new(service: ServiceId) -> Self {
         Self {
             service,
-            left: MOST,
+            balance: MAX_BALANCE,
         }
     }
 
     /// Adds what a successful request earns.
-    pub fn earn(&mut self) {
-        self.left = (self.left + FRACTION).min(MOST);
+    pub fn deposit(&mut self) {
+        self.balance = (self.balance + RETRIES_PER_SUCCESS).min(MAX_BALANCE);
     }
 
     /// Takes one retry out; false if there is none.
-    pub fn spend(&mut self) -> bool {
-        let enough = self.left >= 1.0;
+    pub fn withdraw(&mut self) -> bool {
+        let enough = self.balance >= 1.0;
         if enough {
-            self.left -= 1.0;
+            self.balance -= 1.0;
         }
         enough
     }
 }
 
-impl Row for Budget {
+impl Row for RetryBudget {
     type Id = ServiceId;
     fn id(&self) -> &ServiceId {
         &self.service
--- a/lib/src/load/whole.rs
+++ b/lib/src/load/service_stats.rs
@@ -6,18 +6,18 @@
 use std::time::Instant;
 
 use crate::ids::ServiceId;
+use crate::load::in_flight::InFlight;
 use crate::load::limiter::Limiter;
 use crate::load::meter::Meter;
-use crate::load::pace::Pace;
-use crate::load::sent::Sent;
+use crate::load::unit_time::UnitTime;
 use crate::table::Row;
 
 /// Most requests that a daemon runs at a service at the same time.
-const MOST_RUNNING: u32 = 100_000;
+const MAX_RUNNING: u32 = 100_000;
 
 /// Measurements of all endpoints of a service together.
 #[proc_macros::row]
-pub(crate) struct Whole {
+pub(crate) struct ServiceStats {
     /// Id of the service.
     pub(crate) service: ServiceId,
     /// How fast they do this daemon's work together.
@@ -25,32 +25,36 @@
     /// How many requests this daemon may run there at the same time.
     pub(crate) limiter: Limiter,
     /// How long single requests take per unit of work.
-    pub(crate) pace: Pace,
+    pub(crate) unit_time: UnitTime,
 }
 
-impl Whole {
+impl ServiceStats {
     /// Creates empty measurements.
     pub(crate) fn new(service: ServiceId, now: Instant) -> Self {
         Self {
             service,
             meter: Meter::new(now),
-            limiter: Limiter::opening(MOST_RUNNING),
-            pace: Pace::default(),
+            limiter: Limiter::slow_start(MAX_RUNNING),
+            unit_time: UnitTime::default(),
         }
     }
 
     /// Records an attempt that was in flight until now.
-    pub(crate) fn learn(&mut self, now: Instant, sent: &Sent) {
+    pub(crate) fn record(&mut self, now: Instant, attempt: &InFlight) {
         let limit = self.limiter.limit();
-        self.pace.add(now, sent.work, sent.mark.age(now));
-        let sample = self.meter.complete(now, sent.whole, sent.work, limit);
+        self.unit_time
+            .record(now, attempt.work, attempt.mark.age(now));
+        let sample = self
+            .meter
+            .record(now, attempt.service_mark, attempt.work, limit);
         if let Some(sample) = sample {
-            self.limiter.complete(sample.took, sent.work, sample.beside);
+            self.limiter
+                .record(sample.elapsed, attempt.work, sample.concurrency);
         }
     }
 }
 
-impl Row for Whole {
+impl Row for ServiceStats {
     type Id = ServiceId;
     fn id(&self) -> &ServiceId {
         &self.service
--- a/lib/src/load/shares.rs
+++ b/lib/src/load/shares.rs
@@ -6,9 +6,9 @@
 //! them would be rejected while most of its plan is unused. It would show as use
 //! above the plan, or rejections below it.
 //!
-//! A small part of each limit, [`BASE`], is split evenly and needs no messages,
-//! so that a first request is never rejected for want of a share. The rest
-//! follows demand by claims, which daemons exchange in [`ShareRow`]s:
+//! A small part of each limit, [`BASE_FRACTION`], is split evenly and needs no
+//! messages, so that a first request is never rejected for want of a share. The
+//! rest follows demand by claims, which daemons exchange in [`ShareRow`]s:
 //!
 //! 1. A claim is never more than the limit less all claims received from peers;
 //!    it is cut at once when these leave less.
@@ -20,17 +20,17 @@
 //! So what all daemons give out never sums above the limit while all receive each
 //! other's rows. Take any daemon `i`: the claim that `i` last received from each
 //! other daemon `k` was written within `HOLD`, as `HOLD` is longer than `FRESH`
-//! and [`TRANSIT`] together; what `k` gives out now is at most that claim, and by
-//! rule 1 these claims and `i`'s own sum to the limit at most.
+//! and [`MAX_TRANSIT`] together; what `k` gives out now is at most that claim,
+//! and by rule 1 these claims and `i`'s own sum to the limit at most.
 //!
-//! The claim of an unresponsive daemon continues to count. After [`GRACE`],
+//! The claim of an unresponsive daemon continues to count. After [`DEAD_AFTER`],
 //! daemons that still receive rows from more than half of all daemons, themselves
 //! included, take it over, as its owner has most likely died; a daemon that is in
 //! contact with half or fewer keeps its share and does not grow. If the
 //! unresponsive daemons are alive but partitioned, they keep their shares too:
 //! use is then above the limit by at most the shares of those partitioned. A
-//! daemon whose count of members is out of date by `d` of `n` adds at most `BASE
-//! * d/n` of the limit.
+//! daemon whose count of members is out of date by `d` of `n` adds at most
+//! `BASE_FRACTION * d/n` of the limit.
 
 use std::time::{Duration, Instant};
 
@@ -38,30 +38,30 @@
 use crate::lists::Plan;
 
 /// Part of each limit that is split evenly among all daemons.
-pub const BASE: f64 = 0.2;
+pub const BASE_FRACTION: f64 = 0.2;
 /// Longest time that a row takes from one daemon to another: gossip has one round
 /// per second, and there are two hops between availability zones.
-pub const TRANSIT: Duration = Duration::from_secs(2);
+pub const MAX_TRANSIT: Duration = Duration::from_secs(2);
 /// Time since a daemon's last row after which it is no longer relied on: more
 /// than the longest time between two rows that are sent each round and may be
 /// late.
 pub const FRESH: Duration = Duration::from_millis(2_500);
 /// Time for which a claim must have stood before it is given out: `FRESH` and
-/// `TRANSIT` together, and as long as a daemon may take to process what it
+/// `MAX_TRANSIT` together, and as long as a daemon may take to process what it
 /// received.
 pub const HOLD: Duration = Duration::from_secs(5);
 /// Time since a daemon's last row after which it counts as dead.
-pub const GRACE: Duration = Duration::from_secs(10);
+pub const DEAD_AFTER: Duration = Duration::from_secs(10);
 /// A claim is lowered only when it is above the daemon's fair part by this
 /// factor: demand is noisy, and what is lowered takes `HOLD` to regain.
 const SLACK: f64 = 1.2;
 /// Time over which demand is averaged, in seconds.
-const WINDOW: f64 = 3.0;
-/// Demand per second below which it counts as none; it decays forever, and
-/// without a threshold a row would be sent forever after one request.
-const NOTHING: f64 = 0.001;
+const DEMAND_WINDOW_S: f64 = 3.0;
+/// Demand below which it counts as none. It decays exponentially, and without a
+/// threshold a row would be sent forever after one request.
+const MIN_RATE: f64 = 0.001;
 /// Fraction of a limit below which demand counts as none.
-const LEAST: f64 = 0.001;
+const MIN_DEMAND_FRACTION: f64 = 0.001;
 
 /// An amount of each thing that a plan limits.
 #[proc_macros::row]
@@ -125,11 +125,11 @@
 /// A row received from a peer.
 #[proc_macros::row]
 #[derive(Copy)]
-pub struct Heard<'a> {
+pub struct PeerRow<'a> {
     /// The row.
     pub row: &'a ShareRow,
     /// When anything was last received from its writer.
-    pub at: Instant,
+    pub received: Instant,
 }
 
 /// The daemons that this one knows of.
@@ -137,19 +137,19 @@
 #[derive(Copy)]
 pub struct Members {
     /// How many there should be, by the list of hosts.
-    pub all: usize,
+    pub expected: usize,
     /// How many this daemon has ever received from, less those that are known to
     /// be gone for good; itself included.
     pub known: usize,
     /// How many of these it received from within `FRESH`, itself included.
     pub fresh: usize,
-    /// How many of these it has not received from for `GRACE` or longer.
-    pub gone: usize,
+    /// How many of these it has not received from for `DEAD_AFTER` or longer.
+    pub dead: usize,
 }
 
 impl Members {
     fn count(&self) -> usize {
-        self.all.max(self.known).max(1)
+        self.expected.max(self.known).max(1)
     }
 
     fn most_are_fresh(&self) -> bool {
@@ -160,7 +160,7 @@
     /// rows, and must not treat the rows it lacks as claims that nobody makes.
     fn is_steady(&self) -> bool {
         if self.most_are_fresh() {
-            self.fresh + self.gone >= self.known
+            self.fresh + self.dead >= self.known
         } else {
             self.fresh >= self.count()
         }
@@ -169,41 +169,41 @@
 
 /// This daemon's claims on one customer's limits.
 #[proc_macros::row]
-pub struct Holder {
-    past: Vec<(Instant, Amounts)>,
+pub struct LocalShare {
+    history: Vec<(Instant, Amounts)>,
     demand: Amounts,
-    turned: Instant,
+    updated: Instant,
 }
 
-impl Holder {
+impl LocalShare {
     /// Creates a share without claims.
     pub fn new(now: Instant) -> Self {
         Self {
-            past: vec![(now, Amounts::default())],
+            history: vec![(now, Amounts::default())],
             demand: Amounts::default(),
-            turned: now,
+            updated: now,
         }
     }
 
     /// Counts a request towards the customer's demand, whether it was admitted or
     /// not.
-    pub fn ask(&mut self, now: Instant, tokens: f64) {
-        self.fade(now);
-        self.demand.requests += 1.0 / WINDOW;
-        self.demand.tokens += tokens / WINDOW;
+    pub fn record_request(&mut self, now: Instant, tokens: f64) {
+        self.decay(now);
+        self.demand.requests += 1.0 / DEMAND_WINDOW_S;
+        self.demand.tokens += tokens / DEMAND_WINDOW_S;
     }
 
     /// Raises the demand for requests in progress: those that run, and one more
     /// if a request was rejected for being too many.
-    pub fn run(&mut self, running: f64) {
+    pub fn record_running(&mut self, running: f64) {
         self.demand.running = self.demand.running.max(running);
     }
 
-    fn fade(&mut self, now: Instant) {
-        let passed = now.saturating_duration_since(self.turned).as_secs_f64();
-        let faded = self.demand.times((-passed / WINDOW).exp());
-        self.demand = faded.zip(faded, |rate, _| if rate < NOTHING { 0.0 } else { rate });
-        self.turned = now;
+    fn decay(&mut self, now: Instant) {
+        let passed = now.saturating_duration_since(self.updated).as_secs_f64();
+        let decayed = self.demand.times((-passed / DEMAND_WINDOW_S).exp());
+        self.demand = decayed.zip(decayed, |rate, _| if rate < MIN_RATE { 0.0 } else { rate });
+        self.updated = now;
     }
 
     /// What the customer asks for here.
@@ -213,57 +213,58 @@
 
     /// Latest claim.
     pub fn claim(&self) -> Amounts {
-        self.past
+        self.history
             .last()
             .map_or(Amounts::default(), |(_, claim)| *claim)
     }
 
     /// Updates the claim by the rows received from peers.
-    pub fn turn<'a>(
+    pub fn update_claim<'a>(
         &mut self,
         now: Instant,
         limit: Amounts,
-        heard: impl Iterator<Item = Heard<'a>>,
+        rows: impl Iterator<Item = PeerRow<'a>>,
         members: Members,
     ) {
-        self.fade(now);
-        let gone = |h: &Heard<'a>| members.most_are_fresh() && now >= h.at + GRACE;
-        let mut taken = Amounts::default();
-        let mut asked = Amounts::default();
-        for Heard { row, .. } in heard.filter(|h| !gone(h)) {
-            taken = taken.zip(row.claim, |a, b| a + b);
-            asked = asked.zip(row.demand, |a, b| a + b);
+        self.decay(now);
+        let dead =
+            |peer: &PeerRow<'a>| members.most_are_fresh() && now >= peer.received + DEAD_AFTER;
+        let mut claimed = Amounts::default();
+        let mut demanded = Amounts::default();
+        for PeerRow { row, .. } in rows.filter(|peer| !dead(peer)) {
+            claimed = claimed.zip(row.claim, |a, b| a + b);
+            demanded = demanded.zip(row.demand, |a, b| a + b);
         }
-        let pool = limit.times(1.0 - BASE);
-        let due = due(pool, self.demand, asked);
-        let free = pool.zip(taken, |pool, taken| (pool - taken).max(0.0));
-        let mut next = self.claim().zip(due, move_towards).zip(free, f64::min);
+        let pool = limit.times(1.0 - BASE_FRACTION);
+        let part = fair_part(pool, self.demand, demanded);
+        let free = pool.zip(claimed, |pool, claimed| (pool - claimed).max(0.0));
+        let mut next = self.claim().zip(part, adjusted_claim).zip(free, f64::min);
         if !members.is_steady() {
             next = next.zip(self.in_force(now), f64::min);
         }
-        self.note(now, next);
+        self.push_claim(now, next);
     }
 
     /// Keeps the claims of the last `HOLD`, and the one before them, which was
     /// still in force when that time began.
-    fn note(&mut self, now: Instant, claim: Amounts) {
+    fn push_claim(&mut self, now: Instant, claim: Amounts) {
         if claim != self.claim() {
-            self.past.push((now, claim));
+            self.history.push((now, claim));
         }
-        let old = self.past.iter().rposition(|(at, _)| *at + HOLD <= now);
-        self.past.drain(..old.unwrap_or(0));
+        let old = self.history.iter().rposition(|(at, _)| *at + HOLD <= now);
+        self.history.drain(..old.unwrap_or(0));
     }
 
     /// What this daemon may give out.
     pub fn share(&self, now: Instant, limit: Amounts, members: Members) -> Amounts {
-        let base = limit.times(BASE / members.count() as f64);
+        let base = limit.times(BASE_FRACTION / members.count() as f64);
         base.zip(self.in_force(now), |a, b| a + b)
     }
 
     /// Lowest of the claims over the last `HOLD`.
     fn in_force(&self, now: Instant) -> Amounts {
-        let first = self.past.iter().rposition(|(at, _)| *at + HOLD <= now);
-        let recent = &self.past[first.unwrap_or(0)..];
+        let first = self.history.iter().rposition(|(at, _)| *at + HOLD <= now);
+        let recent = &self.history[first.unwrap_or(0)..];
         let claims = recent.iter().map(|(_, claim)| *claim);
         let least = claims.reduce(|a, b| a.zip(b, f64::min));
         least.unwrap_or_default()
@@ -288,8 +289,14 @@
 
 /// Part of the pool that this daemon's demand entitles it to. All of the pool is
 /// divided by demand, also what nobody asks for, so that there is room to grow.
-fn due(pool: Amounts, own: Amounts, others: Amounts) -> Amounts {
-    let demand = own.zip(pool, |own, pool| if own < LEAST * pool { 0.0 } else { own });
+fn fair_part(pool: Amounts, own: Amounts, others: Amounts) -> Amounts {
+    let demand = own.zip(pool, |own, pool| {
+        if own < MIN_DEMAND_FRACTION * pool {
+            0.0
+        } else {
+            own
+        }
+    });
     let total = demand.zip(others, |a, b| a + b);
     let part = demand.zip(
         total,
@@ -298,10 +305,10 @@
     part.zip(pool, |part, pool| part * pool)
 }
 
-fn move_towards(claim: f64, due: f64) -> f64 {
-    if claim > due * SLACK {
-        due
+fn adjusted_claim(claim: f64, fair_part: f64) -> f64 {
+    if claim > fair_part * SLACK {
+        fair_part
     } else {
-        claim.max(due)
+        claim.max(fair_part)
     }
 }
--- a/lib/src/load/pace.rs
+++ b/lib/src/load/unit_time.rs
@@ -22,24 +22,26 @@
 /// Time without a completed request after which earlier ones no longer count.
 /// Otherwise the first callers after overload would be rejected while endpoints
 /// are idle.
-const STALE: Duration = Duration::from_secs(2);
+const STALE_AFTER: Duration = Duration::from_secs(2);
 
 /// Recent speed of single requests of a service.
 #[proc_macros::row]
 #[derive(Copy, Default)]
-pub struct Pace {
+pub struct UnitTime {
+    /// Mean of the speeds in units of work per second, each times its weight.
     speed: f64,
+    /// Mean of the weights, which are the requests' units of work.
     weight: f64,
     count: u32,
     last: Option<Instant>,
 }
 
-impl Pace {
-    /// Records a request that took `took` seconds for its units of work. Speeds
-    /// are weighted by work, so an endpoint that does little has little
+impl UnitTime {
+    /// Records a request that took `elapsed` seconds for its units of work.
+    /// Speeds are weighted by work, so an endpoint that does little has little
     /// influence.
-    pub fn add(&mut self, now: Instant, work: f64, took: f64) {
-        if work <= 0.0 || took <= 0.0 {
+    pub fn record(&mut self, now: Instant, work: f64, elapsed: f64) {
+        if work <= 0.0 || elapsed <= 0.0 {
             return;
         }
         self.count = if self.is_fresh(now) {
@@ -49,48 +51,48 @@
         };
         self.last = Some(now);
         let gain = GAIN.max(1.0 / f64::from(self.count));
-        self.speed += gain * (work * work / took - self.speed);
+        self.speed += gain * (work * work / elapsed - self.speed);
         self.weight += gain * (work - self.weight);
     }
 
     fn is_fresh(&self, now: Instant) -> bool {
-        self.last.is_some_and(|last| now < last + STALE)
+        self.last.is_some_and(|last| now < last + STALE_AFTER)
     }
 
     /// Seconds per unit of work of the requests that ended. If none ended
     /// recently, it is at most `normal`.
-    fn ended(&self, now: Instant, normal: f64) -> f64 {
-        let ended = self.weight / self.speed;
+    fn completed(&self, now: Instant, normal: f64) -> f64 {
+        let completed = self.weight / self.speed;
         if self.is_fresh(now) {
-            ended
+            completed
         } else {
-            ended.min(normal)
+            completed.min(normal)
         }
     }
 
     /// Seconds per unit of work, with the running requests included by their ages
     /// in seconds and their units of work. None before any request ended.
-    pub fn now(
+    pub fn estimate(
         &self,
         now: Instant,
         normal: f64,
         running: impl Iterator<Item = (f64, f64)>,
     ) -> Option<f64> {
         self.last?;
-        let usual = self.ended(now, normal);
+        let typical = self.completed(now, normal);
         let mut speed = 0.0;
         let mut weight = 0.0;
         for (age, work) in running {
-            let least = usual.max(age / work);
-            if least > 0.0 {
-                speed += work / least;
+            let unit_time = typical.max(age / work);
+            if unit_time > 0.0 {
+                speed += work / unit_time;
                 weight += work;
             }
         }
         if speed > 0.0 {
             Some(weight / speed)
         } else {
-            Some(usual)
+            Some(typical)
         }
     }
 }
--- a/lib/src/systems/admit.rs
+++ b/lib/src/systems/admit.rs
@@ -11,7 +11,7 @@
 use crate::endpoint::Endpoint;
 use crate::lists::Plan;
 use crate::load::Choice;
-use crate::load::fair::{Entry, Lane};
+use crate::load::fair_queue::{Entry, FairQueue};
 use crate::load::shares::Amounts;
 use crate::request::{Ending, Order, Request, Waiting};
 use crate::systems::allowance::{self, Allowance};
@@ -53,7 +53,7 @@
 
 fn admit(world: &mut World, priority: u8, order: Order) {
     let waiting = Waiting::new(order);
-    world.load.wait(priority, &waiting);
+    world.load.enqueue(priority, &waiting);
     world.requests.insert(Request::Waiting(waiting));
 }
 
@@ -125,14 +125,20 @@
         world.allowances.insert(allowance);
     }
     let tokens = f64::from(order.work());
-    world.load.board.ask(now, &order.customer, tokens);
+    world
+        .load
+        .shares
+        .record_request(now, &order.customer, tokens);
     let Some(allowance) = world.allowances.get_mut(&order.customer) else {
         return Err(Refusal::for_now(Code::Internal, now));
     };
     let spent = spend(allowance, &limit, now, order);
     if matches!(&spent, Err(refusal) if refusal.code == Code::InProgress) {
         let wanted = f64::from(allowance.running) + 1.0;
-        world.load.board.run(now, &order.customer, wanted);
+        world
+            .load
+            .shares
+            .record_running(now, &order.customer, wanted);
     }
     spent
 }
@@ -145,14 +151,14 @@
         deadline: order.deadline,
         work,
     };
-    let lane = world.load.lanes.get(&order.service);
-    let waiting = lane.map_or(0, Lane::len);
+    let lane = world.load.queues.get(&order.service);
+    let waiting = lane.map_or(0, FairQueue::len);
     let ahead = lane.map_or(0.0, |lane| match world.load.policy.queue {
         Choice::Plain => lane.work(),
-        Choice::Adaptive => lane.ahead(priority, &order.customer, &entry),
+        Choice::Adaptive => lane.work_ahead(priority, &order.customer, &entry),
     });
     let capacity = world.load.capacity(&order.service);
-    let finish = capacity.finish(now, ahead, waiting, work);
+    let finish = capacity.finish_time(now, ahead, waiting, work);
     match finish.filter(|finish| *finish > order.deadline) {
         None => Ok(()),
         Some(finish) => {
@@ -161,7 +167,7 @@
             // the id is as good a draw and leaves the choice of endpoints alone.
             let draw = f64::from(order.id as u8) / 255.0;
             let load = &mut world.load;
-            let again = load.come_back(now, &order.service, excess, work, draw);
+            let again = load.retry_at(now, &order.service, excess, work, draw);
             Err(Refusal {
                 code: Code::TooLate,
                 again: Some(again),
--- a/lib/src/systems/allowance.rs
+++ b/lib/src/systems/allowance.rs
@@ -77,7 +77,7 @@
 
 /// What this daemon may give out of a customer's plan.
 pub(crate) fn limit(world: &World, now: Instant, customer: &CustomerId, plan: &Plan) -> Amounts {
-    world.load.board.share(now, customer, Amounts::of(plan))
+    world.load.shares.share(now, customer, Amounts::of(plan))
 }
 
 /// Takes in a row that another daemon wrote.
@@ -86,27 +86,27 @@
         return;
     }
     let customer = row.customer.clone();
-    world.load.board.hear(now, row);
+    world.load.shares.apply_row(now, row);
     claim(world, now, &customer);
 }
 
 /// A daemon was heard of, with all rows that it wrote until then.
 pub(crate) fn meet(world: &mut World, now: Instant, incarnation: Incarnation) {
     if incarnation != world.setup.incarnation {
-        world.load.board.meet(now, incarnation);
+        world.load.shares.record_peer(now, incarnation);
     }
 }
 
 /// Claims anew for all customers, now and then.
 pub(crate) fn turn(world: &mut World, now: Instant) {
-    if !world.load.board.is_due(now, TURN) {
+    if !world.load.shares.is_due(now, TURN) {
         return;
     }
-    let customers: Vec<CustomerId> = world.load.board.customers().cloned().collect();
+    let customers: Vec<CustomerId> = world.load.shares.active_customers().cloned().collect();
     for customer in customers {
         claim(world, now, &customer);
     }
-    world.load.board.tidy();
+    world.load.shares.remove_idle();
 }
 
 fn claim(world: &mut World, now: Instant, customer: &CustomerId) {
@@ -115,6 +115,6 @@
     // A customer that is no longer in the lists gives its claims up.
     let limit = plan.map_or(Amounts::default(), Amounts::of);
     let running = world.allowances.get(customer).map_or(0, |a| a.running);
-    let board = &mut world.load.board;
-    board.claim(now, customer, limit, f64::from(running));
+    let board = &mut world.load.shares;
+    board.update_claim(now, customer, limit, f64::from(running));
 }
--- a/lib/src/systems/health.rs
+++ b/lib/src/systems/health.rs
@@ -6,7 +6,7 @@
 use crate::ids::{EndpointId, ServiceId};
 use crate::input::Outcome;
 use crate::load::Choice;
-use crate::load::ejection::{SLOW, State, may_eject};
+use crate::load::ejection::{SLOW_FACTOR, State, may_eject};
 use crate::load::meter::Sample;
 use crate::request::Request;
 use crate::world::World;
@@ -24,13 +24,15 @@
 /// Prepares a tick: limits, rests, and what each service can do.
 pub(crate) fn run(world: &mut World, now: Instant) {
     let ceiling = world.setup.running;
-    world.load.attend(now, &world.endpoints, ceiling);
+    world.load.sync_endpoints(now, &world.endpoints, ceiling);
     if world.load.policy.ejection == Choice::Adaptive {
         review(world, now);
         rest(world, now);
     }
-    world.load.limit(&mut world.endpoints, ceiling);
-    world.load.pool(now, &world.endpoints, &world.routing);
+    world.load.apply_limits(&mut world.endpoints, ceiling);
+    world
+        .load
+        .rebuild_pools(now, &world.endpoints, &world.routing);
 }
 
 /// Counts how a sending ended for or against its endpoint.
@@ -38,7 +40,7 @@
     let whole = matches!(outcome, Outcome::Whole { status } if *status < 500);
     let sample = measure(world, now, request, whole);
     if whole {
-        world.load.budget(&request.order().service).earn();
+        world.load.retry_budget(&request.order().service).deposit();
     }
     let Some(endpoint) = request.endpoint().cloned() else {
         return;
@@ -58,16 +60,16 @@
         return;
     };
     let load = &world.load;
-    let normal = load.normal(&request.order().service);
-    let sent = request.attempt().and_then(|id| load.sent.get(&id));
+    let normal = load.typical_unit_time(&request.order().service);
+    let sent = request.attempt().and_then(|id| load.in_flight.get(&id));
     let sent = sent.cloned();
     let ample = sent
         .as_ref()
         .zip(normal)
-        .is_none_or(|(sent, normal)| sent.mark.age(now) > SLOW * normal * sent.work);
+        .is_none_or(|(sent, normal)| sent.mark.age(now) > SLOW_FACTOR * normal * sent.work);
     if let Some(sent) = &sent {
         // It took at least this long, and nothing else would tell of it.
-        world.load.learn(now, sent);
+        world.load.record_completion(now, sent);
     }
     if world.load.policy.ejection == Choice::Adaptive && ample {
         weigh(world, now, endpoint, false, None);
@@ -91,14 +93,14 @@
 
 fn measure(world: &mut World, now: Instant, request: &Request, whole: bool) -> Option<Sample> {
     let load = &mut world.load;
-    let sent = load.sent.remove(&request.attempt()?)?;
+    let sent = load.in_flight.remove(&request.attempt()?)?;
     let endpoint = world.endpoints.get(request.endpoint()?)?;
-    let gauge = load.gauges.get_mut(request.endpoint()?)?;
-    gauge.limiter.judge(whole, endpoint.running + 1);
+    let gauge = load.endpoint_stats.get_mut(request.endpoint()?)?;
+    gauge.limiter.record_outcome(whole, endpoint.running + 1);
     if !whole {
         return None;
     }
-    load.learn(now, &sent)
+    load.record_completion(now, &sent)
 }
 
 fn weigh(world: &mut World, now: Instant, id: &EndpointId, whole: bool, sample: Option<Sample>) {
@@ -107,12 +109,12 @@
     };
     let bad = if whole {
         let slow = is_slow_probe(world, id, &service, sample);
-        let gauge = world.load.gauges.get_mut(id);
-        gauge.is_some_and(|gauge| gauge.ejection.succeed(now, slow))
+        let gauge = world.load.endpoint_stats.get_mut(id);
+        gauge.is_some_and(|gauge| gauge.ejection.record_success(now, slow))
     } else {
-        let usual = world.load.usual(&service, id);
-        let gauge = world.load.gauges.get_mut(id);
-        gauge.is_some_and(|g| g.ejection.fail() && g.ejection.worse(usual))
+        let usual = world.load.typical_failures(&service, id);
+        let gauge = world.load.endpoint_stats.get_mut(id);
+        gauge.is_some_and(|g| g.ejection.record_failure() && g.ejection.is_outlier(usual))
     };
     if bad {
         eject(world, now, id, &service);
@@ -126,14 +128,14 @@
     service: &ServiceId,
     sample: Option<Sample>,
 ) -> bool {
-    let gauge = world.load.gauges.get(id);
+    let gauge = world.load.endpoint_stats.get(id);
     if gauge.is_none_or(|gauge| gauge.ejection.state() != State::Probing) {
         return false;
     }
-    let normal = world.load.normal(service);
-    let pace = sample.map(|sample| sample.pace);
+    let normal = world.load.typical_unit_time(service);
+    let pace = sample.map(|sample| sample.unit_time);
     pace.zip(normal)
-        .is_some_and(|(pace, normal)| pace > SLOW * normal)
+        .is_some_and(|(pace, normal)| pace > SLOW_FACTOR * normal)
 }
 
 /// Sends an endpoint to rest, unless too many of its service are out already.
@@ -146,14 +148,14 @@
         .map(|e| &e.id)
         .collect();
     let is_out = |other: &&&EndpointId| {
-        let gauge = world.load.gauges.get(**other);
-        **other != id && gauge.is_some_and(|g| g.ejection.state() != State::Open)
+        let gauge = world.load.endpoint_stats.get(**other);
+        **other != id && gauge.is_some_and(|g| g.ejection.state() != State::Healthy)
     };
     let out = others.iter().filter(is_out).count();
     if !may_eject(out, others.len()) {
         return;
     }
-    if let Some(gauge) = world.load.gauges.get_mut(id) {
+    if let Some(gauge) = world.load.endpoint_stats.get_mut(id) {
         gauge.ejection.eject(now);
     }
     if let Some(endpoint) = world.endpoints.get_mut(id) {
@@ -163,10 +165,10 @@
 
 /// Wakes those whose rest is over, and tells the endpoints' table.
 fn rest(world: &mut World, now: Instant) {
-    let gauges = &mut world.load.gauges;
+    let gauges = &mut world.load.endpoint_stats;
     for (endpoint, gauge) in world.endpoints.iter_mut().zip(gauges) {
-        if gauge.ejection.wake(now) {
-            gauge.meter.forget_pace();
+        if gauge.ejection.start_probe(now) {
+            gauge.meter.reset_unit_time();
         }
         endpoint.shunned = gauge.ejection.until();
     }
@@ -179,10 +181,10 @@
         return;
     }
     world.load.reviewed = Some(now);
-    let wholes = world.load.wholes.iter();
+    let wholes = world.load.service_stats.iter();
     let services: Vec<ServiceId> = wholes.map(|whole| whole.service.clone()).collect();
     for service in services {
-        let Some(normal) = world.load.normal(&service) else {
+        let Some(normal) = world.load.typical_unit_time(&service) else {
             continue;
         };
         let late = late(world, now, normal);
@@ -199,29 +201,29 @@
 /// sorted, each as often as it has any.
 fn late(world: &World, now: Instant, normal: f64) -> Vec<&EndpointId> {
     let margin = REVIEW.as_secs_f64();
-    let sent = world.load.sent.iter();
-    let late = sent.filter(|s| s.mark.age(now) > SLOW * normal * s.work + margin);
+    let sent = world.load.in_flight.iter();
+    let late = sent.filter(|s| s.mark.age(now) > SLOW_FACTOR * normal * s.work + margin);
     let mut late: Vec<&EndpointId> = late.map(|sent| &sent.endpoint).collect();
     late.sort();
     late
 }
 
 fn is_slow(world: &World, endpoint: &Endpoint, normal: f64, late: &[&EndpointId]) -> bool {
-    let Some(gauge) = world.load.gauges.get(&endpoint.id) else {
+    let Some(gauge) = world.load.endpoint_stats.get(&endpoint.id) else {
         return false;
     };
-    if gauge.ejection.state() == State::Resting {
+    if gauge.ejection.state() == State::Ejected {
         return false;
     }
-    let pace = gauge.meter.sure_pace();
-    if pace.is_some_and(|pace| pace > SLOW * normal) {
+    let pace = gauge.meter.reliable_unit_time();
+    if pace.is_some_and(|pace| pace > SLOW_FACTOR * normal) {
         return true;
     }
     let from = late.partition_point(|id| **id < endpoint.id);
     let until = late.partition_point(|id| **id <= endpoint.id);
     let enough = match gauge.ejection.state() {
         State::Probing => 1,
-        State::Open | State::Resting => LATE.max(endpoint.running.div_ceil(2) as usize),
+        State::Healthy | State::Ejected => LATE.max(endpoint.running.div_ceil(2) as usize),
     };
     until - from >= enough
 }
--- a/lib/src/systems/intake.rs
+++ b/lib/src/systems/intake.rs
@@ -41,9 +41,9 @@
                 leaving::gone(world, &endpoint);
             }
             Input::Routing(event) => world.routing.take(now, event),
-            Input::Fleet(count) => world.load.board.expect(count),
+            Input::Fleet(count) => world.load.shares.set_expected(count),
             Input::Met(incarnation) => allowance::meet(world, now, incarnation),
-            Input::Parted(incarnation) => world.load.board.part(incarnation),
+            Input::Parted(incarnation) => world.load.shares.remove_peer(incarnation),
             Input::Share(row) => allowance::hear(world, now, row),
             Input::Move { service, event } => moving::learn(world, now, &service, event),
             Input::Watch(watch) => world.watch = Some(watch),
@@ -181,7 +181,7 @@
     let Some(request) = world.requests.remove(&id) else {
         return;
     };
-    world.load.forget(&request);
+    world.load.remove_request(&request);
     if let Some(allowance) = world.allowances.get_mut(&request.order().customer) {
         allowance.release();
     }
--- a/lib/src/systems/queue.rs
+++ b/lib/src/systems/queue.rs
@@ -9,8 +9,8 @@
 use crate::code::Code;
 use crate::command::Command;
 use crate::ids::{RequestId, ServiceId};
-use crate::load::fair::{Entry, Lane};
-use crate::load::{Choice, left};
+use crate::load::fair_queue::{Entry, FairQueue};
+use crate::load::{Choice, remaining_work};
 use crate::request::{Ending, Request};
 use crate::routing::{Ask, is_open};
 use crate::systems::intake::finish;
@@ -39,10 +39,10 @@
     let waiting = world.requests.iter().filter(waits).count();
     if waiting != world.load.waiting() {
         let priorities = world.priorities();
-        world.load.requeue(&world.requests, &priorities);
+        world.load.rebuild_queues(&world.requests, &priorities);
     }
-    if world.requests.len() - waiting != world.load.sent.len() {
-        world.load.prune(&world.requests);
+    if world.requests.len() - waiting != world.load.in_flight.len() {
+        world.load.prune_attempts(&world.requests);
     }
 }
 
@@ -53,9 +53,9 @@
     requests.map(|request| request.order().id).collect()
 }
 
-/// As many as there are free places, in the order that `load::fair` states.
+/// As many as there are free places, in the order that `load::fair_queue` states.
 fn by_share(world: &mut World, now: Instant) -> Vec<RequestId> {
-    let lanes = world.load.lanes.iter();
+    let lanes = world.load.queues.iter();
     let services: Vec<ServiceId> = lanes.map(|lane| lane.id().clone()).collect();
     let mut ids = Vec::new();
     for service in services {
@@ -70,14 +70,14 @@
     let places: u32 = open.map(|e| e.limit - e.running).sum();
     let mut free = places.min(world.load.capacity(service).free());
     while free > 0 {
-        let Some(taken) = world.load.lane(service).pop() else {
+        let Some(taken) = world.load.queue(service).pop() else {
             return;
         };
         if can_send(world, now, taken.entry.id) {
             free -= 1;
             ids.push(taken.entry.id);
         }
-        world.load.offered.push(taken);
+        world.load.dequeued.push(taken);
     }
 }
 
@@ -107,10 +107,10 @@
 /// endpoints do not begin what nobody waits for.
 fn give_up(world: &mut World, now: Instant) {
     let mut late = Vec::new();
-    for lane in &world.load.lanes {
+    for lane in &world.load.queues {
         let capacity = world.load.capacity(lane.id());
         let missed = |entry: &Entry| {
-            let latest = capacity.latest(entry.deadline, entry.work);
+            let latest = capacity.latest_start(entry.deadline, entry.work);
             latest.is_some_and(|latest| latest < now)
         };
         let entries = lane.iter().map(|(_, entry)| entry);
@@ -127,12 +127,12 @@
     };
     let ran = waiting.ran;
     let service = waiting.order.service.clone();
-    let work = left(waiting);
+    let work = remaining_work(waiting);
     let rate = world.load.capacity(&service).rate;
-    let queued = world.load.lanes.get(&service).map_or(0.0, Lane::work);
+    let queued = world.load.queues.get(&service).map_or(0.0, FairQueue::work);
     let drained = Duration::from_secs_f64((queued / rate).clamp(0.0, 1e6));
     let draw = f64::from(id as u8) / 255.0;
-    let again = world.load.come_back(now, &service, drained, work, draw);
+    let again = world.load.retry_at(now, &service, drained, work, draw);
     let ending = Ending::Failed {
         code: Code::TooLate,
         ran,
@@ -143,7 +143,7 @@
 
 /// After the sending: notes what was sent, and puts back what was not.
 pub(crate) fn settle(world: &mut World, now: Instant) {
-    world.load.gauge(now, &world.endpoints);
+    world.load.update_running(now, &world.endpoints);
     let sends = world.commands.iter().filter_map(|command| match command {
         Command::Send(send) => Some(send),
         Command::Cancel(_) | Command::Move { .. } | Command::Finish { .. } => None,
@@ -154,18 +154,20 @@
         };
         let order = request.order();
         let work = f64::from(order.work().saturating_sub(send.delivered).max(1));
-        world.load.mark(now, send.attempt, &send.endpoint, work);
+        world
+            .load
+            .record_attempt(now, send.attempt, &send.endpoint, work);
         let entry = Entry {
             id: order.id,
             deadline: order.deadline,
             work,
         };
-        world.load.unqueue(&order.service, &order.customer, &entry);
+        world.load.dequeue(&order.service, &order.customer, &entry);
     }
-    for taken in std::mem::take(&mut world.load.offered) {
+    for taken in std::mem::take(&mut world.load.dequeued) {
         if let Some(Request::Waiting(waiting)) = world.requests.get(&taken.entry.id) {
             let service = waiting.order.service.clone();
-            world.load.lane(&service).restore(&taken);
+            world.load.queue(&service).restore(&taken);
         }
     }
 }
--- a/lib/src/systems/retry.rs
+++ b/lib/src/systems/retry.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use crate::code::{Code, Ran};
-use crate::load::{Choice, comeback};
+use crate::load::{Choice, retry_after};
 use crate::request::{Ending, Request, Waiting};
 use crate::systems::intake::finish;
 use crate::world::World;
@@ -28,10 +28,10 @@
     // Of the last sending nothing may have left, but something of an earlier one.
     let ran = waiting.ran;
     let priority = world.priority(&waiting.order.customer);
-    world.load.wait(priority, &waiting);
+    world.load.enqueue(priority, &waiting);
     world.requests.insert(Request::Waiting(waiting));
     if over {
-        let again = comeback::spread(now, LATER, world.rng.f64());
+        let again = retry_after::with_jitter(now, LATER, world.rng.f64());
         let ending = Ending::Failed {
             code,
             ran,
@@ -52,5 +52,5 @@
 /// Whether the budget allows it. A sending of which no byte left cost the
 /// endpoints nothing and is not counted.
 fn afford(world: &mut World, waiting: &Waiting, ran: Ran) -> bool {
-    ran == Ran::No || world.load.budget(&waiting.order.service).spend()
+    ran == Ran::No || world.load.retry_budget(&waiting.order.service).withdraw()
 }
--- a/lib/src/world.rs
+++ b/lib/src/world.rs
@@ -119,7 +119,7 @@
     /// What this daemon claims of customers' limits, for the others to hear. A
     /// customer that is no longer among them is told once more without amounts.
     pub fn shares(&self) -> Vec<ShareRow> {
-        self.load.board.rows(self.setup.incarnation)
+        self.load.shares.rows(self.setup.incarnation)
     }
 
     /// Priority of a customer's plan; the lowest if it has none any more.
--- a/lib/tests/test_load_shares.rs
+++ b/lib/tests/test_load_shares.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use poplarvale_lib::load::Policy;
-use poplarvale_lib::load::shares::{Amounts, BASE, TRANSIT};
+use poplarvale_lib::load::shares::{Amounts, BASE_FRACTION, MAX_TRANSIT};
 use poplarvale_lib::{Command, Input, Outcome};
 use proptest::prelude::*;
 use testutils::fake_endpoints::Behaviour;
@@ -18,7 +18,7 @@
     running: 40.0,
 };
 
-fn above(sum: Amounts, times: f64) -> bool {
+fn exceeds(sum: Amounts, times: f64) -> bool {
     let limit = LIMIT.times(times + 1e-9);
     sum.requests > limit.requests || sum.tokens > limit.tokens || sum.running > limit.running
 }
@@ -31,21 +31,21 @@
     /// customer would use more than its plan, and others would pay for it with
     /// their latency.
     #[test]
-    fn shares_never_sum_above_the_limit_among_daemons_that_hear_each_other(
+    fn shares_never_sum_above_the_limit_among_connected_daemons(
         count in 1usize..9,
-        late in 0.0f64..1.0,
+        delay in 0.0f64..1.0,
         phases in prop::collection::vec(
             (prop::collection::vec(0.0f64..60.0, 8), 1usize..40),
             1..8,
         ),
         seed in any::<u64>(),
     ) {
-        let mut fleet = Fleet::new(count, LIMIT, TRANSIT.mul_f64(late), seed);
+        let mut fleet = Fleet::new(count, LIMIT, MAX_TRANSIT.mul_f64(delay), seed);
         for (asks, rounds) in phases {
             for _ in 0..rounds {
                 fleet.round(&asks[..count]);
                 let sum = fleet.sum(None);
-                prop_assert!(!above(sum, 1.0), "{sum:?}");
+                prop_assert!(!exceeds(sum, 1.0), "{sum:?}");
             }
         }
     }
@@ -61,7 +61,7 @@
         rounds in 1usize..120,
         seed in any::<u64>(),
     ) {
-        let mut fleet = Fleet::new(8, LIMIT, TRANSIT, seed);
+        let mut fleet = Fleet::new(8, LIMIT, MAX_TRANSIT, seed);
         for _ in 0..60 {
             fleet.round(&before);
         }
@@ -72,17 +72,17 @@
             fleet.round(&after);
             for side in 0..3 {
                 let sum = fleet.sum(Some(side));
-                prop_assert!(!above(sum, 1.0), "side {side}: {sum:?}");
+                prop_assert!(!exceeds(sum, 1.0), "side {side}: {sum:?}");
             }
             let all = fleet.sum(None);
-            let apart = (0..3).filter(|s| *s != most).map(|side| fleet.sum(Some(side)));
-            let apart = apart.fold(Amounts::default(), |a, b| a.zip(b, |a, b| a + b));
-            let bound = LIMIT.zip(apart, |a, b| a + b + 1e-6);
+            let cut_off = (0..3).filter(|s| *s != most).map(|side| fleet.sum(Some(side)));
+            let cut_off = cut_off.fold(Amounts::default(), |a, b| a.zip(b, |a, b| a + b));
+            let bound = LIMIT.zip(cut_off, |a, b| a + b + 1e-6);
             let over = bound.zip(all, |bound, all| bound - all);
             prop_assert!(over.requests >= 0.0, "round {round}: {all:?} over {bound:?}");
             prop_assert!(over.tokens >= 0.0 && over.running >= 0.0);
             if count(most) * 2 <= 8 {
-                prop_assert!(!above(all, 1.0), "no side has most: {all:?}");
+                prop_assert!(!exceeds(all, 1.0), "no side has most: {all:?}");
             }
         }
     }
@@ -97,12 +97,12 @@
     /// the daemons that joined and are not on the list of hosts yet, and by no
     /// more.
     #[test]
-    fn overshoot_of_joins_is_at_most_their_even_part(
+    fn overshoot_of_joins_is_at_most_their_base_shares(
         changes in prop::collection::vec((0u8..5, any::<usize>(), 1usize..60), 1..12),
         asks in prop::collection::vec(0.0f64..60.0, 24),
         seed in any::<u64>(),
     ) {
-        let mut fleet = Fleet::new(6, LIMIT, TRANSIT, seed);
+        let mut fleet = Fleet::new(6, LIMIT, MAX_TRANSIT, seed);
         let mut joined = 0.0;
         for (change, which, rounds) in changes {
             let alive: Vec<usize> = fleet.alive().collect();
@@ -121,9 +121,9 @@
                 fleet.round(&asks);
                 let count = fleet.alive().count() as f64;
                 let known = (count - joined).max(1.0);
-                let times = 1.0 + BASE * joined / known;
+                let times = 1.0 + BASE_FRACTION * joined / known;
                 let sum = fleet.sum(None);
-                prop_assert!(!above(sum, times), "{sum:?} over {times}");
+                prop_assert!(!exceeds(sum, times), "{sum:?} over {times}");
             }
         }
     }
@@ -175,7 +175,7 @@
 /// One customer's requests arrive at two daemons, four times what its plan allows
 /// at each. Together they must not admit more than the plan, and not much less.
 #[test]
-fn two_daemons_keep_one_plan_together() {
+fn two_daemons_together_enforce_one_plan() {
     let origin = Instant::now();
     let scene = Scene {
         endpoints: vec![("e0".into(), Behaviour::sound(1e6, 1e6))],
@@ -208,7 +208,7 @@
                 inputs.push(Input::Arrived(order));
             }
             let commands = worlds[at].tick(now, inputs);
-            let ends = sends(&commands);
+            let ends = complete_attempts(&commands);
             count += ends.len();
             worlds[at].tick(now, ends);
         }
@@ -234,7 +234,7 @@
 }
 
 /// Ends each attempt with a complete answer.
-fn sends(commands: &[Command]) -> Vec<Input> {
+fn complete_attempts(commands: &[Command]) -> Vec<Input> {
     let mut ends = Vec::new();
     for command in commands {
         if let Command::Send(send) = command {
--- a/lib/tests/traces/fleet.rs
+++ b/lib/tests/traces/fleet.rs
@@ -5,14 +5,16 @@
 
 use std::time::{Duration, Instant};
 
-use poplarvale_lib::load::shares::{Amounts, FRESH, GRACE, Heard, Holder, Members, ShareRow};
+use poplarvale_lib::load::shares::{
+    Amounts, DEAD_AFTER, FRESH, LocalShare, Members, PeerRow, ShareRow,
+};
 
 /// Time between two rounds.
 pub const ROUND: Duration = Duration::from_millis(250);
 
 #[derive(Debug)]
 struct Daemon {
-    holder: Holder,
+    holder: LocalShare,
     side: usize,
     alive: bool,
     last: Vec<Option<(ShareRow, Instant)>>,
@@ -45,7 +47,7 @@
     pub fn new(count: usize, limit: Amounts, delay: Duration, seed: u64) -> Self {
         let now = Instant::now();
         let daemon = |_| Daemon {
-            holder: Holder::new(now),
+            holder: LocalShare::new(now),
             side: 0,
             alive: true,
             last: vec![None; count],
@@ -85,7 +87,7 @@
             daemon.last.push(None);
         }
         self.daemons.push(Daemon {
-            holder: Holder::new(self.now),
+            holder: LocalShare::new(self.now),
             side: 0,
             alive: true,
             last: vec![None; self.daemons.len() + 1],
@@ -108,10 +110,10 @@
         let silence = heard.map(|(_, at)| self.now.saturating_duration_since(*at));
         let silence: Vec<Duration> = silence.collect();
         Members {
-            all: self.hosts,
+            expected: self.hosts,
             known: 1 + silence.len(),
             fresh: 1 + silence.iter().filter(|s| **s < FRESH).count(),
-            gone: silence.iter().filter(|s| **s >= GRACE).count(),
+            dead: silence.iter().filter(|s| **s >= DEAD_AFTER).count(),
         }
     }
 
@@ -147,12 +149,12 @@
         let (now, limit) = (self.now, self.limit);
         let daemon = &mut self.daemons[at];
         for _ in 0..asks {
-            daemon.holder.ask(now, 100.0);
+            daemon.holder.record_request(now, 100.0);
         }
-        daemon.holder.run(asks as f64);
+        daemon.holder.record_running(asks as f64);
         let heard = daemon.last.iter().flatten();
-        let heard = heard.map(|(row, at)| Heard { row, at: *at });
-        daemon.holder.turn(now, limit, heard, members);
+        let heard = heard.map(|(row, at)| PeerRow { row, received: *at });
+        daemon.holder.update_claim(now, limit, heard, members);
         let row = ShareRow {
             customer: "c".into(),
             incarnation: at as u64,
