--- a/lib/tests/test_load.rs
+++ b/lib/tests/test_load.rs
@@ -54,10 +54,10 @@
 fn goodput_does_not_fall_as_load_grows() {
     let once = goodput(&play("saturation-1", Policy::default()));
     for name in ["saturation-2", "saturation-5"] {
-        let ours = goodput(&play(name, Policy::default()));
+        let adaptive = goodput(&play(name, Policy::default()));
         let plain = goodput(&play(name, Policy::plain()));
-        assert!(ours >= 0.9 * once, "{name}: {ours} against {once}");
-        assert!(ours > 1.5 * plain, "{name}: {ours} against {plain}");
+        assert!(adaptive >= 0.9 * once, "{name}: {adaptive} against {once}");
+        assert!(adaptive > 1.5 * plain, "{name}: {adaptive} against {plain}");
     }
 }
 
@@ -65,7 +65,7 @@
 /// its caller waits for the whole deadline, gets its answer only then, and does
 /// not know when to retry.
 #[test]
-fn who_is_too_late_hears_so_at_once_and_when_to_come_back() {
+fn late_requests_are_rejected_at_once_with_a_retry_time() {
     let admission = Policy {
         admission: Choice::Adaptive,
         ..Policy::plain()
@@ -83,7 +83,7 @@
         );
         for e in late {
             let poplarvale_lib::Ending::Failed { again, .. } = e.ending else {
-                panic!("a refusal is a failure");
+                panic!("a rejection is a failure");
             };
             assert!(again.is_some());
         }
@@ -98,8 +98,8 @@
     for name in ["burst", "saturation-5"] {
         for policy in [Policy::plain(), Policy::default()] {
             let ended = play(name, policy);
-            let lies = share(&ended, |e| e.not_run() && e.sends > 0);
-            assert!(lies == 0.0, "{name}: {lies}");
+            let wrong = share(&ended, |e| e.not_run() && e.sends > 0);
+            assert!(wrong == 0.0, "{name}: {wrong}");
         }
     }
 }
@@ -109,9 +109,9 @@
 /// requests time out too, through no fault of its own.
 #[test]
 fn a_quiet_customer_beside_a_flood_is_served() {
-    let ours = driver::of(&play("flood", Policy::default()), "quiet");
+    let adaptive = driver::of(&play("flood", Policy::default()), "quiet");
     let plain = driver::of(&play("flood", Policy::plain()), "quiet");
-    assert!(share(&ours, Ended::good) >= 0.85, "{ours:?}");
+    assert!(share(&adaptive, Ended::good) >= 0.85, "{adaptive:?}");
     assert!(share(&plain, Ended::good) <= 0.5);
 }
 
@@ -130,12 +130,12 @@
 /// for other work.
 #[test]
 fn a_burst_leaves_other_work_on_time() {
-    let ours = play("burst", Policy::default());
+    let adaptive = play("burst", Policy::default());
     let plain = play("burst", Policy::plain());
     let tags = |ended: &[Ended]| share(&driver::of(ended, "tag"), Ended::good);
-    assert!(tags(&ours) >= 0.85, "{}", tags(&ours));
-    assert!(tags(&ours) > tags(&plain));
-    assert!(goodput(&ours) > goodput(&plain));
+    assert!(tags(&adaptive) >= 0.85, "{}", tags(&adaptive));
+    assert!(tags(&adaptive) > tags(&plain));
+    assert!(goodput(&adaptive) > goodput(&plain));
 }
 
 fn four(policy: Policy) -> Scene {
@@ -161,15 +161,15 @@
         let ended = driver::replay(&scene, &committed("slow"));
         1.0 - share(&ended, Ended::good)
     };
-    let ours = late(Policy::default());
+    let adaptive = late(Policy::default());
     let plain = late(Policy::plain());
-    assert!(ours < 0.6 * plain, "{ours} against {plain}");
+    assert!(adaptive < 0.6 * plain, "{adaptive} against {plain}");
 }
 
 /// Two endpoints of four fail most of their requests. They are idle sooner than
 /// the others, so least-loaded choice sends them ever more.
 #[test]
-fn failing_endpoints_are_kept_from_work() {
+fn failing_endpoints_are_ejected() {
     let good = |policy| {
         let mut scene = four(policy);
         for (_, behaviour) in &mut scene.endpoints[..2] {
@@ -178,9 +178,9 @@
         let ended = driver::replay(&scene, &committed("slow"));
         (share(&ended, Ended::good), ended)
     };
-    let (ours, ended) = good(Policy::default());
+    let (adaptive, ended) = good(Policy::default());
     let (plain, _) = good(Policy::plain());
-    assert!(ours > plain, "{ours} against {plain}");
+    assert!(adaptive > plain, "{adaptive} against {plain}");
     let sends: u32 = ended.iter().map(|e| e.sends).sum();
     assert!(f64::from(sends) <= 1.2 * ended.len() as f64, "{sends}");
 }
@@ -188,7 +188,7 @@
 /// Every endpoint refuses connections. Callers must be told at once that nothing
 /// ran; waiting for the deadline would not bring an endpoint back.
 #[test]
-fn when_all_refuse_the_final_answer_comes_at_once() {
+fn requests_fail_at_once_when_all_endpoints_refuse_connections() {
     let mut scene = four(Policy::default());
     for (_, behaviour) in &mut scene.endpoints {
         behaviour.refuses = 1.0;
@@ -203,7 +203,7 @@
 /// the cache runs out, and nothing in their latency shows it. With a fixed limit,
 /// and with retries on top, most callers get an error.
 #[test]
-fn endpoints_that_break_when_crowded_get_fewer_at_once() {
+fn endpoints_that_fail_when_overloaded_get_a_lower_limit() {
     let good = |policy| {
         let mut scene = scene(policy);
         for (_, behaviour) in &mut scene.endpoints {
@@ -214,16 +214,19 @@
             Ended::good,
         )
     };
-    let ours = good(Policy::default());
+    let adaptive = good(Policy::default());
     let plain = good(Policy::plain());
-    assert!(ours > 0.4 && ours > 2.0 * plain, "{ours} against {plain}");
+    assert!(
+        adaptive > 0.4 && adaptive > 2.0 * plain,
+        "{adaptive} against {plain}"
+    );
 }
 
 /// Four daemons send to the same endpoints and none knows of the others'
 /// requests. Each has a short queue, so each would admit everything, and all of
 /// it is late.
 #[test]
-fn daemons_that_share_endpoints_turn_away_what_none_of_them_queues() {
+fn daemons_that_share_endpoints_reject_overload_without_queues() {
     let play = |load, policy| {
         let mut scene = scene(policy);
         scene.daemons = 4;
@@ -231,17 +234,17 @@
         goodput(&driver::replay(&scene, &trace))
     };
     let once = play(1.0, Policy::default());
-    let ours = play(5.0, Policy::default());
+    let adaptive = play(5.0, Policy::default());
     let plain = play(5.0, Policy::plain());
-    assert!(ours > 4.0 * plain, "{ours} against {plain}");
-    assert!(ours >= 0.8 * once, "{ours} against {once}");
+    assert!(adaptive > 4.0 * plain, "{adaptive} against {plain}");
+    assert!(adaptive >= 0.8 * once, "{adaptive} against {once}");
 }
 
 /// Load falls to a third of what the endpoints can do after twenty seconds of
 /// five times as much. Measurements made under overload must not outlast it:
 /// callers would be rejected while endpoints are idle.
 #[test]
-fn after_overload_nobody_is_turned_away_for_long() {
+fn rejections_end_soon_after_overload() {
     let mut streams = generate::short(5.0, 20.0);
     let after = generate::short(0.3, 20.0).into_iter();
     streams.extend(after.map(|stream| generate::Stream {
@@ -267,7 +270,7 @@
 /// Rejected callers retry at the time they are told. If they were told only how
 /// late they were, all of a burst would retry together and be rejected again.
 #[test]
-fn who_comes_back_when_told_is_served() {
+fn rejected_callers_that_retry_when_told_are_served() {
     let mut scene = scene(Policy::default());
     scene.returns = 3;
     let ended = driver::replay(&scene, &committed("burst"));
--- a/lib/tests/test_load_schedules.rs
+++ b/lib/tests/test_load_schedules.rs
@@ -25,7 +25,7 @@
         which: usize,
         how: u8,
     },
-    Leave {
+    Cancel {
         which: usize,
     },
     Endpoint {
@@ -47,13 +47,13 @@
         },
     );
     let end = (any::<usize>(), 0u8..6).prop_map(|(which, how)| Step::End { which, how });
-    let leave = any::<usize>().prop_map(|which| Step::Leave { which });
+    let cancel = any::<usize>().prop_map(|which| Step::Cancel { which });
     let endpoint = (0u8..4, 0u8..4).prop_map(|(number, how)| Step::Endpoint { number, how });
     let wait = (0u64..3_000).prop_map(|ms| Step::Wait { ms });
     let step = prop_oneof![
         6 => arrive,
         8 => end,
-        1 => leave,
+        1 => cancel,
         1 => endpoint,
         4 => wait,
     ];
@@ -64,7 +64,7 @@
 struct Record {
     repeatable: bool,
     /// Attempts, with whether any byte of each was sent.
-    sends: Vec<(u128, EndpointId, bool)>,
+    attempts: Vec<(u128, EndpointId, bool)>,
     endings: Vec<Ending>,
 }
 
@@ -130,7 +130,7 @@
                 self.tick(vec![Input::Arrived(order)])
             }
             Step::End { which, how } => self.end(which, how),
-            Step::Leave { which } => {
+            Step::Cancel { which } => {
                 if self.records.is_empty() {
                     return Ok(());
                 }
@@ -159,7 +159,7 @@
         };
         if how == 4 {
             let record = &mut self.records[request as u64 as usize];
-            let send = record.sends.iter_mut().find(|s| s.0 == attempt);
+            let send = record.attempts.iter_mut().find(|s| s.0 == attempt);
             send.expect("was sent").2 = false;
         }
         self.tick(vec![Input::Ended {
@@ -198,34 +198,43 @@
     fn tick(&mut self, inputs: Vec<Input>) -> Result<(), TestCaseError> {
         for command in self.world.tick(self.now, inputs) {
             if let Command::Send(send) = command {
-                self.sent(send)?;
+                self.check_send(send)?;
             } else if let Command::Finish { request, ending } = command {
-                self.ended(request, ending)?;
+                self.check_ending(request, ending)?;
             }
         }
         Ok(())
     }
 
-    fn sent(&mut self, send: Send) -> Result<(), TestCaseError> {
+    fn check_send(&mut self, send: Send) -> Result<(), TestCaseError> {
         let record = &mut self.records[send.request as u64 as usize];
         prop_assert!(record.endings.is_empty(), "sent after its end");
         let leaving = self.leaving.contains(&send.endpoint);
-        prop_assert!(!leaving, "sent to one leaving");
-        let before = record.sends.iter();
-        prop_assert!(before.clone().all(|s| s.1 != send.endpoint), "sent back");
+        prop_assert!(!leaving, "sent to a leaving endpoint");
+        let before = record.attempts.iter();
+        prop_assert!(
+            before.clone().all(|s| s.1 != send.endpoint),
+            "sent to the same endpoint again"
+        );
         if !record.repeatable {
-            prop_assert!(before.clone().all(|s| !s.2), "sent after a byte left");
+            prop_assert!(
+                before.clone().all(|s| !s.2),
+                "sent again although a byte was sent"
+            );
         }
-        record.sends.push((send.attempt, send.endpoint, true));
+        record.attempts.push((send.attempt, send.endpoint, true));
         self.running.push((send.attempt, send.request));
         Ok(())
     }
 
-    fn ended(&mut self, request: RequestId, ending: Ending) -> Result<(), TestCaseError> {
+    fn check_ending(&mut self, request: RequestId, ending: Ending) -> Result<(), TestCaseError> {
         let record = &mut self.records[request as u64 as usize];
         if matches!(ending, Ending::Failed { ran: Ran::No, .. }) {
-            let left = record.sends.iter().any(|s| s.2);
-            prop_assert!(!left, "called not run: {ending:?} after {record:?}");
+            let was_sent = record.attempts.iter().any(|s| s.2);
+            prop_assert!(
+                !was_sent,
+                "reported as not run: {ending:?} after {record:?}"
+            );
         }
         record.endings.push(ending);
         Ok(())
@@ -279,7 +288,7 @@
 /// its endpoint leaves. If the request is in no queue, its caller waits for the
 /// deadline while endpoints are free. The service is not in the settings either.
 #[test]
-fn what_is_made_to_wait_by_hand_is_sent() {
+fn a_request_set_to_waiting_by_another_system_is_sent() {
     let mut run = Run::new(Policy::default());
     run.world.services = poplarvale_lib::Table::new();
     let arrive = Step::Arrive {
@@ -288,14 +297,14 @@
         within: 5_000,
         repeatable: true,
     };
-    run.step(&arrive).expect("it is let in");
-    assert_eq!(run.records[0].sends.len(), 1);
+    run.step(&arrive).expect("it is admitted");
+    assert_eq!(run.records[0].attempts.len(), 1);
     let id = poplarvale_lib::joined(driver::INCARNATION, 0);
     let Some(Request::Repeatable(running)) = run.world.requests.get(&id).cloned() else {
         panic!("it runs");
     };
     run.world.requests.insert(Request::Waiting(running.again()));
     run.now += Duration::from_millis(50);
-    run.tick(Vec::new()).expect("nothing is amiss");
-    assert_eq!(run.records[0].sends.len(), 2);
+    run.tick(Vec::new()).expect("all checks pass");
+    assert_eq!(run.records[0].attempts.len(), 2);
 }
