--- a/lib/src/moves/controller.rs
+++ b/lib/src/moves/controller.rs
@@ -1,13 +1,15 @@
-//! One daemon's part in the move of one service.
+//! One daemon's part in the version move of one service.
 //!
-//! It knows the record as last heard, the evidence, the verdict and whether all
-//! this is fresh. From these it says which version a request goes to, and, while
-//! it holds the lease, which write comes next. It reaches nothing itself: writes
-//! and rows to share are returned as [`Action`]s.
+//! The controller holds the last received move record, the evidence, the verdicts,
+//! and until when this state counts as fresh. From these it decides which version
+//! each request goes to and, while the daemon holds the lease, which record to
+//! write next. It does no I/O: writes and evidence rows to share are returned as
+//! [`Action`]s.
 //!
-//! A daemon that just started, was paused or hears from nobody may have missed a
-//! verdict. One would notice by callers who still meet a bad version minutes
-//! after it was taken back. So the share is zero until fresh news has come.
+//! A daemon that has just started, was paused or is partitioned may have missed a
+//! verdict. Its callers would still reach a bad version minutes after the move was
+//! rolled back. So the new version's share is zero until an exchange shows that
+//! this daemon's state is current.
 
 use std::time::{Duration, Instant};
 
@@ -19,68 +21,71 @@
 use crate::moves::life::{MoveId, Record};
 use crate::moves::share::{Counter, ONE, Share};
 use crate::moves::stages::{Shares, Spread, WallMs, cautious, shares, spread};
-use crate::moves::verdict::{Judge, Seen};
+use crate::moves::verdict::{Detector, Seen};
 
-/// How long news counts as fresh: five gossip rounds of a second and the way of
-/// the last one, doubled, so that a lost round or two changes nothing.
+/// How long an exchange keeps this daemon's state fresh: five gossip rounds of one
+/// second and the transit time of the last one, doubled, so that losing a round or
+/// two changes nothing.
 pub const FRESH: Duration = Duration::from_secs(10);
 
-/// How often own rows are shared.
+/// Interval at which own evidence rows are published.
 pub const PUBLISH: Duration = Duration::from_secs(1);
 
-/// Time that a write may take before the record is written anew.
+/// How long the result of a write is awaited before the record is written again.
 const ANSWER: Duration = Duration::from_secs(2);
 
-/// Requests of a route at the new version that a stage needs: fewer show a fault
-/// in one request of thirty with less than four in five chances.
+/// Requests of a route at the new version that a stage needs. With fewer, a fault
+/// in one request of thirty shows with a probability below four in five.
 const ENOUGH: f64 = 50.0;
 
-/// Of the requests that the share promises, the part that must have been seen
-/// where that is less than [`ENOUGH`]. Half lets routing lag behind the share
-/// but not ignore it.
+/// Of the requests that the stage's share promises the new version, the fraction
+/// that must have been seen where that is less than [`MIN_STAGE_REQUESTS`]. One
+/// half lets routing lag behind the share but not ignore it.
 const PART: f64 = 0.5;
 
-/// Difference from the mix on record at which the one of late counts. Below it
-/// chance alone would change the number of endpoints back and forth, and each
-/// daemon's number would differ from its peers'.
+/// Difference between the recorded and the recently measured share of idempotent
+/// requests above which the measured one is used. Below it, chance alone would make
+/// the number of endpoints go up and down, and each daemon's number would differ
+/// from its peers'.
 const OTHER_MIX: Share = 100_000;
 
-/// A record with the revision it has in the store.
+/// A move record and its revision in the store.
 #[proc_macros::row]
 pub struct Stored {
-    /// Revision.
+    /// Revision in the store.
     pub revision: Revision,
-    /// Record.
+    /// Move record.
     pub record: Record,
 }
 
-/// A verdict that a version is bad; never withdrawn.
+/// A verdict that the new version is bad; never withdrawn.
 #[proc_macros::row]
 pub struct Bad {
-    /// Move.
+    /// Move that it ends.
     pub id: MoveId,
-    /// Evidence, as a sentence.
+    /// Evidence, as a sentence for operators.
     pub reason: CompactString,
 }
 
-/// Where news came from.
+/// Source of an exchange of record and evidence.
 #[proc_macros::kind]
 pub enum Source {
-    /// The platform's key-value service, read just now.
+    /// The platform's key-value store, read just now.
     Store,
-    /// A peer's complete exchange of rows.
+    /// A complete exchange of rows with a peer.
     Peer {
-        /// Whether that peer's own news were fresh.
+        /// Whether the peer's own state was fresh.
         fresh: bool,
     },
 }
 
-/// Live daemons, and how many of them were heard of late; this one counts.
+/// Connectivity: the live daemons, and how many of them sent a digest recently.
+/// Both counts include this daemon.
 #[proc_macros::kind]
 pub struct Reach {
-    /// Daemons that the membership holds for alive.
+    /// Daemons that membership considers alive.
     pub live: u32,
-    /// Of these, heard within [`FRESH`].
+    /// Of these, daemons last received from within [`FRESHNESS_TTL`].
     pub heard: u32,
 }
 
@@ -90,123 +95,123 @@
     }
 }
 
-/// Time by both clocks.
+/// The current time on both clocks.
 #[derive(Clone, Copy, Debug)]
 pub struct Time {
-    /// The process's clock.
+    /// Monotonic clock of the process.
     pub now: Instant,
-    /// The wall clock, which records in the store use.
+    /// Wall clock, which the records in the store use.
     pub wall: WallMs,
 }
 
 impl Time {
-    /// A wall-clock time to come, by the process's clock.
+    /// Converts a future wall-clock time to the process's monotonic clock.
     fn instant(self, wall: WallMs) -> Instant {
         self.now + Duration::from_millis(wall.saturating_sub(self.wall))
     }
 }
 
-/// What a tick is told.
+/// Inputs of a tick.
 #[derive(Clone, Copy, Debug)]
 pub struct Outlook {
-    /// Time.
+    /// Current time.
     pub time: Time,
-    /// Live daemons.
+    /// Connectivity to the live daemons.
     pub reach: Reach,
-    /// Whether an endpoint of the new version takes work.
+    /// Whether an endpoint of the new version accepts requests.
     pub ready: bool,
 }
 
-/// What the border learned about the move of a service.
+/// What was received about the move of a service.
 #[proc_macros::row]
 pub enum Event {
-    /// The record, from the store or a peer.
+    /// Record from the store or a peer.
     Record(Stored),
     /// Rows and record were exchanged with a source.
     Heard(Source),
-    /// A peer's evidence.
+    /// Evidence row of a peer.
     Row(Box<Row>),
-    /// A peer's verdict.
+    /// Verdict of a peer.
     Bad(Bad),
     /// The lease was granted, renewed or lost.
     Lease(Option<Lease>),
 }
 
-/// What is to be done.
+/// What the caller of a tick must do.
 #[proc_macros::row]
 pub enum Action {
-    /// Write the record if its revision is still this one.
+    /// Write the record if the store still has this revision.
     Write {
-        /// Revision it was decided on.
+        /// Revision that the decision was based on.
         revision: Revision,
         /// Record to write.
         record: Record,
-        /// When it must have left; later it is dropped.
+        /// When the write must have been sent; after that it is dropped.
         until: Instant,
     },
-    /// Push a verdict to every peer at once.
+    /// Push a verdict to every peer immediately.
     Push(Bad),
-    /// Share own evidence with the next gossip round.
+    /// Share own evidence rows in the next gossip round.
     Publish(Vec<Row>),
 }
 
 /// Which versions a request may go to.
 #[proc_macros::kind]
 pub enum Pick {
-    /// No move runs: whichever version.
+    /// No move is known: any version.
     Any,
-    /// The version the move leaves.
+    /// The version that the move leaves.
     Old,
-    /// The version the move goes to.
+    /// The version that the move goes to.
     New,
 }
 
 /// Why a move stays in its stage.
 #[proc_macros::row]
 pub enum Hold {
-    /// The stage is not over.
+    /// The stage's time is not over.
     Time,
     /// Another daemon holds the lease, or none does.
     Lease,
-    /// Nothing fresh is known.
+    /// This daemon's state is not fresh.
     Stale,
-    /// A test is on its way to convict.
+    /// A test suspects the new version.
     Suspicion,
-    /// A route has not been seen enough.
+    /// A route has too few requests at the new version.
     Evidence(Seen),
-    /// Most daemons are not heard.
+    /// Most daemons are unreachable.
     Alone,
-    /// No endpoint runs the new version.
+    /// No endpoint of the new version accepts requests.
     Endpoints,
-    /// A write is on its way.
+    /// The result of a write is pending.
     Write,
 }
 
-/// One daemon's part in the move of one service.
+/// Decides for one daemon how the version move of one service goes on.
 #[derive(Debug)]
 pub struct Controller {
     service: ServiceId,
     daemon: Incarnation,
     stored: Option<Stored>,
-    /// When the stage in force ends.
+    /// When the current stage ends.
     due: Option<Instant>,
     /// When the move must be finished.
     finish: Option<Instant>,
-    /// Sorted by move.
+    /// Sorted by move id.
     bad: Vec<Bad>,
     fresh: Option<Instant>,
     lease: Option<Lease>,
     pulse: Pulse,
     counter: Counter,
     evidence: Evidence,
-    judge: Judge,
-    /// Until when the answer of a write is awaited.
+    detector: Detector,
+    /// Until when the result of a write is awaited.
     answer: Option<Instant>,
     publish: Option<Instant>,
 }
 
 impl Controller {
-    /// A daemon that knows nothing yet.
+    /// Creates a controller without record, evidence or lease.
     pub fn new(service: ServiceId, daemon: Incarnation) -> Self {
         Self {
             service,
@@ -220,29 +225,29 @@
             pulse: Pulse::new(),
             counter: Counter::default(),
             evidence: Evidence::default(),
-            judge: Judge::default(),
+            detector: Detector::default(),
             answer: None,
             publish: None,
         }
     }
 
-    /// Record as last heard.
+    /// Last received record.
     pub fn stored(&self) -> Option<&Stored> {
         self.stored.as_ref()
     }
 
-    /// Verdicts known, for rows that daemons share.
+    /// Known verdicts, for the rows that daemons exchange.
     pub fn verdicts(&self) -> &[Bad] {
         &self.bad
     }
 
-    /// Whether news are fresh; goes with every exchange.
+    /// Whether this daemon's state is fresh; advertised with every exchange.
     pub fn is_fresh(&self, now: Instant) -> bool {
         self.fresh.is_some_and(|until| now < until)
     }
 
-    /// Takes a record from the store or a peer; only a higher revision counts, so
-    /// that an answer which comes late takes nothing back.
+    /// Applies a record from the store or a peer. Only a higher revision counts, so
+    /// that a late response can't restore an older record.
     pub fn adopt(&mut self, time: Time, stored: Stored) {
         let known = self.stored.as_ref();
         if known.is_some_and(|known| known.revision >= stored.revision) {
@@ -252,10 +257,10 @@
         if !known.is_some_and(same) {
             self.counter = Counter::default();
             self.evidence = Evidence::default();
-            self.judge = Judge::default();
+            self.detector = Detector::default();
         }
         if known.is_none_or(|known| known.record.stage() != stored.record.stage()) {
-            self.judge.next_stage();
+            self.detector.next_stage();
         }
         self.due = stored.record.due().map(|due| time.instant(due));
         self.finish = Some(time.instant(stored.record.terms().finish));
@@ -265,10 +270,11 @@
 
     /// Notes that rows and record were exchanged with a source just now.
     ///
-    /// A peer that is stale itself proves nothing. The store alone proves nothing
-    /// either while other daemons live: a verdict can be with them and not there
-    /// yet. After all have restarted none is fresh; then the store together with
-    /// most of the daemons does.
+    /// An exchange with a peer that is stale itself doesn't make this daemon fresh.
+    /// Nor does reading the store while most other daemons are unreachable: they
+    /// can know a verdict that has not reached the store yet. After all daemons
+    /// have restarted none is fresh; then the store together with connectivity to
+    /// most daemons is enough.
     pub fn heard(&mut self, now: Instant, source: Source, reach: Reach) {
         let proof = match source {
             Source::Peer { fresh } => fresh,
@@ -279,36 +285,37 @@
         }
     }
 
-    /// Notes a verdict from a peer.
+    /// Adds a verdict, received from a peer or reached by this daemon.
     pub fn convict(&mut self, bad: Bad) {
         if let Err(at) = self.bad.binary_search_by_key(&bad.id, |b| b.id) {
             self.bad.insert(at, bad);
         }
     }
 
-    /// Takes a row of evidence from a peer.
+    /// Merges an evidence row of a peer.
     pub fn merge(&mut self, row: Row) {
         if row.daemon != self.daemon && self.move_id() == Some(row.id) {
             self.evidence.merge(row);
         }
     }
 
-    /// Notes that the lease was granted, renewed or lost.
+    /// Sets the lease after it was granted, renewed or lost.
     pub fn hold(&mut self, lease: Option<Lease>) {
         self.lease = lease;
     }
 
-    /// Notes how a request of this daemon went.
+    /// Counts the outcome of a request of this daemon.
     pub fn record(&mut self, sample: &Sample) {
         if self.stage().is_some() {
             self.evidence.record(sample);
         }
     }
 
-    /// Version for a request that was just let in; counts it against the share.
+    /// Chooses the version for a request that was just admitted, and counts the
+    /// request against the share.
     ///
-    /// `draw` is uniform below [`ONE`]. To be called once per request: drawing
-    /// again while it waits would pass the share.
+    /// `random` is uniform below [`FULL_SHARE`]. Call this once per request: a
+    /// second call while the request waits would exceed the share.
     pub fn version_for(&mut self, now: Instant, repeatable: bool, draw: u32) -> Pick {
         let Some(stored) = &self.stored else {
             return Pick::Any;
@@ -327,12 +334,13 @@
         }
     }
 
-    /// Share of one kind of requests that may go to the new version now.
+    /// Share of idempotent or non-idempotent requests that may go to the new
+    /// version now.
     pub fn share(&self, now: Instant, repeatable: bool) -> Share {
         self.shares(now).of(repeatable).min(ONE)
     }
 
-    /// Endpoints that may be used now.
+    /// Number of endpoints of each version that may be used now.
     pub fn spread(&self, now: Instant) -> Option<Spread> {
         let shares = self.shares(now);
         if shares == Shares::NONE {
@@ -341,57 +349,58 @@
         self.spread_of(shares)
     }
 
-    /// Endpoints that the stage loads alike; only their latencies are compared.
+    /// Endpoints that the stage loads evenly; only their latencies are compared.
     ///
     /// Under suspicion a daemon uses more old endpoints than the stage does. The
-    /// others there idle and answer fast; counted in, they make the new version
-    /// look slow, and every suspicion feeds itself.
+    /// additional ones are idle and respond fast; if they counted, the new version
+    /// would look slow and every suspicion would reinforce itself.
     pub fn compared(&self) -> Option<Spread> {
         let stored = self.stored.as_ref()?;
         let scale = stored.record.terms().scale;
         self.spread_of(shares(stored.record.stage()?, scale))
     }
 
-    /// The traffic may be another than when the move was asked, and a few old
-    /// endpoints must not be left with most of it; so the mix of late counts.
+    /// Uses the recently measured share of idempotent requests where it differs
+    /// from the recorded one: the traffic may have changed since the move was
+    /// requested, and a few old endpoints must not be left with most of it.
     fn spread_of(&self, shares: Shares) -> Option<Spread> {
         let scale = self.stored.as_ref()?.record.terms().scale;
-        let measured = self.judge.repeatable();
+        let measured = self.detector.repeatable();
         let other = measured.filter(|m| m.abs_diff(scale.repeatable) > OTHER_MIX);
         let repeatable = other.unwrap_or(scale.repeatable);
         Some(spread(shares.total(repeatable), scale.endpoints))
     }
 
-    /// Whether requests may go to the new version at all.
+    /// Whether any request may go to the new version now.
     pub fn is_open(&self, now: Instant) -> bool {
         self.shares(now) != Shares::NONE
     }
 
-    /// Whether the move is done, and no verdict came since.
+    /// Whether the move is done and no verdict has come since.
     pub fn is_done(&self) -> bool {
         let done = |stored: &Stored| matches!(stored.record, Record::Done(_));
         self.stored.as_ref().is_some_and(done) && self.verdict().is_none()
     }
 
-    /// Whether the move has ended.
+    /// Whether the move is done, rolled back or cancelled.
     pub fn is_ended(&self) -> bool {
         self.stored.as_ref().is_some_and(|s| s.record.ended())
     }
 
-    /// Versions the move is between: the one to leave, the one to go to.
+    /// Old and new version of the move.
     pub fn versions(&self) -> Option<(&VersionId, &VersionId)> {
         let terms = self.stored.as_ref()?.record.terms();
         Some((&terms.from, &terms.to))
     }
 
-    /// Verdict on the move at hand.
+    /// Verdict on the current move.
     pub fn verdict(&self) -> Option<&Bad> {
         let id = self.move_id()?;
         let at = self.bad.binary_search_by_key(&id, |bad| bad.id).ok()?;
         Some(&self.bad[at])
     }
 
-    /// Looks at the evidence and decides what is to be done.
+    /// Evaluates the evidence and decides what to do.
     pub fn tick(&mut self, outlook: Outlook) -> Vec<Action> {
         let now = outlook.time.now;
         if self.pulse.beat(now) == Beat::Paused {
@@ -399,7 +408,7 @@
             self.lease = None;
         }
         let mut actions = Vec::new();
-        self.judge(now, &mut actions);
+        self.evaluate(now, &mut actions);
         self.publish(now, &mut actions);
         if let Some((record, permit)) = self.next_write(outlook) {
             self.answer = Some(now + ANSWER);
@@ -414,7 +423,7 @@
         actions
     }
 
-    /// Why the move does not go on; none when it can.
+    /// Why the move doesn't advance; none if it can.
     pub fn why_held(&self, outlook: Outlook) -> Option<Hold> {
         let now = outlook.time.now;
         if self.due.is_some_and(|due| now < due) {
@@ -435,7 +444,7 @@
         if !outlook.ready {
             return Some(Hold::Endpoints);
         }
-        if self.judge.suspects() {
+        if self.detector.suspects() {
             return Some(Hold::Suspicion);
         }
         self.lacking().map(Hold::Evidence)
@@ -449,7 +458,7 @@
         self.stored.as_ref()?.record.stage()
     }
 
-    /// Shares by which this daemon sends: the stage's, or smaller ones under
+    /// Shares that this daemon applies: those of the stage, or smaller ones under
     /// suspicion.
     fn shares(&self, now: Instant) -> Shares {
         let (Some(stage), Some(stored)) = (self.stage(), &self.stored) else {
@@ -459,18 +468,18 @@
             return Shares::NONE;
         }
         let scale = stored.record.terms().scale;
-        if self.judge.suspects() {
+        if self.detector.suspects() {
             cautious(stage, scale)
         } else {
             shares(stage, scale)
         }
     }
 
-    fn judge(&mut self, now: Instant, actions: &mut Vec<Action>) {
+    fn evaluate(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let news = self.evidence.take_news();
-        let convicted = self.judge.look(now, &news);
-        let reason = convicted.map(|finding| finding.text());
-        let reason = reason.or_else(|| self.unsettled(now));
+        let finding = self.detector.update(now, &news);
+        let reason = finding.map(|finding| finding.text());
+        let reason = reason.or_else(|| self.unresolved(now));
         let (Some(reason), Some(id), None) = (reason, self.move_id(), self.verdict()) else {
             return;
         };
@@ -479,22 +488,22 @@
         actions.push(Action::Push(bad));
     }
 
-    /// What stands against the version when the time is up: a suspicion, or a
-    /// route it saw nothing of. The move can't be finished with either and
-    /// has no time left to settle it, so it counts as a verdict.
-    fn unsettled(&self, now: Instant) -> Option<CompactString> {
+    /// What speaks against the new version when the finish-by time has passed: a
+    /// suspicion, or a route on which it saw no request. The move can't finish with
+    /// either and has no time left to resolve it, so this counts as a verdict.
+    fn unresolved(&self, now: Instant) -> Option<CompactString> {
         let late = self.finish.is_some_and(|finish| now >= finish);
         if !late || !self.is_open(now) {
             return None;
         }
-        if let Some(finding) = self.judge.standing(now) {
+        if let Some(finding) = self.detector.unresolved(now) {
             let text = finding.text();
             return Some(format_compact!("time ran out under suspicion: {text}"));
         }
         let over = self.due.is_some_and(|due| now >= due);
-        // Each daemon's counter can lag by one request, so few missed ones prove
-        // nothing. Some that came prove that it takes requests: the others were
-        // held back by a suspicion.
+        // Each daemon's counter can lag by one request, so a few missing requests
+        // prove nothing. If some arrived, the version does accept requests and a
+        // suspicion held back the others.
         let missed = |seen: &Seen| over && seen.new == 0 && self.promised(seen) >= ENOUGH;
         let seen = self.lacking().filter(missed)?;
         Some(format_compact!(
@@ -533,8 +542,9 @@
             let back = record.clone().take_back(bad.reason.clone())?;
             return Some((back, permit));
         }
-        // The number of a new lease goes on the record before the first step, so
-        // that what the former holder still has under way meets a new revision.
+        // The fencing token of a new lease is written to the record before the
+        // first step, so that pending writes of the former holder meet a changed
+        // revision.
         if record.fence() < permit.fence() {
             return Some((record.clone().adopt(permit)?, permit));
         }
@@ -544,12 +554,12 @@
         Some((record.clone().step(permit, wall)?, permit))
     }
 
-    /// A route that has traffic and was not seen enough at the new version.
+    /// A route that has traffic but too few requests at the new version.
     ///
-    /// What is enough follows the traffic: a route that gets three requests in
-    /// the stage can't show fifty, and must not hold the move past its time.
+    /// The minimum follows the traffic: a route that gets three requests in the
+    /// stage can't show fifty, and must not delay the move past its finish-by time.
     fn lacking(&self) -> Option<Seen> {
-        self.judge.seen().find(|seen| {
+        self.detector.seen().find(|seen| {
             let least = (self.promised(seen) * PART).floor();
             f64::from(seen.new) < least.min(ENOUGH)
         })
--- a/lib/src/moves/verdict.rs
+++ b/lib/src/moves/verdict.rs
@@ -1,48 +1,48 @@
 //! Verdict on the new version: a sequential test against the old one.
 //!
-//! Per route, and over all routes together, three questions are asked at every
-//! look, each against the old version in the same period. Does the new one fail
-//! more often? Are all its answers slower? Are more of them among the slowest? For
-//! each the log-likelihood ratio between "as the old one" and "worse by a given
-//! amount" is summed and never falls below zero (CUSUM). So a fault that begins
-//! late is found as fast as one that was there from the start, since what came
-//! before doesn't count against it.
+//! At every evaluation, three questions are tested per route and over all routes
+//! together, each against the old version in the same period. Does the new version
+//! fail more often? Are all its responses slower? Are more of them among the
+//! slowest? For each question the log-likelihood ratio between "worse by a given
+//! amount" and "like the old version" is summed and never falls below zero (CUSUM).
+//! So a fault that begins late is found as fast as one that was there from the
+//! start, since earlier good results don't count against it.
 //!
-//! Ways weighed: a threshold on the rate of failures needs a window, which is
-//! too long for a version that fails everything and too short for one that fails
-//! one request in thirty; a test of fixed length has to wait for its end.
+//! A threshold on the failure rate would need a window, which is too long for a
+//! version that fails everything and too short for one that fails one request in
+//! thirty. A test of fixed length would have to wait for its end.
 //!
-//! When the platform has a bad minute, requests fail at both versions. Few go to
-//! the old version at full share, so the new one's failures are counted first
-//! and a good version would be taken back. So there are two bounds. At
-//! [`SUSPECT`] this daemon goes back to a small share at once, which costs
-//! nothing if the suspicion is wrong. [`BAD`] convicts only after the old
-//! version was seen on enough requests of the very same period, and with its
-//! rate in that period.
-
+//! During a short disturbance of the platform, requests fail at both versions. At
+//! full share few requests go to the old version, so the new one's failures would
+//! be counted first and a good version would be rolled back. So there are two
+//! thresholds. At [`SUSPECT_LLR`] this daemon returns to a small share at once,
+//! which costs nothing if the suspicion is wrong. At [`BAD_LLR`] the version is
+//! found bad, but only after enough requests of the old version were seen in the
+//! very same period, and compared with its rate in that period.
+
+mod cusum;
+mod fault_test;
 mod finding;
 mod limits;
-mod question;
 mod reference;
 mod route;
-mod sum;
 
 use std::time::Instant;
 
 use crate::moves::evidence::{News, RouteId};
 use crate::moves::share::{ONE, Share};
+use crate::moves::verdict::fault_test::{FaultTest, Pooled};
 pub use crate::moves::verdict::finding::{Fault, Finding};
-pub use crate::moves::verdict::limits::{BAD, SUSPECT};
-use crate::moves::verdict::limits::{KNOWN, MIX};
-use crate::moves::verdict::question::{Pooled, Question};
-use crate::moves::verdict::route::RouteTest;
+pub use crate::moves::verdict::limits::{BAD_LLR, SUSPECT_LLR};
+use crate::moves::verdict::limits::{MIN_MIX_REQUESTS, MIN_REFERENCE_LATENCIES};
+use crate::moves::verdict::route::RouteTests;
 
 /// Requests of a route since the stage began.
 #[proc_macros::row]
 pub struct Seen {
     /// Route.
     pub route: RouteId,
-    /// Whether its requests may be repeated.
+    /// Whether its requests are idempotent.
     pub repeatable: bool,
     /// At the old version.
     pub old: u32,
@@ -52,48 +52,49 @@
 
 /// All tests of a move.
 #[derive(Clone, Debug)]
-pub struct Judge {
+pub struct Detector {
     /// Sorted by route.
-    routes: Vec<RouteTest>,
-    failing: Question,
-    slow: Question,
-    tail: Question,
+    routes: Vec<RouteTests>,
+    failing: FaultTest,
+    slow: FaultTest,
+    tail: FaultTest,
 }
 
-impl Default for Judge {
+impl Default for Detector {
     fn default() -> Self {
         Self {
             routes: Vec::new(),
-            failing: Question::new(Fault::Failing),
-            slow: Question::new(Fault::Slow),
-            tail: Question::new(Fault::Tail),
+            failing: FaultTest::new(Fault::Failing),
+            slow: FaultTest::new(Fault::Slow),
+            tail: FaultTest::new(Fault::Tail),
         }
     }
 }
 
-impl Judge {
-    /// Looks at what came in; gives a finding once a test convicts.
-    pub fn look(&mut self, now: Instant, news: &[News]) -> Option<Finding> {
+impl Detector {
+    /// Feeds the tests with what was added; returns a finding once a test finds the
+    /// new version bad.
+    pub fn update(&mut self, now: Instant, news: &[News]) -> Option<Finding> {
         let mut failing = Pooled::new(&self.failing);
         let mut slow = Pooled::new(&self.slow);
         let mut tail = Pooled::new(&self.tail);
         for news in news {
-            let test = self.test_of(&news.route, news.repeatable);
-            test.note(&news.pair);
-            let look = test.failing_look(&news.pair);
-            let rises = test.failing.rises(&look);
-            test.failing.feed(now, &look, &rises);
-            failing.add(&look, &rises);
-            if test.reference.timed() < KNOWN {
+            let tests = self.tests_of(&news.route, news.repeatable);
+            tests.add(&news.pair);
+            let batch = tests.failing_batch(&news.pair);
+            let llrs = tests.failing.llrs(&batch);
+            tests.failing.feed(now, &batch, &llrs);
+            failing.add(&batch, &llrs);
+            if tests.reference.timed() < MIN_REFERENCE_LATENCIES {
                 continue;
             }
-            let (look, rises) = test.slow_look(&news.pair);
-            test.slow.feed(now, &look, &rises);
-            slow.add(&look, &rises);
-            let look = test.tail_look(&news.pair);
-            let rises = test.tail.rises(&look);
-            test.tail.feed(now, &look, &rises);
-            tail.add(&look, &rises);
+            let (batch, llrs) = tests.slow_batch(&news.pair);
+            tests.slow.feed(now, &batch, &llrs);
+            slow.add(&batch, &llrs);
+            let batch = tests.tail_batch(&news.pair);
+            let llrs = tests.tail.llrs(&batch);
+            tests.tail.feed(now, &batch, &llrs);
+            tail.add(&batch, &llrs);
         }
         failing.feed(now, &mut self.failing);
         slow.feed(now, &mut self.slow);
@@ -102,27 +103,29 @@
     }
 
     fn finding(&self, now: Instant) -> Option<Finding> {
-        self.first(|question, route| question.finding(now, route))
+        self.first(|fault_test, route| fault_test.finding(now, route))
     }
 
-    /// A suspicion that is strong, or has stood for long.
-    pub fn standing(&self, now: Instant) -> Option<Finding> {
-        self.first(|question, route| question.standing(now, route))
+    /// A suspicion that is strong, or has been unresolved for long.
+    pub fn unresolved(&self, now: Instant) -> Option<Finding> {
+        self.first(|fault_test, route| fault_test.unresolved(now, route))
     }
 
-    /// What is suspected, if anything is.
+    /// The current suspicion, if there is one.
     pub fn suspicion(&self) -> Option<Finding> {
-        self.first(Question::suspicion)
+        self.first(FaultTest::suspicion)
     }
 
     fn first(
         &self,
-        find: impl Fn(&Question, Option<&RouteId>) -> Option<Finding>,
+        find: impl Fn(&FaultTest, Option<&RouteId>) -> Option<Finding>,
     ) -> Option<Finding> {
-        let of_route = self.routes.iter().find_map(|test| {
-            let route = Some(&test.route);
-            let questions = [&test.failing, &test.slow, &test.tail];
-            questions.iter().find_map(|question| find(question, route))
+        let of_route = self.routes.iter().find_map(|tests| {
+            let route = Some(&tests.route);
+            let fault_tests = [&tests.failing, &tests.slow, &tests.tail];
+            fault_tests
+                .iter()
+                .find_map(|fault_test| find(fault_test, route))
         });
         of_route
             .or_else(|| find(&self.failing, None))
@@ -130,44 +133,44 @@
             .or_else(|| find(&self.tail, None))
     }
 
-    /// Whether some test is on its way to convict.
+    /// Whether some test suspects the new version.
     pub fn suspects(&self) -> bool {
         self.suspicion().is_some()
     }
 
     /// Requests by route since the stage began.
     pub fn seen(&self) -> impl Iterator<Item = Seen> + '_ {
-        self.routes.iter().map(|test| Seen {
-            route: test.route.clone(),
-            repeatable: test.repeatable,
-            old: test.old,
-            new: test.new,
+        self.routes.iter().map(|tests| Seen {
+            route: tests.route.clone(),
+            repeatable: tests.repeatable,
+            old: tests.old,
+            new: tests.new,
         })
     }
 
-    /// Part of the requests that may be repeated; none before enough were seen.
+    /// Share of the requests that are idempotent; none before enough were seen.
     pub fn repeatable(&self) -> Option<Share> {
-        let all = |test: &&RouteTest| f64::from(test.old) + f64::from(test.new);
-        let whole: f64 = self.routes.iter().map(|test| all(&test)).sum();
-        let repeatable = self.routes.iter().filter(|test| test.repeatable);
-        let part: f64 = repeatable.map(|test| all(&test)).sum();
-        (whole >= MIX).then(|| (part / whole * f64::from(ONE)) as Share)
+        let all = |tests: &&RouteTests| f64::from(tests.old) + f64::from(tests.new);
+        let whole: f64 = self.routes.iter().map(|tests| all(&tests)).sum();
+        let repeatable = self.routes.iter().filter(|tests| tests.repeatable);
+        let part: f64 = repeatable.map(|tests| all(&tests)).sum();
+        (whole >= MIN_MIX_REQUESTS).then(|| (part / whole * f64::from(ONE)) as Share)
     }
 
-    /// Begins to count a new stage.
+    /// Starts the counts of a new stage.
     pub fn next_stage(&mut self) {
-        for test in &mut self.routes {
-            test.old = 0;
-            test.new = 0;
-            test.reference.fade();
+        for tests in &mut self.routes {
+            tests.old = 0;
+            tests.new = 0;
+            tests.reference.trim_latencies();
         }
     }
 
-    fn test_of(&mut self, route: &RouteId, repeatable: bool) -> &mut RouteTest {
-        let found = self.routes.binary_search_by(|test| test.route.cmp(route));
+    fn tests_of(&mut self, route: &RouteId, repeatable: bool) -> &mut RouteTests {
+        let found = self.routes.binary_search_by(|tests| tests.route.cmp(route));
         let at = found.unwrap_or_else(|at| {
             self.routes
-                .insert(at, RouteTest::new(route.clone(), repeatable));
+                .insert(at, RouteTests::new(route.clone(), repeatable));
             at
         });
         &mut self.routes[at]
--- a/lib/src/moves/verdict/finding.rs
+++ b/lib/src/moves/verdict/finding.rs
@@ -1,33 +1,34 @@
-//! What a test found, in words.
+//! Findings of the tests, and their text for operators.
 
 use compact_str::{CompactString, format_compact};
 
 use crate::moves::evidence::RouteId;
-use crate::moves::verdict::reference::edge_ratio;
+use crate::moves::verdict::reference::latency_ratio;
 
-/// What a test asks.
+/// Kind of fault that a test looks for.
 #[proc_macros::kind]
 pub enum Fault {
-    /// Does it fail more often?
+    /// The new version fails more often.
     Failing,
-    /// Are all its answers slower?
+    /// All its responses are slower.
     Slow,
-    /// Are more of its answers among the slowest?
+    /// More of its responses are among the slowest.
     Tail,
 }
 
 /// Why a version is bad.
 #[proc_macros::row]
 pub struct Finding {
-    /// What is wrong.
+    /// Kind of fault.
     pub fault: Fault,
-    /// Route; none if only all together show it.
+    /// Route; none if only all routes together show it.
     pub route: Option<RouteId>,
-    /// Share of the new version's requests; their mean slot if all are slower.
+    /// Fraction of the new version's requests that show the fault; their mean
+    /// bucket if all are slower.
     pub new: f64,
-    /// Requests that it was found on.
+    /// Requests of the new version that the finding is based on.
     pub count: f64,
-    /// The same of the old version.
+    /// The same fraction or mean bucket for the old version.
     pub old: f64,
 }
 
@@ -51,7 +52,7 @@
                 return format_compact!(
                     "{:.0} requests {place} took {:.1} times as long as with the old version",
                     self.count,
-                    edge_ratio(self.new - self.old)
+                    latency_ratio(self.new - self.old)
                 );
             }
         };
--- a/lib/src/moves/verdict/reference.rs
+++ b/lib/src/moves/verdict/reference.rs
@@ -1,10 +1,12 @@
-//! How the old version does of late.
+//! Recent rates and latencies of the old version.
 
 use crate::moves::evidence::Side;
 use crate::moves::histogram::{PER_DOUBLING, SLOTS};
-use crate::moves::verdict::limits::{KNOWN, MEMORY, MOST_RISE, SLOW};
+use crate::moves::verdict::limits::{
+    MAX_LATENCY_LLR, MIN_REFERENCE_LATENCIES, REFERENCE_REQUESTS, SLOW_FRACTION,
+};
 
-/// How the old version does of late: counts in which older ones fade.
+/// Recent counts of the old version, in which older requests decay.
 #[derive(Clone, Debug)]
 pub(super) struct Reference {
     pub(super) all: f64,
@@ -32,26 +34,26 @@
         if fresh <= 0.0 {
             return;
         }
-        let keep = (1.0 - fresh / MEMORY).max(0.0);
+        let keep = (1.0 - fresh / REFERENCE_REQUESTS).max(0.0);
         self.all = self.all * keep + fresh;
         self.failed = self.failed * keep + f64::from(side.failed);
-        let keep = (1.0 - f64::from(side.timed()) / MEMORY).max(0.0);
+        let keep = (1.0 - f64::from(side.timed()) / REFERENCE_REQUESTS).max(0.0);
         for (mine, count) in self.times.iter_mut().zip(side.times.counts) {
             *mine = *mine * keep + f64::from(count);
         }
     }
 
-    /// Lets most latencies go, as a new stage brings other loads.
-    pub(super) fn fade(&mut self) {
-        let keep = (KNOWN / self.timed().max(1.0)).min(1.0);
+    /// Drops most latencies, as a new stage changes the load.
+    pub(super) fn trim_latencies(&mut self) {
+        let keep = (MIN_REFERENCE_LATENCIES / self.timed().max(1.0)).min(1.0);
         for time in &mut self.times {
             *time *= keep;
         }
     }
 
-    /// Lowest slot that at most [`SLOW`] of the times are above.
-    pub(super) fn bound(&self) -> usize {
-        let most = self.timed() * SLOW;
+    /// Lowest bucket that at most [`SLOW_FRACTION`] of the latencies are above.
+    pub(super) fn slow_bucket(&self) -> usize {
+        let most = self.timed() * SLOW_FRACTION;
         let mut above = 0.0;
         for at in (0..SLOTS).rev() {
             above += self.times[at];
@@ -67,68 +69,73 @@
     }
 }
 
-/// Old version's latencies as chances, smoothed over neighbouring slots, since
-/// a few hundred requests leave gaps between them.
-pub(super) struct Chances([f64; SLOTS]);
+/// Distribution of the old version's latencies, smoothed over neighbouring buckets,
+/// since a few hundred requests leave gaps between them.
+pub(super) struct LatencyDistribution([f64; SLOTS]);
 
-impl Chances {
-    /// Weights of a slot's neighbours, itself in the middle.
-    pub(super) const NEAR: [f64; 5] = [1.0, 2.0, 3.0, 2.0, 1.0];
-    /// Added to each slot, in requests: what no request came to is still possible.
-    pub(super) const FLOOR: f64 = 0.2;
+impl LatencyDistribution {
+    /// Weights of a bucket and its neighbours, itself in the middle.
+    pub(super) const SMOOTHING_WEIGHTS: [f64; 5] = [1.0, 2.0, 3.0, 2.0, 1.0];
+    /// Requests added to each bucket: a latency that was never seen is still
+    /// possible.
+    pub(super) const FLOOR_REQUESTS: f64 = 0.2;
 
     pub(super) fn new(reference: &Reference) -> Self {
-        let mut chances = [Self::FLOOR; SLOTS];
+        let mut distribution = [Self::FLOOR_REQUESTS; SLOTS];
         for (at, count) in reference
             .times
             .iter()
             .enumerate()
             .filter(|(_, c)| **c > 0.0)
         {
-            for (near, weight) in Self::NEAR.iter().enumerate() {
+            for (near, weight) in Self::SMOOTHING_WEIGHTS.iter().enumerate() {
                 if let Some(chance) = (at + near)
                     .checked_sub(2)
-                    .and_then(|to| chances.get_mut(to))
+                    .and_then(|to| distribution.get_mut(to))
                 {
                     *chance += count * weight / 9.0;
                 }
             }
         }
-        Self(chances)
+        Self(distribution)
     }
 
-    /// Log-likelihood ratio of one latency between shifted and not.
-    pub(super) fn rise_at(&self, at: usize, shift: usize) -> f64 {
+    /// Log-likelihood ratio of one latency between the shifted and the unshifted
+    /// distribution.
+    pub(super) fn llr_at(&self, at: usize, shift: usize) -> f64 {
         let from = at.checked_sub(shift);
-        let shifted = from.map_or(Self::FLOOR, |from| self.0[from]);
-        (shifted / self.0[at]).ln().clamp(-MOST_RISE, MOST_RISE)
+        let shifted = from.map_or(Self::FLOOR_REQUESTS, |from| self.0[from]);
+        (shifted / self.0[at])
+            .ln()
+            .clamp(-MAX_LATENCY_LLR, MAX_LATENCY_LLR)
     }
 
-    /// Log-likelihood ratio of counts between latencies shifted and not.
-    pub(super) fn rise(&self, counts: &[u32; SLOTS], shift: usize) -> f64 {
+    /// Log-likelihood ratio of counts between the shifted and the unshifted
+    /// distribution.
+    pub(super) fn llr(&self, counts: &[u32; SLOTS], shift: usize) -> f64 {
         let each = counts.iter().enumerate().filter(|(_, count)| **count > 0);
-        each.map(|(at, count)| f64::from(*count) * self.rise_at(at, shift))
+        each.map(|(at, count)| f64::from(*count) * self.llr_at(at, shift))
             .sum()
     }
 
-    /// Mean of the log-likelihood ratio over the remembered latencies.
-    pub(super) fn usual(&self, shift: usize) -> f64 {
+    /// Mean log-likelihood ratio over the old version's recent latencies.
+    pub(super) fn mean_llr(&self, shift: usize) -> f64 {
         let all: f64 = self.0.iter().sum();
         let each = self.0.iter().enumerate();
         let sum: f64 = each
-            .map(|(at, chance)| chance * self.rise_at(at, shift))
+            .map(|(at, chance)| chance * self.llr_at(at, shift))
             .sum();
         sum / all
     }
 }
 
-/// Sum of the slots of all latencies.
-pub(super) fn slots(side: &Side) -> f64 {
+/// Sum of the bucket indexes of all latencies.
+pub(super) fn bucket_sum(side: &Side) -> f64 {
     let each = side.times.counts.iter().enumerate();
     each.map(|(at, count)| at as f64 * f64::from(*count)).sum()
 }
 
-/// Ratio of two latencies so many slots apart.
-pub(super) fn edge_ratio(slots: f64) -> f64 {
-    (slots / PER_DOUBLING).exp2()
+/// Ratio of two latencies that lie `buckets` apart.
+pub(super) fn latency_ratio(buckets: f64) -> f64 {
+    (buckets / PER_DOUBLING).exp2()
 }
