--- a/lib/benches/moves/main.rs
+++ b/lib/benches/moves/main.rs
@@ -17,7 +17,7 @@
 use std::time::{Duration, Instant};
 
 use poplarvale_lib::moves::Time;
-use poplarvale_lib::moves::evidence::{Row, Sample, Which};
+use poplarvale_lib::moves::evidence::{Row, Sample, VersionSide};
 
 use crate::cases::{BOOKING, Case, cases};
 use crate::play::play;
@@ -85,7 +85,11 @@
             watched.daemons[0].record(&Sample {
                 route: BOOKING[n as usize % BOOKING.len()].name.into(),
                 repeatable: true,
-                which: if n % 2 == 0 { Which::Old } else { Which::New },
+                which: if n % 2 == 0 {
+                    VersionSide::Old
+                } else {
+                    VersionSide::New
+                },
                 time: Some(Duration::from_millis(rng.u64(10..40))),
                 compared: true,
             });
--- a/lib/benches/moves/play.rs
+++ b/lib/benches/moves/play.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use poplarvale_lib::moves::evidence::{Sample, Which};
+use poplarvale_lib::moves::evidence::{Sample, VersionSide};
 use poplarvale_lib::moves::{ONE, Pick, Time};
 
 use crate::cases::{Case, Harm, Trouble, When};
@@ -115,7 +115,11 @@
         let sample = Sample {
             route: route.name.into(),
             repeatable: route.repeatable,
-            which: if is_new { Which::New } else { Which::Old },
+            which: if is_new {
+                VersionSide::New
+            } else {
+                VersionSide::Old
+            },
             time: (!failed).then(|| Duration::from_secs_f64(ms / 1000.0)),
             compared: endpoint < self.policy.compared(daemon)[side] as usize,
         };
--- a/lib/benches/moves/ramp.rs
+++ b/lib/benches/moves/ramp.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::Instant;
 
-use poplarvale_lib::moves::evidence::{Sample, Which};
+use poplarvale_lib::moves::evidence::{Sample, VersionSide};
 use poplarvale_lib::moves::stages::{LAST, Scale, due, shares};
 use poplarvale_lib::moves::{Counter, Pick, Time};
 
@@ -49,7 +49,7 @@
     }
 
     fn record(&mut self, _daemon: usize, sample: &Sample) {
-        if sample.which == Which::New {
+        if sample.which == VersionSide::New {
             self.current.0 += 1;
             self.current.1 += u64::from(sample.time.is_none());
         }
--- a/lib/src/moves/controller.rs
+++ b/lib/src/moves/controller.rs
@@ -476,8 +476,8 @@
     }
 
     fn evaluate(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        let news = self.evidence.take_news();
-        let finding = self.detector.update(now, &news);
+        let deltas = self.evidence.take_deltas();
+        let finding = self.detector.update(now, &deltas);
         let reason = finding.map(|finding| finding.text());
         let reason = reason.or_else(|| self.unresolved(now));
         let (Some(reason), Some(id), None) = (reason, self.move_id(), self.verdict()) else {
--- a/lib/src/moves/evidence.rs
+++ b/lib/src/moves/evidence.rs
@@ -1,50 +1,52 @@
-//! What daemons saw of both versions, and how they share it.
+//! Evidence of a move: the outcomes of requests at both versions, and the rows in
+//! which daemons share them.
 //!
 //! Each daemon counts its own requests by route, for the old and the new version
-//! side by side. A row holds both sides, so whoever receives it always compares
-//! the same period. Counts only grow and each row has one writer, so of two rows
-//! of a writer the one with the higher sequence holds everything; duplicates and
-//! rows that arrive late or out of order change nothing.
+//! side by side. A row holds both versions, so its receiver always compares the
+//! same period. Counts only grow and each row has one writer, so of two rows of a
+//! writer the one with the higher sequence number includes the other; duplicated,
+//! late or reordered rows change nothing.
 
 use std::time::Duration;
 
 use compact_str::CompactString;
 
 use crate::ids::{Incarnation, from_hex, hex};
-use crate::moves::histogram::{Histogram, SLOTS};
+use crate::moves::histogram::{BUCKETS, Histogram};
 use crate::moves::life::MoveId;
 use crate::protos::moves::{EvidenceRow, evidence_row};
 
 /// Route of a service, or the model.
 pub type RouteId = CompactString;
 
-/// Most routes told apart; a path that callers make up must not grow the rows.
-pub const MOST_ROUTES: usize = 32;
-/// Route that all further ones are counted under.
-const REST: &str = "*";
+/// Most routes counted separately; paths made up by callers must not grow the rows
+/// without bound.
+pub const MAX_ROUTES: usize = 32;
+/// Route under which all further ones are counted.
+const OTHER_ROUTES: &str = "*";
 
-/// Which version a request ran at.
+/// Version at which a request ran.
 #[proc_macros::kind]
-pub enum Which {
-    /// The one the move leaves.
+pub enum VersionSide {
+    /// The version that the move leaves.
     Old,
-    /// The one it goes to.
+    /// The version that the move goes to.
     New,
 }
 
-/// How one request went.
+/// Outcome of one request.
 #[proc_macros::row]
 pub struct Sample {
-    /// Its route.
+    /// Route of the request.
     pub route: RouteId,
-    /// Whether the route's requests may be repeated.
+    /// Whether the route's requests are idempotent.
     pub repeatable: bool,
     /// Version it ran at.
-    pub which: Which,
-    /// Latency of a whole answer; none if it failed.
+    pub which: VersionSide,
+    /// Latency of a complete response; none if the request failed.
     pub time: Option<Duration>,
     /// Whether it ran at an endpoint that the stage loads like the others; the
-    /// latency of others says nothing.
+    /// latencies of other endpoints can't be compared.
     pub compared: bool,
 }
 
@@ -53,36 +55,36 @@
 pub struct Side {
     /// Failed requests.
     pub failed: u32,
-    /// Latencies of whole answers.
+    /// Latencies of complete responses.
     pub times: Histogram,
-    /// Whole answers whose latency is not compared.
-    pub aside: u32,
+    /// Complete responses whose latency is not compared.
+    pub uncompared: u32,
 }
 
 impl Side {
-    /// Whole answers whose latency is compared.
+    /// Complete responses whose latency is compared.
     pub fn timed(&self) -> u32 {
         let counts = self.times.counts.iter();
         counts.fold(0, |sum, count| sum.saturating_add(*count))
     }
 
-    /// All requests.
+    /// All requests, failed ones included.
     pub fn all(&self) -> u32 {
-        let good = self.timed().saturating_add(self.aside);
+        let good = self.timed().saturating_add(self.uncompared);
         good.saturating_add(self.failed)
     }
 
     fn add(&mut self, other: &Self) {
         self.failed = self.failed.saturating_add(other.failed);
         self.times.add(&other.times);
-        self.aside = self.aside.saturating_add(other.aside);
+        self.uncompared = self.uncompared.saturating_add(other.uncompared);
     }
 
     fn since(&self, earlier: &Self) -> Self {
         Self {
             failed: self.failed.saturating_sub(earlier.failed),
             times: self.times.since(&earlier.times),
-            aside: self.aside.saturating_sub(earlier.aside),
+            uncompared: self.uncompared.saturating_sub(earlier.uncompared),
         }
     }
 }
@@ -111,36 +113,36 @@
 
     fn record(&mut self, sample: &Sample) {
         let side = match sample.which {
-            Which::Old => &mut self.old,
-            Which::New => &mut self.new,
+            VersionSide::Old => &mut self.old,
+            VersionSide::New => &mut self.new,
         };
         match sample.time {
             Some(time) if sample.compared => side.times.record(time),
-            Some(_) => side.aside += 1,
+            Some(_) => side.uncompared += 1,
             None => side.failed += 1,
         }
     }
 }
 
-/// What one daemon saw on one route since the move began.
+/// What one daemon counted on one route since the move began.
 #[proc_macros::row]
 pub struct Row {
-    /// Writer.
+    /// Daemon that wrote the row.
     pub daemon: Incarnation,
     /// Grows with each change.
     pub sequence: u64,
-    /// Move.
+    /// Move that the row belongs to.
     pub id: MoveId,
     /// Route.
     pub route: RouteId,
-    /// Whether the route's requests may be repeated.
+    /// Whether the route's requests are idempotent.
     pub repeatable: bool,
-    /// Counts.
+    /// Counts of both versions.
     pub pair: Pair,
 }
 
 impl Row {
-    /// Form that travels.
+    /// Converts to the wire message.
     pub fn to_wire(&self) -> EvidenceRow {
         EvidenceRow {
             daemon: self.daemon,
@@ -153,7 +155,7 @@
         }
     }
 
-    /// Reads the form that travels; none if it is not one.
+    /// Reads a wire message; none if it is malformed.
     pub fn from_wire(wire: &EvidenceRow) -> Option<Self> {
         let old = side_from_wire(wire.old.as_ref()?)?;
         let new = side_from_wire(wire.new.as_ref()?)?;
@@ -179,7 +181,7 @@
         failed: side.failed,
         first: first as u32,
         counts: counts[first..end].to_vec(),
-        aside: side.aside,
+        aside: side.uncompared,
     }
 }
 
@@ -189,57 +191,58 @@
     let mut times = Histogram::default();
     times
         .counts
-        .get_mut(first..end.min(SLOTS + 1))?
+        .get_mut(first..end.min(BUCKETS + 1))?
         .copy_from_slice(&wire.counts);
     Some(Side {
         failed: wire.failed,
         times,
-        aside: wire.aside,
+        uncompared: wire.aside,
     })
 }
 
-/// A route and what came in there.
+/// What was added to the counts of a route.
 #[proc_macros::row]
-pub struct News {
+pub struct RouteDelta {
     /// Route.
     pub route: RouteId,
-    /// Whether the route's requests may be repeated.
+    /// Whether the route's requests are idempotent.
     pub repeatable: bool,
-    /// Counts since the last look.
+    /// Counts added since the deltas were last taken.
     pub pair: Pair,
 }
 
-/// Own counts, others' rows, and what is new since the last look.
+/// Own counts, peers' rows, and what was added to both since the deltas were last
+/// taken.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
-    own: Vec<Own>,
-    /// Sorted by writer and route.
+    own: Vec<OwnCounts>,
+    /// Sorted by daemon and route.
     others: Vec<Row>,
     /// Sorted by route.
-    news: Vec<News>,
+    deltas: Vec<RouteDelta>,
 }
 
 #[derive(Clone, Debug)]
-struct Own {
+struct OwnCounts {
     route: RouteId,
     repeatable: bool,
     sequence: u64,
-    sent: u64,
+    published: u64,
     pair: Pair,
 }
 
 impl Evidence {
     /// Counts a request of this daemon.
     pub fn record(&mut self, sample: &Sample) {
-        let route = self.known(&sample.route);
+        let route = self.route_key(&sample.route);
         let at = match self.own.binary_search_by(|own| own.route.cmp(&route)) {
             Ok(at) => at,
             Err(at) => {
-                let own = Own {
+                let own = OwnCounts {
                     route: route.clone(),
                     repeatable: sample.repeatable,
                     sequence: 0,
-                    sent: 0,
+                    published: 0,
                     pair: Pair::default(),
                 };
                 self.own.insert(at, own);
@@ -248,10 +251,10 @@
         };
         self.own[at].pair.record(sample);
         self.own[at].sequence += 1;
-        self.news_of(&route, sample.repeatable).record(sample);
+        self.delta_of(&route, sample.repeatable).record(sample);
     }
 
-    /// Takes a row of another daemon; older ones change nothing.
+    /// Merges a row of another daemon; older rows change nothing.
     pub fn merge(&mut self, row: Row) {
         let key = (row.daemon, &row.route);
         let found = self
@@ -260,22 +263,26 @@
         match found {
             Ok(at) if self.others[at].sequence >= row.sequence => {}
             Ok(at) => {
-                let fresh = row.pair.since(&self.others[at].pair);
-                self.news_of(&row.route, row.repeatable).add(&fresh);
+                let added = row.pair.since(&self.others[at].pair);
+                self.delta_of(&row.route, row.repeatable).add(&added);
                 self.others[at] = row;
             }
             Err(at) => {
-                self.news_of(&row.route, row.repeatable).add(&row.pair);
+                self.delta_of(&row.route, row.repeatable).add(&row.pair);
                 self.others.insert(at, row);
             }
         }
     }
 
-    /// Own rows that changed since they were last taken.
+    /// Own rows that changed since they were last published.
     pub fn publish(&mut self, daemon: Incarnation, id: MoveId) -> Vec<Row> {
         let mut rows = Vec::new();
-        for own in self.own.iter_mut().filter(|own| own.sequence > own.sent) {
-            own.sent = own.sequence;
+        for own in self
+            .own
+            .iter_mut()
+            .filter(|own| own.sequence > own.published)
+        {
+            own.published = own.sequence;
             rows.push(Row {
                 daemon,
                 sequence: own.sequence,
@@ -288,32 +295,32 @@
         rows
     }
 
-    /// What came in since the last call.
-    pub fn take_news(&mut self) -> Vec<News> {
-        std::mem::take(&mut self.news)
+    /// Takes what was added since the last call.
+    pub fn take_deltas(&mut self) -> Vec<RouteDelta> {
+        std::mem::take(&mut self.deltas)
     }
 
-    fn known(&self, route: &RouteId) -> RouteId {
+    fn route_key(&self, route: &RouteId) -> RouteId {
         let found = self.own.binary_search_by(|own| own.route.cmp(route));
-        if found.is_ok() || self.own.len() < MOST_ROUTES {
+        if found.is_ok() || self.own.len() < MAX_ROUTES {
             route.clone()
         } else {
-            CompactString::const_new(REST)
+            CompactString::const_new(OTHER_ROUTES)
         }
     }
 
-    fn news_of(&mut self, route: &RouteId, repeatable: bool) -> &mut Pair {
-        let found = self.news.binary_search_by(|news| news.route.cmp(route));
+    fn delta_of(&mut self, route: &RouteId, repeatable: bool) -> &mut Pair {
+        let found = self.deltas.binary_search_by(|delta| delta.route.cmp(route));
         let at = found.unwrap_or_else(|at| {
             let pair = Pair::default();
-            let news = News {
+            let delta = RouteDelta {
                 route: route.clone(),
                 repeatable,
                 pair,
             };
-            self.news.insert(at, news);
+            self.deltas.insert(at, delta);
             at
         });
-        &mut self.news[at].pair
+        &mut self.deltas[at].pair
     }
 }
--- a/lib/src/moves/verdict.rs
+++ b/lib/src/moves/verdict.rs
@@ -29,7 +29,7 @@
 
 use std::time::Instant;
 
-use crate::moves::evidence::{News, RouteId};
+use crate::moves::evidence::{RouteDelta, RouteId};
 use crate::moves::share::{ONE, Share};
 use crate::moves::verdict::fault_test::{FaultTest, Pooled};
 pub use crate::moves::verdict::finding::{Fault, Finding};
@@ -74,24 +74,24 @@
 impl Detector {
     /// Feeds the tests with what was added; returns a finding once a test finds the
     /// new version bad.
-    pub fn update(&mut self, now: Instant, news: &[News]) -> Option<Finding> {
+    pub fn update(&mut self, now: Instant, deltas: &[RouteDelta]) -> Option<Finding> {
         let mut failing = Pooled::new(&self.failing);
         let mut slow = Pooled::new(&self.slow);
         let mut tail = Pooled::new(&self.tail);
-        for news in news {
-            let tests = self.tests_of(&news.route, news.repeatable);
-            tests.add(&news.pair);
-            let batch = tests.failing_batch(&news.pair);
+        for delta in deltas {
+            let tests = self.tests_of(&delta.route, delta.repeatable);
+            tests.add(&delta.pair);
+            let batch = tests.failing_batch(&delta.pair);
             let llrs = tests.failing.llrs(&batch);
             tests.failing.feed(now, &batch, &llrs);
             failing.add(&batch, &llrs);
             if tests.reference.timed() < MIN_REFERENCE_LATENCIES {
                 continue;
             }
-            let (batch, llrs) = tests.slow_batch(&news.pair);
+            let (batch, llrs) = tests.slow_batch(&delta.pair);
             tests.slow.feed(now, &batch, &llrs);
             slow.add(&batch, &llrs);
-            let batch = tests.tail_batch(&news.pair);
+            let batch = tests.tail_batch(&delta.pair);
             let llrs = tests.tail.llrs(&batch);
             tests.tail.feed(now, &batch, &llrs);
             tail.add(&batch, &llrs);
--- a/lib/src/moves/verdict/reference.rs
+++ b/lib/src/moves/verdict/reference.rs
@@ -1,7 +1,7 @@
 //! Recent rates and latencies of the old version.
 
 use crate::moves::evidence::Side;
-use crate::moves::histogram::{PER_DOUBLING, SLOTS};
+use crate::moves::histogram::{BUCKETS, BUCKETS_PER_DOUBLING};
 use crate::moves::verdict::limits::{
     MAX_LATENCY_LLR, MIN_REFERENCE_LATENCIES, REFERENCE_REQUESTS, SLOW_FRACTION,
 };
@@ -11,7 +11,7 @@
 pub(super) struct Reference {
     pub(super) all: f64,
     pub(super) failed: f64,
-    pub(super) times: [f64; SLOTS],
+    pub(super) times: [f64; BUCKETS],
 }
 
 impl Default for Reference {
@@ -19,7 +19,7 @@
         Self {
             all: 0.0,
             failed: 0.0,
-            times: [0.0; SLOTS],
+            times: [0.0; BUCKETS],
         }
     }
 }
@@ -55,7 +55,7 @@
     pub(super) fn slow_bucket(&self) -> usize {
         let most = self.timed() * SLOW_FRACTION;
         let mut above = 0.0;
-        for at in (0..SLOTS).rev() {
+        for at in (0..BUCKETS).rev() {
             above += self.times[at];
             if above > most {
                 return at;
@@ -64,14 +64,14 @@
         0
     }
 
-    pub(super) fn above(&self, slot: usize) -> f64 {
-        self.times[slot + 1..].iter().sum()
+    pub(super) fn above(&self, bucket: usize) -> f64 {
+        self.times[bucket + 1..].iter().sum()
     }
 }
 
 /// Distribution of the old version's latencies, smoothed over neighbouring buckets,
 /// since a few hundred requests leave gaps between them.
-pub(super) struct LatencyDistribution([f64; SLOTS]);
+pub(super) struct LatencyDistribution([f64; BUCKETS]);
 
 impl LatencyDistribution {
     /// Weights of a bucket and its neighbours, itself in the middle.
@@ -81,7 +81,7 @@
     pub(super) const FLOOR_REQUESTS: f64 = 0.2;
 
     pub(super) fn new(reference: &Reference) -> Self {
-        let mut distribution = [Self::FLOOR_REQUESTS; SLOTS];
+        let mut distribution = [Self::FLOOR_REQUESTS; BUCKETS];
         for (at, count) in reference
             .times
             .iter()
@@ -112,7 +112,7 @@
 
     /// Log-likelihood ratio of counts between the shifted and the unshifted
     /// distribution.
-    pub(super) fn llr(&self, counts: &[u32; SLOTS], shift: usize) -> f64 {
+    pub(super) fn llr(&self, counts: &[u32; BUCKETS], shift: usize) -> f64 {
         let each = counts.iter().enumerate().filter(|(_, count)| **count > 0);
         each.map(|(at, count)| f64::from(*count) * self.llr_at(at, shift))
             .sum()
@@ -137,5 +137,5 @@
 
 /// Ratio of two latencies that lie `buckets` apart.
 pub(super) fn latency_ratio(buckets: f64) -> f64 {
-    (buckets / PER_DOUBLING).exp2()
+    (buckets / BUCKETS_PER_DOUBLING).exp2()
 }
--- a/lib/src/systems/moving.rs
+++ b/lib/src/systems/moving.rs
@@ -10,7 +10,7 @@
 use crate::endpoint::Endpoint;
 use crate::ids::{EndpointId, RequestId, ServiceId, VersionId};
 use crate::input::Outcome;
-use crate::moves::evidence::{Sample, Which};
+use crate::moves::evidence::{Sample, VersionSide};
 use crate::moves::{Controller, Event, ONE, Outlook, Pick, Reach, Spread, Time};
 use crate::request::{Request, Running, Waiting};
 use crate::table::Row;
@@ -267,9 +267,9 @@
         return;
     };
     let which = if version == to {
-        Which::New
+        VersionSide::New
     } else if version == from {
-        Which::Old
+        VersionSide::Old
     } else {
         return;
     };
--- a/lib/tests/test_moves_evidence.rs
+++ b/lib/tests/test_moves_evidence.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use poplarvale_lib::moves::evidence::{Evidence, MOST_ROUTES, Pair, Row, Sample, Which};
-use poplarvale_lib::moves::histogram::{SLOTS, edge, slot};
+use poplarvale_lib::moves::evidence::{Evidence, MAX_ROUTES, Pair, Row, Sample, VersionSide};
+use poplarvale_lib::moves::histogram::{BUCKETS, bucket, upper_edge};
 use proptest::prelude::*;
 
 const ID: u128 = 7;
@@ -14,7 +14,11 @@
             Sample {
                 route: format!("GET /{route}").into(),
                 repeatable: true,
-                which: if new { Which::New } else { Which::Old },
+                which: if new {
+                    VersionSide::New
+                } else {
+                    VersionSide::Old
+                },
                 time: (kind > 0).then(|| Duration::from_millis(time)),
                 compared: kind > 1,
             }
@@ -37,11 +41,11 @@
 
 #[test]
 fn slots_cover_their_times() {
-    for at in 1..SLOTS - 1 {
-        assert_eq!(slot(edge(at).mul_f64(0.99)), at);
+    for at in 1..BUCKETS - 1 {
+        assert_eq!(bucket(upper_edge(at).mul_f64(0.99)), at);
     }
-    assert_eq!(slot(Duration::ZERO), 0);
-    assert_eq!(slot(Duration::from_hours(1)), SLOTS - 1);
+    assert_eq!(bucket(Duration::ZERO), 0);
+    assert_eq!(bucket(Duration::from_hours(1)), BUCKETS - 1);
 }
 
 /// A caller makes up a path for each request. Without a limit, the rows of the
@@ -49,19 +53,19 @@
 #[test]
 fn made_up_routes_share_one_row() {
     let mut evidence = Evidence::default();
-    for n in 0..10 * MOST_ROUTES {
+    for n in 0..10 * MAX_ROUTES {
         evidence.record(&Sample {
             route: format!("GET /{n}").into(),
             repeatable: true,
-            which: Which::Old,
+            which: VersionSide::Old,
             time: None,
             compared: true,
         });
     }
     let rows = evidence.publish(1, ID);
-    assert_eq!(rows.len(), MOST_ROUTES + 1);
+    assert_eq!(rows.len(), MAX_ROUTES + 1);
     let failed: u32 = rows.iter().map(|row| row.pair.old.failed).sum();
-    assert_eq!(failed as usize, 10 * MOST_ROUTES);
+    assert_eq!(failed as usize, 10 * MAX_ROUTES);
 }
 
 proptest! {
@@ -79,14 +83,14 @@
         let mut wire = published(&[Sample {
             route: "GET /".into(),
             repeatable: true,
-            which: Which::New,
+            which: VersionSide::New,
             time: Some(Duration::from_millis(5)),
             compared: true,
         }])[0].to_wire();
         let side = wire.new.as_mut().expect("it has both");
         side.first = first;
         side.counts = vec![1; length];
-        let fits = first as usize + length <= SLOTS;
+        let fits = first as usize + length <= BUCKETS;
         prop_assert_eq!(Row::from_wire(&wire).is_some(), fits);
     }
 
@@ -107,8 +111,8 @@
         let mut counted = 0;
         for row in rows {
             evidence.merge(row);
-            let news = evidence.take_news();
-            counted += news.iter().map(|n| all(&n.pair)).sum::<u32>();
+            let deltas = evidence.take_deltas();
+            counted += deltas.iter().map(|d| all(&d.pair)).sum::<u32>();
         }
         prop_assert_eq!(counted, last.iter().map(|row| all(&row.pair)).sum::<u32>());
         prop_assert_eq!(counted as usize, samples.len());
--- a/lib/tests/test_moves_faults.rs
+++ b/lib/tests/test_moves_faults.rs
@@ -5,7 +5,7 @@
 
 use poplarvale_lib::lease::{Lease, MARGIN};
 use poplarvale_lib::moves::ask::{Ask, Fleet, ask, cancel};
-use poplarvale_lib::moves::evidence::{Row, Sample, Which};
+use poplarvale_lib::moves::evidence::{Row, Sample, VersionSide};
 use poplarvale_lib::moves::stages::{LEAST, Scale, shares};
 use poplarvale_lib::moves::{
     Action, Bad, Controller, ONE, Outlook, Pick, Reach, Record, Source, Stored, Time,
@@ -386,9 +386,9 @@
         let most = daemon.promised.div_ceil(u64::from(ONE)) + 1;
         assert!(daemon.went <= most, "more than the share");
         let which = if pick == Pick::New {
-            Which::New
+            VersionSide::New
         } else {
-            Which::Old
+            VersionSide::Old
         };
         let fails = pick == Pick::New && self.failing;
         daemon.controller.record(&Sample {
