--- a/lib/src/moves.rs
+++ b/lib/src/moves.rs
@@ -1,9 +1,10 @@
-//! Version moves: from the old version of a service to a new one, watched.
+//! Version moves: shifting a service's requests from an old version to a new one,
+//! stage by stage.
 //!
-//! Operators ask for a move and a time to finish by. Daemons send a growing
-//! share of their requests to the new version, compare how both versions do in
-//! the same period, and either finish the move or take it back. `docs/design/moves.md`
-//! gives the reasons and the figures.
+//! Operators start a move and give a time by which it must be finished. Daemons
+//! send a growing share of their requests to the new version, compare how both
+//! versions perform in the same period, and either finish the move or roll it back.
+//! `docs/design/moves.md` gives the reasons and the figures.
 
 pub mod ask;
 mod border;
@@ -19,8 +20,8 @@
 pub use crate::systems::moving::{Chosen, Filter, Watch};
 pub use border::RecordError;
 pub use controller::{
-    Action, Bad, Controller, Event, FRESH, Hold, Outlook, PUBLISH, Pick, Reach, Source, Stored,
-    Time,
+    Action, Bad, Controller, Event, FRESHNESS_TTL, HoldReason, Outlook, PUBLISH_INTERVAL, Pick,
+    Reach, Source, Stored, Time,
 };
 pub use life::{
     Asked, Cancelled, Done, Move, MoveId, Open, Record, Staged, TakenBack, Terms, Watching,
--- a/lib/src/moves/ask.rs
+++ b/lib/src/moves/ask.rs
@@ -1,10 +1,10 @@
-//! What operators ask: to move, and to cancel.
+//! Operators' requests: to start a move and to cancel one.
 //!
-//! Operators race each other and the daemons. Every edit is decided on the
-//! record as it was read and written only if that is still its revision; whoever
-//! comes second reads again and is told what stands there now. The answer of a
-//! write can be lost after it took effect; as each move carries the id drawn for
-//! it, reading it back settles whose it is.
+//! Operators race with each other and with the daemons. Every edit is decided on
+//! the record as it was read and written only if the store still has that revision;
+//! the loser of a race reads again and gets the current state. The response to a
+//! write can be lost after it took effect; as each move carries a random id,
+//! reading the record back shows whose it is.
 
 use compact_str::{CompactString, format_compact};
 
@@ -15,36 +15,37 @@
 use crate::moves::share::Share;
 use crate::moves::stages::{Scale, WallMs, least_time};
 
-/// Longest time a move may take; a later deadline is more likely a slip.
-const MOST_MS: WallMs = 30 * 24 * 3_600_000;
+/// Longest time a move may take, in milliseconds; a later finish-by time is more
+/// likely a typing error.
+const MAX_MOVE_MS: WallMs = 30 * 24 * 3_600_000;
 
-/// A move that an operator asks for.
+/// An operator's request to move a service to another version.
 #[proc_macros::row]
 pub struct Ask {
-    /// Id drawn for it; kept over retries of the write.
+    /// Random id of the move; kept over retries of the write.
     pub id: MoveId,
     /// Service.
     pub service: ServiceId,
     /// Version to go to.
     pub to: VersionId,
-    /// When it must be finished.
+    /// When the move must be finished.
     pub finish: WallMs,
 }
 
-/// What runs of the service when a move is asked for.
+/// What runs of the service when a move is requested.
 #[proc_macros::row]
 pub struct Fleet {
-    /// Version that has the requests.
+    /// Version that gets the requests.
     pub version: VersionId,
-    /// Its endpoints.
+    /// Endpoints of that version.
     pub old: u32,
     /// Endpoints of the version to go to.
     pub new: u32,
-    /// Part of the requests that may be repeated, of late.
+    /// Recent share of the requests that are idempotent.
     pub repeatable: Share,
 }
 
-/// Why an operator's wish was refused.
+/// Why an operator's request was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{}: {reason}", code.number())]
 pub struct Refusal {
@@ -60,19 +61,19 @@
     }
 }
 
-/// Checks a wish against the record that stands in the store.
+/// Checks a request against the record in the store.
 ///
-/// Gives the record to write if its revision has not changed since.
+/// Returns the record to write if its revision has not changed since.
 ///
 /// # Errors
 /// `BadMove` for what can't be done, `Conflict` while another move runs.
 pub fn ask(
-    standing: Option<&Record>,
+    current: Option<&Record>,
     ask: &Ask,
     fleet: &Fleet,
     now: WallMs,
 ) -> Result<Record, Refusal> {
-    if let Some(open) = standing.filter(|record| !record.ended()) {
+    if let Some(open) = current.filter(|record| !record.ended()) {
         if open.terms().id == ask.id {
             return Ok(open.clone());
         }
@@ -117,7 +118,7 @@
             least.div_ceil(1000)
         ));
     }
-    if left > MOST_MS {
+    if left > MAX_MOVE_MS {
         return bad(format_compact!(
             "the finish-by time is {} days away; 30 are allowed",
             left / (24 * 3_600_000)
@@ -126,16 +127,16 @@
     Ok(())
 }
 
-/// Cancels the move that stands in the store.
+/// Cancels the move in the store.
 ///
 /// # Errors
 /// `NoMove` without one or for another id, `Conflict` when it has ended.
 pub fn cancel(
-    standing: Option<&Record>,
+    current: Option<&Record>,
     id: MoveId,
     reason: CompactString,
 ) -> Result<Record, Refusal> {
-    let record = standing.filter(|record| record.terms().id == id);
+    let record = current.filter(|record| record.terms().id == id);
     let Some(record) = record else {
         let reason = CompactString::const_new("this move is not on record");
         return Err(Refusal::new(Code::NoMove, reason));
--- a/lib/src/moves/border.rs
+++ b/lib/src/moves/border.rs
@@ -1,4 +1,5 @@
-//! Between the stored form of a move and the one with its life cycle.
+//! Conversion of move records between the types of the life cycle and the stored
+//! form.
 
 use compact_str::CompactString;
 
@@ -10,22 +11,22 @@
 use crate::moves::stages::{LAST, Scale};
 use crate::protos::moves::{VersionMove, version_move::State};
 
-/// Why a stored record could not be read.
+/// Why a stored record is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
-    /// Id is not 32 hexadecimal digits.
+    /// The id is not 32 hexadecimal digits.
     #[error("the move's id is {0:?}, not 32 hexadecimal digits")]
     Id(CompactString),
-    /// State that this version doesn't know.
+    /// The state is not known to this daemon.
     #[error("the move's state is {0}, which is not known")]
     State(i32),
-    /// Stage that this version doesn't know.
+    /// The stage is not known to this daemon.
     #[error("the move's stage is {0}; the last one is {LAST}")]
     Stage(u32),
 }
 
 impl Record {
-    /// Form that is stored.
+    /// Converts to the stored form.
     pub fn to_stored(&self) -> VersionMove {
         let terms = self.terms();
         let (state, reason) = match self {
@@ -59,7 +60,7 @@
     /// Reads the stored form.
     ///
     /// # Errors
-    /// Says which field a newer or broken writer left unreadable.
+    /// Names the field that a newer or broken writer left unreadable.
     pub fn from_stored(stored: &VersionMove) -> Result<Self, RecordError> {
         let terms = Terms {
             id: from_hex(&stored.id).ok_or_else(|| RecordError::Id(stored.id.as_str().into()))?,
--- a/lib/src/moves/controller.rs
+++ b/lib/src/moves/controller.rs
@@ -20,34 +20,34 @@
 use crate::moves::evidence::{Evidence, Row, Sample};
 use crate::moves::life::{MoveId, Record};
 use crate::moves::share::{Counter, ONE, Share};
-use crate::moves::stages::{Shares, Spread, WallMs, cautious, shares, spread};
+use crate::moves::stages::{Shares, Spread, WallMs, cautious_shares, shares, spread};
 use crate::moves::verdict::{Detector, Seen};
 
 /// How long an exchange keeps this daemon's state fresh: five gossip rounds of one
 /// second and the transit time of the last one, doubled, so that losing a round or
 /// two changes nothing.
-pub const FRESH: Duration = Duration::from_secs(10);
+pub const FRESHNESS_TTL: Duration = Duration::from_secs(10);
 
 /// Interval at which own evidence rows are published.
-pub const PUBLISH: Duration = Duration::from_secs(1);
+pub const PUBLISH_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How long the result of a write is awaited before the record is written again.
-const ANSWER: Duration = Duration::from_secs(2);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Requests of a route at the new version that a stage needs. With fewer, a fault
 /// in one request of thirty shows with a probability below four in five.
-const ENOUGH: f64 = 50.0;
+const MIN_STAGE_REQUESTS: f64 = 50.0;
 
 /// Of the requests that the stage's share promises the new version, the fraction
 /// that must have been seen where that is less than [`MIN_STAGE_REQUESTS`]. One
 /// half lets routing lag behind the share but not ignore it.
-const PART: f64 = 0.5;
+const MIN_STAGE_FRACTION: f64 = 0.5;
 
 /// Difference between the recorded and the recently measured share of idempotent
 /// requests above which the measured one is used. Below it, chance alone would make
 /// the number of endpoints go up and down, and each daemon's number would differ
 /// from its peers'.
-const OTHER_MIX: Share = 100_000;
+const MIX_TOLERANCE: Share = 100_000;
 
 /// A move record and its revision in the store.
 #[proc_macros::row]
@@ -90,7 +90,7 @@
 }
 
 impl Reach {
-    fn most(self) -> bool {
+    fn has_majority(self) -> bool {
         self.heard * 2 > self.live
     }
 }
@@ -168,7 +168,7 @@
 
 /// Why a move stays in its stage.
 #[proc_macros::row]
-pub enum Hold {
+pub enum HoldReason {
     /// The stage's time is not over.
     Time,
     /// Another daemon holds the lease, or none does.
@@ -180,7 +180,7 @@
     /// A route has too few requests at the new version.
     Evidence(Seen),
     /// Most daemons are unreachable.
-    Alone,
+    Partitioned,
     /// No endpoint of the new version accepts requests.
     Endpoints,
     /// The result of a write is pending.
@@ -198,16 +198,16 @@
     /// When the move must be finished.
     finish: Option<Instant>,
     /// Sorted by move id.
-    bad: Vec<Bad>,
-    fresh: Option<Instant>,
+    verdicts: Vec<Bad>,
+    fresh_until: Option<Instant>,
     lease: Option<Lease>,
     pulse: Pulse,
     counter: Counter,
     evidence: Evidence,
     detector: Detector,
     /// Until when the result of a write is awaited.
-    answer: Option<Instant>,
-    publish: Option<Instant>,
+    write_until: Option<Instant>,
+    next_publish: Option<Instant>,
 }
 
 impl Controller {
@@ -219,15 +219,15 @@
             stored: None,
             due: None,
             finish: None,
-            bad: Vec::new(),
-            fresh: None,
+            verdicts: Vec::new(),
+            fresh_until: None,
             lease: None,
             pulse: Pulse::new(),
             counter: Counter::default(),
             evidence: Evidence::default(),
             detector: Detector::default(),
-            answer: None,
-            publish: None,
+            write_until: None,
+            next_publish: None,
         }
     }
 
@@ -238,12 +238,12 @@
 
     /// Known verdicts, for the rows that daemons exchange.
     pub fn verdicts(&self) -> &[Bad] {
-        &self.bad
+        &self.verdicts
     }
 
     /// Whether this daemon's state is fresh; advertised with every exchange.
     pub fn is_fresh(&self, now: Instant) -> bool {
-        self.fresh.is_some_and(|until| now < until)
+        self.fresh_until.is_some_and(|until| now < until)
     }
 
     /// Applies a record from the store or a peer. Only a higher revision counts, so
@@ -264,7 +264,7 @@
         }
         self.due = stored.record.due().map(|due| time.instant(due));
         self.finish = Some(time.instant(stored.record.terms().finish));
-        self.answer = None;
+        self.write_until = None;
         self.stored = Some(stored);
     }
 
@@ -278,17 +278,17 @@
     pub fn heard(&mut self, now: Instant, source: Source, reach: Reach) {
         let proof = match source {
             Source::Peer { fresh } => fresh,
-            Source::Store => reach.most(),
+            Source::Store => reach.has_majority(),
         };
         if proof {
-            self.fresh = Some(now + FRESH);
+            self.fresh_until = Some(now + FRESHNESS_TTL);
         }
     }
 
     /// Adds a verdict, received from a peer or reached by this daemon.
-    pub fn convict(&mut self, bad: Bad) {
-        if let Err(at) = self.bad.binary_search_by_key(&bad.id, |b| b.id) {
-            self.bad.insert(at, bad);
+    pub fn convict(&mut self, verdict: Bad) {
+        if let Err(at) = self.verdicts.binary_search_by_key(&verdict.id, |v| v.id) {
+            self.verdicts.insert(at, verdict);
         }
     }
 
@@ -316,7 +316,7 @@
     ///
     /// `random` is uniform below [`FULL_SHARE`]. Call this once per request: a
     /// second call while the request waits would exceed the share.
-    pub fn version_for(&mut self, now: Instant, repeatable: bool, draw: u32) -> Pick {
+    pub fn version_for(&mut self, now: Instant, repeatable: bool, random: u32) -> Pick {
         let Some(stored) = &self.stored else {
             return Pick::Any;
         };
@@ -327,7 +327,7 @@
             return Pick::Old;
         }
         let share = self.share(now, repeatable);
-        if self.counter.take(share, draw) {
+        if self.counter.take(share, random) {
             Pick::New
         } else {
             Pick::Old
@@ -366,7 +366,7 @@
     fn spread_of(&self, shares: Shares) -> Option<Spread> {
         let scale = self.stored.as_ref()?.record.terms().scale;
         let measured = self.detector.repeatable();
-        let other = measured.filter(|m| m.abs_diff(scale.repeatable) > OTHER_MIX);
+        let other = measured.filter(|m| m.abs_diff(scale.repeatable) > MIX_TOLERANCE);
         let repeatable = other.unwrap_or(scale.repeatable);
         Some(spread(shares.total(repeatable), scale.endpoints))
     }
@@ -396,22 +396,25 @@
     /// Verdict on the current move.
     pub fn verdict(&self) -> Option<&Bad> {
         let id = self.move_id()?;
-        let at = self.bad.binary_search_by_key(&id, |bad| bad.id).ok()?;
-        Some(&self.bad[at])
+        let at = self
+            .verdicts
+            .binary_search_by_key(&id, |verdict| verdict.id)
+            .ok()?;
+        Some(&self.verdicts[at])
     }
 
     /// Evaluates the evidence and decides what to do.
     pub fn tick(&mut self, outlook: Outlook) -> Vec<Action> {
         let now = outlook.time.now;
         if self.pulse.beat(now) == Beat::Paused {
-            self.fresh = None;
+            self.fresh_until = None;
             self.lease = None;
         }
         let mut actions = Vec::new();
         self.evaluate(now, &mut actions);
         self.publish(now, &mut actions);
         if let Some((record, permit)) = self.next_write(outlook) {
-            self.answer = Some(now + ANSWER);
+            self.write_until = Some(now + WRITE_TIMEOUT);
             let revision = self.stored.as_ref().map_or(0, |s| s.revision);
             let until = permit.until();
             actions.push(Action::Write {
@@ -424,30 +427,30 @@
     }
 
     /// Why the move doesn't advance; none if it can.
-    pub fn why_held(&self, outlook: Outlook) -> Option<Hold> {
+    pub fn hold_reason(&self, outlook: Outlook) -> Option<HoldReason> {
         let now = outlook.time.now;
         if self.due.is_some_and(|due| now < due) {
-            return Some(Hold::Time);
+            return Some(HoldReason::Time);
         }
         if self.permit(now).is_none() {
-            return Some(Hold::Lease);
+            return Some(HoldReason::Lease);
         }
-        if self.answer.is_some_and(|until| now < until) {
-            return Some(Hold::Write);
+        if self.write_until.is_some_and(|until| now < until) {
+            return Some(HoldReason::Write);
         }
         if !self.is_fresh(now) {
-            return Some(Hold::Stale);
+            return Some(HoldReason::Stale);
         }
-        if !outlook.reach.most() {
-            return Some(Hold::Alone);
+        if !outlook.reach.has_majority() {
+            return Some(HoldReason::Partitioned);
         }
         if !outlook.ready {
-            return Some(Hold::Endpoints);
+            return Some(HoldReason::Endpoints);
         }
         if self.detector.suspects() {
-            return Some(Hold::Suspicion);
+            return Some(HoldReason::Suspicion);
         }
-        self.lacking().map(Hold::Evidence)
+        self.undersampled().map(HoldReason::Evidence)
     }
 
     fn move_id(&self) -> Option<MoveId> {
@@ -469,7 +472,7 @@
         }
         let scale = stored.record.terms().scale;
         if self.detector.suspects() {
-            cautious(stage, scale)
+            cautious_shares(stage, scale)
         } else {
             shares(stage, scale)
         }
@@ -483,9 +486,9 @@
         let (Some(reason), Some(id), None) = (reason, self.move_id(), self.verdict()) else {
             return;
         };
-        let bad = Bad { id, reason };
-        self.convict(bad.clone());
-        actions.push(Action::Push(bad));
+        let verdict = Bad { id, reason };
+        self.convict(verdict.clone());
+        actions.push(Action::Push(verdict));
     }
 
     /// What speaks against the new version when the finish-by time has passed: a
@@ -504,8 +507,9 @@
         // Each daemon's counter can lag by one request, so a few missing requests
         // prove nothing. If some arrived, the version does accept requests and a
         // suspicion held back the others.
-        let missed = |seen: &Seen| over && seen.new == 0 && self.promised(seen) >= ENOUGH;
-        let seen = self.lacking().filter(missed)?;
+        let missed =
+            |seen: &Seen| over && seen.new == 0 && self.promised(seen) >= MIN_STAGE_REQUESTS;
+        let seen = self.undersampled().filter(missed)?;
         Some(format_compact!(
             "time ran out: the new version saw no request on {}, the old one {}",
             seen.route,
@@ -514,10 +518,10 @@
     }
 
     fn publish(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        if self.publish.is_some_and(|at| now < at) {
+        if self.next_publish.is_some_and(|at| now < at) {
             return;
         }
-        self.publish = Some(now + PUBLISH);
+        self.next_publish = Some(now + PUBLISH_INTERVAL);
         let Some(id) = self.move_id() else {
             return;
         };
@@ -535,11 +539,11 @@
         let Time { now, wall } = outlook.time;
         let permit = self.permit(now)?;
         let record = &self.stored.as_ref()?.record;
-        if self.answer.is_some_and(|until| now < until) || record.fence() > permit.fence() {
+        if self.write_until.is_some_and(|until| now < until) || record.fence() > permit.fence() {
             return None;
         }
-        if let Some(bad) = self.verdict() {
-            let back = record.clone().take_back(bad.reason.clone())?;
+        if let Some(verdict) = self.verdict() {
+            let back = record.clone().take_back(verdict.reason.clone())?;
             return Some((back, permit));
         }
         // The fencing token of a new lease is written to the record before the
@@ -548,7 +552,7 @@
         if record.fence() < permit.fence() {
             return Some((record.clone().adopt(permit)?, permit));
         }
-        if self.why_held(outlook).is_some() {
+        if self.hold_reason(outlook).is_some() {
             return None;
         }
         Some((record.clone().step(permit, wall)?, permit))
@@ -558,10 +562,10 @@
     ///
     /// The minimum follows the traffic: a route that gets three requests in the
     /// stage can't show fifty, and must not delay the move past its finish-by time.
-    fn lacking(&self) -> Option<Seen> {
+    fn undersampled(&self) -> Option<Seen> {
         self.detector.seen().find(|seen| {
-            let least = (self.promised(seen) * PART).floor();
-            f64::from(seen.new) < least.min(ENOUGH)
+            let least = (self.promised(seen) * MIN_STAGE_FRACTION).floor();
+            f64::from(seen.new) < least.min(MIN_STAGE_REQUESTS)
         })
     }
 
--- a/lib/src/moves/stages.rs
+++ b/lib/src/moves/stages.rs
@@ -1,71 +1,74 @@
-//! Stages of a move: how much goes to the new version, where, and until when.
+//! Stages of a move: how many requests go to the new version, to how many
+//! endpoints, and until when.
 //!
-//! A fault under load shows only at an endpoint that is loaded. With one request
-//! in a hundred on one of ten new endpoints each of them idles, the stage passes
-//! and the fault meets half of all callers later. So a stage names the number of
-//! endpoints that the new version may use, and its share is what loads these as
-//! heavily as the old ones: `k / (k + endpoints)`. The same holds at the other
-//! end: until the move is done, a few old endpoints keep the share that loads
-//! them as heavily as the new ones. They stay warm, and they are what the new
-//! version is compared with; without them, a slow hour of the platform would
-//! look like a fault of the new version.
+//! A fault under load shows only at an endpoint that is loaded. With one request in
+//! a hundred spread over ten new endpoints, each of them is nearly idle; the stage
+//! passes, and the fault reaches half of all callers in a later one. So a stage
+//! defines the number `k` of endpoints that the new version may use, and its share
+//! is the one that loads these as heavily as the old ones: `k / (k + endpoints)`.
+//! The same holds at the other end: until the move is done, a few old endpoints
+//! keep the share that loads them as heavily as the new ones. They stay warm, and
+//! they are the control group for the new version; without them, an hour in which
+//! the platform is slow would look like a fault of the new version.
 //!
-//! Requests that may not be repeated follow two stages behind: a failed one
-//! can't be sent to the old version instead, so its caller pays for the test.
+//! Non-idempotent requests follow two stages behind: a failed one can't be retried
+//! at the old version, so its caller would get the failure.
 
 use std::time::Duration;
 
 use crate::moves::share::{ONE, Share};
 
-/// Index of a stage, from 0 to [`LAST`].
+/// Index of a stage, from 0 to [`LAST_STAGE`].
 pub type Stage = u8;
 
 /// Wall-clock milliseconds since 1970, as in the store.
 pub type WallMs = u64;
 
-/// Stage at full share.
+/// The stage at full share.
 pub const LAST: Stage = 6;
 
-/// Shortest stage: the evidence of one gossip round (1 s), its way (up to 2 s)
-/// and one more round to see what it led to.
+/// Shortest stage: the evidence of one gossip round (1 s), its transit time (up to
+/// 2 s) and one more round to see its effect.
 pub const LEAST: Duration = Duration::from_secs(5);
 
-/// Shortest watch at full share: two shortest stages.
+/// Shortest watch period at full share: two shortest stages.
 pub const LEAST_WATCH: Duration = Duration::from_secs(10);
 
-/// Time kept free before the finish-by deadline, in hundredths. It covers a
-/// lease that lapses and is taken over, and a suspicion that has to settle.
-pub const SPARE: u64 = 10;
+/// Time kept free before the finish-by time, in hundredths. It covers a lease that
+/// lapses and is taken over by another daemon, and a suspicion that has to be
+/// resolved.
+pub const SPARE_HUNDREDTHS: u64 = 10;
 
-/// Parts of the time that the stages get. The second and third are the longest
-/// as they are the first ones under load; the last is the watch.
-const WEIGHTS: [u64; LAST as usize + 1] = [10, 15, 15, 15, 10, 10, 15];
+/// Parts of the time that the stages get, in hundredths. The second and third are
+/// as long as any, as they are the first ones under load; the last one is the watch
+/// period.
+const STAGE_HUNDREDTHS: [u64; LAST as usize + 1] = [10, 15, 15, 15, 10, 10, 15];
 
-/// Share of the first stage: one in a hundred, so that a version that fails
-/// every request spoils few before 3 failures show.
-const FIRST: Share = 10_000;
+/// Share of the first stage: one in a hundred, so that a version that fails every
+/// request fails few of them before 3 failures show.
+const FIRST_SHARE: Share = 10_000;
 
-/// Largest share of the second stage. Pools of fewer than four endpoints give
-/// up the equal load there rather than put a quarter of the callers at risk.
-const MOST_SECOND: Share = 200_000;
+/// Largest share of the second stage. Pools of fewer than four endpoints give up
+/// the equal load there rather than put a quarter of the callers at risk.
+const MAX_SECOND_SHARE: Share = 200_000;
 
-/// Shares that the later stages aim for; the nearest that gives equal load is
-/// taken.
-const SECOND: Share = 50_000;
-const THIRD: Share = 250_000;
-const HALF: Share = 500_000;
-const KEPT: Share = 20_000;
+/// Shares that the later stages aim for; the nearest share that gives equal load is
+/// used.
+const SECOND_SHARE: Share = 50_000;
+const THIRD_SHARE: Share = 250_000;
+const HALF_SHARE: Share = 500_000;
+const KEPT_SHARE: Share = 20_000;
 
-/// Share of requests that may run once, under suspicion, if they have begun to
-/// move. With none of them a suspicion on their routes could never be settled.
-const CAUTIOUS_ONCE: Share = 50_000;
+/// Share of non-idempotent requests under suspicion, once they have begun to move.
+/// Without any of them, a suspicion on their routes could never be resolved.
+const CAUTIOUS_NON_IDEMPOTENT: Share = 50_000;
 
 /// Shares of a stage by kind of request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shares {
-    /// Of requests that may be repeated.
+    /// Of idempotent requests.
     pub repeatable: Share,
-    /// Of requests that may run once.
+    /// Of non-idempotent requests.
     pub once: Share,
 }
 
@@ -76,12 +79,13 @@
         once: 0,
     };
 
-    /// Share of all requests when `repeatable` of them may be repeated.
+    /// Share of all requests, when the share `idempotent` of them is idempotent.
     pub fn total(self, repeatable: Share) -> Share {
-        part(self.repeatable, repeatable) + part(self.once, ONE.saturating_sub(repeatable))
+        fraction_of(self.repeatable, repeatable)
+            + fraction_of(self.once, ONE.saturating_sub(repeatable))
     }
 
-    /// Share of one kind.
+    /// Share of one kind of request.
     pub fn of(self, repeatable: bool) -> Share {
         if repeatable {
             self.repeatable
@@ -91,7 +95,7 @@
     }
 }
 
-/// Endpoints that a stage may use.
+/// Number of endpoints of each version that a stage may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Spread {
     /// Of the old version.
@@ -100,118 +104,128 @@
     pub new: u32,
 }
 
-/// What a service's traffic and endpoints were when its move was asked.
+/// Size of a service when its move was requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Scale {
     /// Endpoints of the old version.
     pub endpoints: u32,
-    /// Part of the requests that may be repeated.
+    /// Share of the requests that are idempotent.
     pub repeatable: Share,
 }
 
 /// Shares that the stages aim for.
-const AIMS: [Shares; LAST as usize + 1] = [
-    aim(FIRST, 0),
-    aim(SECOND, 0),
-    aim(THIRD, 0),
-    aim(HALF, FIRST),
-    aim(ONE, SECOND),
-    aim(ONE, THIRD),
-    aim(ONE, ONE),
+const TARGETS: [Shares; LAST as usize + 1] = [
+    target(FIRST_SHARE, 0),
+    target(SECOND_SHARE, 0),
+    target(THIRD_SHARE, 0),
+    target(HALF_SHARE, FIRST_SHARE),
+    target(ONE, SECOND_SHARE),
+    target(ONE, THIRD_SHARE),
+    target(ONE, ONE),
 ];
 
-const fn aim(repeatable: Share, once: Share) -> Shares {
+const fn target(repeatable: Share, once: Share) -> Shares {
     Shares { repeatable, once }
 }
 
-/// Most that a stage may take of the requests that may be repeated.
-const MOST: [Share; LAST as usize + 1] = [FIRST, MOST_SECOND, HALF, ONE, ONE, ONE, ONE];
+/// Largest share of the idempotent requests in each stage.
+const MAX_IDEMPOTENT_SHARES: [Share; LAST as usize + 1] = [
+    FIRST_SHARE,
+    MAX_SECOND_SHARE,
+    HALF_SHARE,
+    ONE,
+    ONE,
+    ONE,
+    ONE,
+];
 
 /// Shares of a stage.
 ///
-/// That of repeatable requests is moved from what the stage aims for until a
+/// The share of idempotent requests is shifted from the stage's target until a
 /// whole number of endpoints is loaded evenly.
 pub fn shares(stage: Stage, scale: Scale) -> Shares {
     let stage = stage.min(LAST);
-    let aim = aimed(stage, scale);
+    let target = capped_target(stage, scale);
     if stage == 0 || stage == LAST {
-        return aim;
+        return target;
     }
-    // Whole numbers can lie a little lower in a later stage; a share never falls.
-    let fits = (1..=stage).map(|stage| fitting(stage, scale));
+    // Rounding to whole endpoints can give a slightly lower share in a later stage;
+    // a share must never fall.
+    let fits = (1..=stage).map(|stage| fitted_share(stage, scale));
     Shares {
-        repeatable: fits.max().unwrap_or(aim.repeatable),
-        once: aim.once,
+        repeatable: fits.max().unwrap_or(target.repeatable),
+        once: target.once,
     }
 }
 
-fn aimed(stage: Stage, scale: Scale) -> Shares {
-    let full = ONE - kept(scale.endpoints);
-    let aim = AIMS[usize::from(stage)];
+fn capped_target(stage: Stage, scale: Scale) -> Shares {
+    let full = ONE - kept_share(scale.endpoints);
+    let target = TARGETS[usize::from(stage)];
     Shares {
-        repeatable: aim.repeatable.min(full),
-        once: aim.once.min(full),
+        repeatable: target.repeatable.min(full),
+        once: target.once.min(full),
     }
 }
 
-/// Share of repeatable requests of a stage.
-fn fitting(stage: Stage, scale: Scale) -> Share {
-    let full = ONE - kept(scale.endpoints);
-    fit(
-        aimed(stage, scale),
-        full.min(MOST[usize::from(stage)]),
+/// Share of idempotent requests that fits one stage, regardless of the stages
+/// before it.
+fn fitted_share(stage: Stage, scale: Scale) -> Share {
+    let full = ONE - kept_share(scale.endpoints);
+    fit_share(
+        capped_target(stage, scale),
+        full.min(MAX_IDEMPOTENT_SHARES[usize::from(stage)]),
         scale,
     )
 }
 
-/// Shares under suspicion in a stage.
+/// Shares of a stage under suspicion.
 ///
-/// They too load the endpoint of the new version that is left in use as heavily
-/// as the old ones: with less load a slow version looks as fast as the old one,
-/// is cleared, and is suspected again.
-pub fn cautious(stage: Stage, scale: Scale) -> Shares {
+/// They too load the endpoint of the new version that is left in use as heavily as
+/// the old ones: with less load, a slow version would look as fast as the old one,
+/// be cleared, and be suspected again.
+pub fn cautious_shares(stage: Stage, scale: Scale) -> Shares {
     let full = shares(stage, scale);
-    let once = full.once.min(CAUTIOUS_ONCE);
-    let repeatable = fit(aim(SECOND, once), MOST_SECOND, scale);
+    let once = full.once.min(CAUTIOUS_NON_IDEMPOTENT);
+    let repeatable = fit_share(target(SECOND_SHARE, once), MAX_SECOND_SHARE, scale);
     Shares {
         repeatable: repeatable.min(full.repeatable),
         once,
     }
 }
 
-/// Share of repeatable requests near an aim with which a whole number of
+/// Share of idempotent requests near a target with which a whole number of
 /// endpoints is loaded evenly.
-fn fit(aim: Shares, most: Share, scale: Scale) -> Share {
-    let other = part(aim.once, ONE - scale.repeatable);
-    let wholes = wholes(aim.total(scale.repeatable), scale.endpoints);
-    wholes
-        .map(|whole| kind(whole, other, scale.repeatable, aim.repeatable))
-        .find(|share| (FIRST..=most).contains(share))
+fn fit_share(target: Shares, most: Share, scale: Scale) -> Share {
+    let other = fraction_of(target.once, ONE - scale.repeatable);
+    let even_shares = even_shares(target.total(scale.repeatable), scale.endpoints);
+    even_shares
+        .map(|whole| kind_share(whole, other, scale.repeatable, target.repeatable))
+        .find(|share| (FIRST_SHARE..=most).contains(share))
         .unwrap_or(most)
 }
 
-/// Shares near `aim` that load a whole number of endpoints evenly: the nearest
+/// Shares near `target` that load a whole number of endpoints evenly: the nearest
 /// first, then smaller ones.
-fn wholes(aim: Share, endpoints: u32) -> impl Iterator<Item = Share> {
+fn even_shares(target: Share, endpoints: u32) -> impl Iterator<Item = Share> {
     let all = endpoints.max(1);
-    let few = aim.min(ONE - aim);
-    let k = count(few, all);
+    let few = target.min(ONE - target);
+    let k = endpoints_for(few, all);
     (0..2).map(move |more| {
-        if aim > HALF {
-            ONE - whole(k + more, all)
+        if target > HALF_SHARE {
+            ONE - even_share(k + more, all)
         } else {
-            whole(k.saturating_sub(more).max(1), all)
+            even_share(k.saturating_sub(more).max(1), all)
         }
     })
 }
 
-/// Share of `k` endpoints beside `all` others.
-fn whole(k: u32, all: u32) -> Share {
+/// Share that loads `k` endpoints as heavily as `all` others.
+fn even_share(k: u32, all: u32) -> Share {
     (u64::from(ONE) * u64::from(k) / u64::from(k + all)) as Share
 }
 
-/// Share of one kind with which all together get `whole`.
-fn kind(whole: Share, other: Share, weight: Share, without: Share) -> Share {
+/// Share of one kind of request with which all kinds together get `whole`.
+fn kind_share(whole: Share, other: Share, weight: Share, without: Share) -> Share {
     if weight == 0 {
         return without;
     }
@@ -219,39 +233,40 @@
     (rest * u64::from(ONE) / u64::from(weight)).min(u64::from(ONE)) as Share
 }
 
-fn part(share: Share, of: Share) -> Share {
+fn fraction_of(share: Share, of: Share) -> Share {
     (u64::from(share) * u64::from(of) / u64::from(ONE)) as Share
 }
 
-/// Endpoints to use so that old and new ones are loaded evenly, when `total` of
-/// all requests go to the new version.
+/// Numbers of endpoints with which old and new ones are loaded evenly, when the
+/// share `total` of all requests goes to the new version.
 pub fn spread(total: Share, endpoints: u32) -> Spread {
     let all = endpoints.max(1);
-    if total <= HALF {
-        let new = if total < HALF {
-            count(total, all)
+    if total <= HALF_SHARE {
+        let new = if total < HALF_SHARE {
+            endpoints_for(total, all)
         } else {
             u32::MAX
         };
         return Spread { old: all, new };
     }
     Spread {
-        old: count(ONE.saturating_sub(total), all).min(all),
+        old: endpoints_for(ONE.saturating_sub(total), all).min(all),
         new: u32::MAX,
     }
 }
 
 /// Share that old endpoints keep until the move is done.
-fn kept(endpoints: u32) -> Share {
+fn kept_share(endpoints: u32) -> Share {
     let all = endpoints.max(1);
-    whole(count(KEPT, all), all).min(MOST_SECOND)
+    even_share(endpoints_for(KEPT_SHARE, all), all).min(MAX_SECOND_SHARE)
 }
 
-/// Number of endpoints that `aim` loads as heavily as the `all` others; rounded
+/// Number of endpoints that `target` loads as heavily as the `all` others; rounded
 /// up where rounding down would overload them by more than an eighth.
-fn count(aim: Share, all: u32) -> u32 {
-    let exact = f64::from(aim) * f64::from(all) / f64::from((ONE - aim).max(1));
-    // A share that stands for a whole number lies a millionth below it.
+fn endpoints_for(target: Share, all: u32) -> u32 {
+    let exact = f64::from(target) * f64::from(all) / f64::from((ONE - target).max(1));
+    // A share computed for a whole number of endpoints lies up to a millionth below
+    // the exact one.
     let down = (exact + 0.01).floor();
     let count = if exact <= down * 1.125 {
         down
@@ -261,21 +276,21 @@
     (count as u32).max(1)
 }
 
-/// When a stage that begins `now` ends, for a move that finishes by `finish`.
+/// When a stage that begins at `now` ends, for a move that must finish by `finish`.
 ///
-/// What is left is divided among the stages that are left, so a move that lost
-/// time to an outage of the store shortens the rest evenly.
+/// The remaining time is divided among the remaining stages, so a move that lost
+/// time to an outage of the store shortens them all evenly.
 pub fn due(stage: Stage, now: WallMs, finish: WallMs) -> WallMs {
     let at = usize::from(stage.min(LAST));
-    let rest: u64 = WEIGHTS[at..].iter().sum();
+    let rest: u64 = STAGE_HUNDREDTHS[at..].iter().sum();
     let left = finish.saturating_sub(now);
-    let length = left * WEIGHTS[at] / (rest + SPARE);
+    let length = left * STAGE_HUNDREDTHS[at] / (rest + SPARE_HUNDREDTHS);
     let least = if stage >= LAST { LEAST_WATCH } else { LEAST };
     now + length.max(least.as_millis() as u64)
 }
 
-/// Least time in which a move can finish.
+/// Shortest time in which a move can finish.
 pub fn least_time() -> Duration {
     let stages = LEAST * u32::from(LAST) + LEAST_WATCH;
-    stages * 100 / (100 - SPARE as u32)
+    stages * 100 / (100 - SPARE_HUNDREDTHS as u32)
 }
--- a/lib/src/moves/status.rs
+++ b/lib/src/moves/status.rs
@@ -1,4 +1,4 @@
-//! What operators read about a move.
+//! Text for operators on the state of a move.
 
 use compact_str::{CompactString, format_compact};
 
@@ -6,7 +6,7 @@
 use crate::moves::share::Share;
 use crate::moves::stages::{LAST, Scale, Stage, shares};
 
-/// One sentence: where the move stands, and why if it ended.
+/// One sentence: the state of the move, and the reason if it ended.
 pub fn text(record: &Record) -> CompactString {
     let terms = record.terms();
     let head = format_compact!("{}: {} to {}", terms.service, terms.from, terms.to);
