--- a/daemon/src/core/views.rs
+++ b/daemon/src/core/views.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use actix::{Context, Handler, MessageResult};
-use poplarvale_lib::moves::ONE;
+use poplarvale_lib::moves::FULL_SHARE;
 use poplarvale_lib::moves::ask::Fleet;
 use poplarvale_lib::protos::operator::Status;
 use poplarvale_lib::{
@@ -67,9 +67,9 @@
         let first = |(version, count): &&(VersionId, u32)| (Some(version) == stated, *count);
         let (version, old) = others.max_by_key(first)?.clone();
         let repeatable = match row.kind {
-            ServiceKind::Model => ONE,
+            ServiceKind::Model => FULL_SHARE,
             // The controllers go by the mix that they see; this is where they start.
-            ServiceKind::Plain => ONE / 2,
+            ServiceKind::Plain => FULL_SHARE / 2,
         };
         Some(Fleet {
             version,
--- a/lib/benches/moves/cases.rs
+++ b/lib/benches/moves/cases.rs
@@ -1,6 +1,6 @@
 //! The moves that are played: good versions and bad ones of every kind.
 
-use poplarvale_lib::moves::ONE;
+use poplarvale_lib::moves::FULL_SHARE;
 use poplarvale_lib::moves::stages::Scale;
 
 use crate::{ENDPOINTS, REPEATS};
@@ -120,7 +120,7 @@
         let part: f64 = once.map(|route| route.part).sum();
         Scale {
             endpoints: ENDPOINTS,
-            repeatable: ((1.0 - part) * f64::from(ONE)) as u32,
+            repeatable: ((1.0 - part) * f64::from(FULL_SHARE)) as u32,
         }
     }
 
--- a/lib/benches/moves/play.rs
+++ b/lib/benches/moves/play.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use poplarvale_lib::moves::evidence::{Sample, VersionSide};
-use poplarvale_lib::moves::{ONE, Pick, Time};
+use poplarvale_lib::moves::{FULL_SHARE, Pick, Time};
 
 use crate::cases::{Case, Harm, Trouble, When};
 use crate::policy::{End, Policy, Score};
@@ -81,7 +81,7 @@
     pub(crate) fn request(&mut self, time: Time, part: f64, daemon: usize) {
         let at = self.route();
         let route = &self.case.routes()[at];
-        let draw = self.rng.u32(..ONE);
+        let draw = self.rng.u32(..FULL_SHARE);
         let is_new = self.policy.pick(daemon, time.now, route.repeatable, draw) == Pick::New;
         let side = usize::from(is_new);
         let many = self.policy.spread(daemon, time.now)[side];
--- a/lib/benches/moves/ramp.rs
+++ b/lib/benches/moves/ramp.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use poplarvale_lib::moves::evidence::{Sample, VersionSide};
-use poplarvale_lib::moves::stages::{LAST, Scale, due, shares};
+use poplarvale_lib::moves::stages::{LAST_STAGE, Scale, due, shares};
 use poplarvale_lib::moves::{Counter, Pick, Time};
 
 use crate::policy::{End, Policy, Score};
@@ -66,7 +66,7 @@
             return End::Back;
         }
         if time.wall >= self.due {
-            if self.stage >= LAST {
+            if self.stage >= LAST_STAGE {
                 return End::Done;
             }
             self.stage += 1;
--- a/lib/benches/moves/watched.rs
+++ b/lib/benches/moves/watched.rs
@@ -189,7 +189,7 @@
     }
 
     fn spread(&self, daemon: usize, now: Instant) -> [u32; 2] {
-        let spread = self.daemons[daemon].spread(now);
+        let spread = self.daemons[daemon].endpoint_counts(now);
         spread.map_or([ENDPOINTS; 2], |s| [s.old, s.new.min(ENDPOINTS)])
     }
 
--- a/lib/src/moves.rs
+++ b/lib/src/moves.rs
@@ -26,5 +26,5 @@
 pub use life::{
     Asked, Cancelled, Done, Move, MoveId, Open, Record, Staged, TakenBack, Terms, Watching,
 };
-pub use share::{Counter, ONE, Share};
-pub use stages::Spread;
+pub use share::{Counter, FULL_SHARE, Share};
+pub use stages::EndpointCounts;
--- a/lib/src/moves/ask.rs
+++ b/lib/src/moves/ask.rs
@@ -13,7 +13,7 @@
 use crate::lists::is_id;
 use crate::moves::life::{Move, MoveId, Record, Terms};
 use crate::moves::share::Share;
-use crate::moves::stages::{Scale, WallMs, least_time};
+use crate::moves::stages::{Scale, WallMs, min_move_time};
 
 /// Longest time a move may take, in milliseconds; a later finish-by time is more
 /// likely a typing error.
@@ -109,7 +109,7 @@
     if fleet.new == 0 {
         return bad(format_compact!("no endpoint runs {}", ask.to));
     }
-    let least = least_time().as_millis() as WallMs;
+    let least = min_move_time().as_millis() as WallMs;
     let left = ask.finish.saturating_sub(now);
     if left < least {
         return bad(format_compact!(
--- a/lib/src/moves/border.rs
+++ b/lib/src/moves/border.rs
@@ -7,8 +7,8 @@
 use crate::moves::life::{
     Asked, Cancelled, Done, Move, Record, Staged, TakenBack, Terms, Watching,
 };
-use crate::moves::share::ONE;
-use crate::moves::stages::{LAST, Scale};
+use crate::moves::share::FULL_SHARE;
+use crate::moves::stages::{LAST_STAGE, Scale};
 use crate::protos::moves::{VersionMove, version_move::State};
 
 /// Why a stored record is invalid.
@@ -21,7 +21,7 @@
     #[error("the move's state is {0}, which is not known")]
     State(i32),
     /// The stage is not known to this daemon.
-    #[error("the move's stage is {0}; the last one is {LAST}")]
+    #[error("the move's stage is {0}; the last one is {LAST_STAGE}")]
     Stage(u32),
 }
 
@@ -69,7 +69,7 @@
             to: stored.to.as_str().into(),
             scale: Scale {
                 endpoints: stored.endpoints,
-                repeatable: stored.repeatable.min(ONE),
+                repeatable: stored.repeatable.min(FULL_SHARE),
             },
             finish: stored.finish_ms,
         };
@@ -85,7 +85,7 @@
             State::Staged => {
                 let stage = u8::try_from(stored.stage)
                     .ok()
-                    .filter(|stage| *stage < LAST)
+                    .filter(|stage| *stage < LAST_STAGE)
                     .ok_or(RecordError::Stage(stored.stage))?;
                 Ok(Self::Staged(in_state(base, Staged { stage, due })))
             }
--- a/lib/src/moves/controller.rs
+++ b/lib/src/moves/controller.rs
@@ -19,8 +19,10 @@
 use crate::lease::{Beat, Lease, Permit, Pulse};
 use crate::moves::evidence::{Evidence, Row, Sample};
 use crate::moves::life::{MoveId, Record};
-use crate::moves::share::{Counter, ONE, Share};
-use crate::moves::stages::{Shares, Spread, WallMs, cautious_shares, shares, spread};
+use crate::moves::share::{Counter, FULL_SHARE, Share};
+use crate::moves::stages::{
+    EndpointCounts, Shares, WallMs, cautious_shares, endpoint_counts, shares,
+};
 use crate::moves::verdict::{Detector, Seen};
 
 /// How long an exchange keeps this daemon's state fresh: five gossip rounds of one
@@ -337,16 +339,16 @@
     /// Share of idempotent or non-idempotent requests that may go to the new
     /// version now.
     pub fn share(&self, now: Instant, repeatable: bool) -> Share {
-        self.shares(now).of(repeatable).min(ONE)
+        self.shares(now).of(repeatable).min(FULL_SHARE)
     }
 
     /// Number of endpoints of each version that may be used now.
-    pub fn spread(&self, now: Instant) -> Option<Spread> {
+    pub fn endpoint_counts(&self, now: Instant) -> Option<EndpointCounts> {
         let shares = self.shares(now);
         if shares == Shares::NONE {
             return None;
         }
-        self.spread_of(shares)
+        self.counts_for(shares)
     }
 
     /// Endpoints that the stage loads evenly; only their latencies are compared.
@@ -354,21 +356,21 @@
     /// Under suspicion a daemon uses more old endpoints than the stage does. The
     /// additional ones are idle and respond fast; if they counted, the new version
     /// would look slow and every suspicion would reinforce itself.
-    pub fn compared(&self) -> Option<Spread> {
+    pub fn compared(&self) -> Option<EndpointCounts> {
         let stored = self.stored.as_ref()?;
         let scale = stored.record.terms().scale;
-        self.spread_of(shares(stored.record.stage()?, scale))
+        self.counts_for(shares(stored.record.stage()?, scale))
     }
 
     /// Uses the recently measured share of idempotent requests where it differs
     /// from the recorded one: the traffic may have changed since the move was
     /// requested, and a few old endpoints must not be left with most of it.
-    fn spread_of(&self, shares: Shares) -> Option<Spread> {
+    fn counts_for(&self, shares: Shares) -> Option<EndpointCounts> {
         let scale = self.stored.as_ref()?.record.terms().scale;
         let measured = self.detector.repeatable();
         let other = measured.filter(|m| m.abs_diff(scale.repeatable) > MIX_TOLERANCE);
         let repeatable = other.unwrap_or(scale.repeatable);
-        Some(spread(shares.total(repeatable), scale.endpoints))
+        Some(endpoint_counts(shares.total(repeatable), scale.endpoints))
     }
 
     /// Whether any request may go to the new version now.
@@ -575,7 +577,7 @@
         let stage = stored.and_then(|s| Some((s.record.stage()?, s.record.terms().scale)));
         let shares = stage.map_or(Shares::NONE, |(stage, scale)| shares(stage, scale));
         let all = f64::from(seen.old) + f64::from(seen.new);
-        all * f64::from(shares.of(seen.repeatable)) / f64::from(ONE)
+        all * f64::from(shares.of(seen.repeatable)) / f64::from(FULL_SHARE)
     }
 }
 
--- a/lib/src/moves/share.rs
+++ b/lib/src/moves/share.rs
@@ -18,7 +18,7 @@
 pub type Share = u32;
 
 /// Share of all requests.
-pub const ONE: Share = 1_000_000;
+pub const FULL_SHARE: Share = 1_000_000;
 
 /// Counter of one daemon for one service.
 #[derive(Clone, Debug, Default)]
@@ -35,11 +35,11 @@
     /// `random` is uniform below [`FULL_SHARE`]; it sets the point of the next
     /// block.
     pub fn take(&mut self, share: Share, random: u32) -> bool {
-        self.position += share.min(ONE);
+        self.position += share.min(FULL_SHARE);
         self.cover_point();
-        if self.position >= ONE {
-            self.position -= ONE;
-            self.point = random % ONE;
+        if self.position >= FULL_SHARE {
+            self.position -= FULL_SHARE;
+            self.point = random % FULL_SHARE;
             self.covered = false;
             self.cover_point();
         }
--- a/lib/src/moves/stages.rs
+++ b/lib/src/moves/stages.rs
@@ -16,7 +16,7 @@
 
 use std::time::Duration;
 
-use crate::moves::share::{ONE, Share};
+use crate::moves::share::{FULL_SHARE, Share};
 
 /// Index of a stage, from 0 to [`LAST_STAGE`].
 pub type Stage = u8;
@@ -25,14 +25,14 @@
 pub type WallMs = u64;
 
 /// The stage at full share.
-pub const LAST: Stage = 6;
+pub const LAST_STAGE: Stage = 6;
 
 /// Shortest stage: the evidence of one gossip round (1 s), its transit time (up to
 /// 2 s) and one more round to see its effect.
-pub const LEAST: Duration = Duration::from_secs(5);
+pub const MIN_STAGE_TIME: Duration = Duration::from_secs(5);
 
 /// Shortest watch period at full share: two shortest stages.
-pub const LEAST_WATCH: Duration = Duration::from_secs(10);
+pub const MIN_WATCH_TIME: Duration = Duration::from_secs(10);
 
 /// Time kept free before the finish-by time, in hundredths. It covers a lease that
 /// lapses and is taken over by another daemon, and a suspicion that has to be
@@ -42,7 +42,7 @@
 /// Parts of the time that the stages get, in hundredths. The second and third are
 /// as long as any, as they are the first ones under load; the last one is the watch
 /// period.
-const STAGE_HUNDREDTHS: [u64; LAST as usize + 1] = [10, 15, 15, 15, 10, 10, 15];
+const STAGE_HUNDREDTHS: [u64; LAST_STAGE as usize + 1] = [10, 15, 15, 15, 10, 10, 15];
 
 /// Share of the first stage: one in a hundred, so that a version that fails every
 /// request fails few of them before 3 failures show.
@@ -82,7 +82,7 @@
     /// Share of all requests, when the share `idempotent` of them is idempotent.
     pub fn total(self, repeatable: Share) -> Share {
         fraction_of(self.repeatable, repeatable)
-            + fraction_of(self.once, ONE.saturating_sub(repeatable))
+            + fraction_of(self.once, FULL_SHARE.saturating_sub(repeatable))
     }
 
     /// Share of one kind of request.
@@ -97,7 +97,7 @@
 
 /// Number of endpoints of each version that a stage may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Spread {
+pub struct EndpointCounts {
     /// Of the old version.
     pub old: u32,
     /// Of the new version.
@@ -114,14 +114,14 @@
 }
 
 /// Shares that the stages aim for.
-const TARGETS: [Shares; LAST as usize + 1] = [
+const TARGETS: [Shares; LAST_STAGE as usize + 1] = [
     target(FIRST_SHARE, 0),
     target(SECOND_SHARE, 0),
     target(THIRD_SHARE, 0),
     target(HALF_SHARE, FIRST_SHARE),
-    target(ONE, SECOND_SHARE),
-    target(ONE, THIRD_SHARE),
-    target(ONE, ONE),
+    target(FULL_SHARE, SECOND_SHARE),
+    target(FULL_SHARE, THIRD_SHARE),
+    target(FULL_SHARE, FULL_SHARE),
 ];
 
 const fn target(repeatable: Share, once: Share) -> Shares {
@@ -129,14 +129,14 @@
 }
 
 /// Largest share of the idempotent requests in each stage.
-const MAX_IDEMPOTENT_SHARES: [Share; LAST as usize + 1] = [
+const MAX_IDEMPOTENT_SHARES: [Share; LAST_STAGE as usize + 1] = [
     FIRST_SHARE,
     MAX_SECOND_SHARE,
     HALF_SHARE,
-    ONE,
-    ONE,
-    ONE,
-    ONE,
+    FULL_SHARE,
+    FULL_SHARE,
+    FULL_SHARE,
+    FULL_SHARE,
 ];
 
 /// Shares of a stage.
@@ -144,9 +144,9 @@
 /// The share of idempotent requests is shifted from the stage's target until a
 /// whole number of endpoints is loaded evenly.
 pub fn shares(stage: Stage, scale: Scale) -> Shares {
-    let stage = stage.min(LAST);
+    let stage = stage.min(LAST_STAGE);
     let target = capped_target(stage, scale);
-    if stage == 0 || stage == LAST {
+    if stage == 0 || stage == LAST_STAGE {
         return target;
     }
     // Rounding to whole endpoints can give a slightly lower share in a later stage;
@@ -159,7 +159,7 @@
 }
 
 fn capped_target(stage: Stage, scale: Scale) -> Shares {
-    let full = ONE - kept_share(scale.endpoints);
+    let full = FULL_SHARE - kept_share(scale.endpoints);
     let target = TARGETS[usize::from(stage)];
     Shares {
         repeatable: target.repeatable.min(full),
@@ -170,7 +170,7 @@
 /// Share of idempotent requests that fits one stage, regardless of the stages
 /// before it.
 fn fitted_share(stage: Stage, scale: Scale) -> Share {
-    let full = ONE - kept_share(scale.endpoints);
+    let full = FULL_SHARE - kept_share(scale.endpoints);
     fit_share(
         capped_target(stage, scale),
         full.min(MAX_IDEMPOTENT_SHARES[usize::from(stage)]),
@@ -196,7 +196,7 @@
 /// Share of idempotent requests near a target with which a whole number of
 /// endpoints is loaded evenly.
 fn fit_share(target: Shares, most: Share, scale: Scale) -> Share {
-    let other = fraction_of(target.once, ONE - scale.repeatable);
+    let other = fraction_of(target.once, FULL_SHARE - scale.repeatable);
     let even_shares = even_shares(target.total(scale.repeatable), scale.endpoints);
     even_shares
         .map(|whole| kind_share(whole, other, scale.repeatable, target.repeatable))
@@ -208,11 +208,11 @@
 /// first, then smaller ones.
 fn even_shares(target: Share, endpoints: u32) -> impl Iterator<Item = Share> {
     let all = endpoints.max(1);
-    let few = target.min(ONE - target);
+    let few = target.min(FULL_SHARE - target);
     let k = endpoints_for(few, all);
     (0..2).map(move |more| {
         if target > HALF_SHARE {
-            ONE - even_share(k + more, all)
+            FULL_SHARE - even_share(k + more, all)
         } else {
             even_share(k.saturating_sub(more).max(1), all)
         }
@@ -221,7 +221,7 @@
 
 /// Share that loads `k` endpoints as heavily as `all` others.
 fn even_share(k: u32, all: u32) -> Share {
-    (u64::from(ONE) * u64::from(k) / u64::from(k + all)) as Share
+    (u64::from(FULL_SHARE) * u64::from(k) / u64::from(k + all)) as Share
 }
 
 /// Share of one kind of request with which all kinds together get `whole`.
@@ -230,16 +230,16 @@
         return without;
     }
     let rest = u64::from(whole.saturating_sub(other));
-    (rest * u64::from(ONE) / u64::from(weight)).min(u64::from(ONE)) as Share
+    (rest * u64::from(FULL_SHARE) / u64::from(weight)).min(u64::from(FULL_SHARE)) as Share
 }
 
 fn fraction_of(share: Share, of: Share) -> Share {
-    (u64::from(share) * u64::from(of) / u64::from(ONE)) as Share
+    (u64::from(share) * u64::from(of) / u64::from(FULL_SHARE)) as Share
 }
 
 /// Numbers of endpoints with which old and new ones are loaded evenly, when the
 /// share `total` of all requests goes to the new version.
-pub fn spread(total: Share, endpoints: u32) -> Spread {
+pub fn endpoint_counts(total: Share, endpoints: u32) -> EndpointCounts {
     let all = endpoints.max(1);
     if total <= HALF_SHARE {
         let new = if total < HALF_SHARE {
@@ -247,10 +247,10 @@
         } else {
             u32::MAX
         };
-        return Spread { old: all, new };
+        return EndpointCounts { old: all, new };
     }
-    Spread {
-        old: endpoints_for(ONE.saturating_sub(total), all).min(all),
+    EndpointCounts {
+        old: endpoints_for(FULL_SHARE.saturating_sub(total), all).min(all),
         new: u32::MAX,
     }
 }
@@ -264,7 +264,7 @@
 /// Number of endpoints that `target` loads as heavily as the `all` others; rounded
 /// up where rounding down would overload them by more than an eighth.
 fn endpoints_for(target: Share, all: u32) -> u32 {
-    let exact = f64::from(target) * f64::from(all) / f64::from((ONE - target).max(1));
+    let exact = f64::from(target) * f64::from(all) / f64::from((FULL_SHARE - target).max(1));
     // A share computed for a whole number of endpoints lies up to a millionth below
     // the exact one.
     let down = (exact + 0.01).floor();
@@ -281,16 +281,20 @@
 /// The remaining time is divided among the remaining stages, so a move that lost
 /// time to an outage of the store shortens them all evenly.
 pub fn due(stage: Stage, now: WallMs, finish: WallMs) -> WallMs {
-    let at = usize::from(stage.min(LAST));
+    let at = usize::from(stage.min(LAST_STAGE));
     let rest: u64 = STAGE_HUNDREDTHS[at..].iter().sum();
     let left = finish.saturating_sub(now);
     let length = left * STAGE_HUNDREDTHS[at] / (rest + SPARE_HUNDREDTHS);
-    let least = if stage >= LAST { LEAST_WATCH } else { LEAST };
+    let least = if stage >= LAST_STAGE {
+        MIN_WATCH_TIME
+    } else {
+        MIN_STAGE_TIME
+    };
     now + length.max(least.as_millis() as u64)
 }
 
 /// Shortest time in which a move can finish.
-pub fn least_time() -> Duration {
-    let stages = LEAST * u32::from(LAST) + LEAST_WATCH;
+pub fn min_move_time() -> Duration {
+    let stages = MIN_STAGE_TIME * u32::from(LAST_STAGE) + MIN_WATCH_TIME;
     stages * 100 / (100 - SPARE_HUNDREDTHS as u32)
 }
--- a/lib/src/moves/status.rs
+++ b/lib/src/moves/status.rs
@@ -4,7 +4,7 @@
 
 use crate::moves::life::Record;
 use crate::moves::share::Share;
-use crate::moves::stages::{LAST, Scale, Stage, shares};
+use crate::moves::stages::{LAST_STAGE, Scale, Stage, shares};
 
 /// One sentence: the state of the move, and the reason if it ended.
 pub fn text(record: &Record) -> CompactString {
@@ -17,7 +17,7 @@
             format_compact!(
                 "{head}: stage {} of {}, {}",
                 stage + 1,
-                LAST + 1,
+                LAST_STAGE + 1,
                 parts(stage, terms.scale)
             )
         }
--- a/lib/src/moves/verdict.rs
+++ b/lib/src/moves/verdict.rs
@@ -30,7 +30,7 @@
 use std::time::Instant;
 
 use crate::moves::evidence::{RouteDelta, RouteId};
-use crate::moves::share::{ONE, Share};
+use crate::moves::share::{FULL_SHARE, Share};
 use crate::moves::verdict::fault_test::{FaultTest, Pooled};
 pub use crate::moves::verdict::finding::{Fault, Finding};
 pub use crate::moves::verdict::limits::{BAD_LLR, SUSPECT_LLR};
@@ -154,7 +154,7 @@
         let whole: f64 = self.routes.iter().map(|tests| all(&tests)).sum();
         let repeatable = self.routes.iter().filter(|tests| tests.repeatable);
         let part: f64 = repeatable.map(|tests| all(&tests)).sum();
-        (whole >= MIN_MIX_REQUESTS).then(|| (part / whole * f64::from(ONE)) as Share)
+        (whole >= MIN_MIX_REQUESTS).then(|| (part / whole * f64::from(FULL_SHARE)) as Share)
     }
 
     /// Starts the counts of a new stage.
--- a/lib/src/systems/moving.rs
+++ b/lib/src/systems/moving.rs
@@ -11,7 +11,7 @@
 use crate::ids::{EndpointId, RequestId, ServiceId, VersionId};
 use crate::input::Outcome;
 use crate::moves::evidence::{Sample, VersionSide};
-use crate::moves::{Controller, Event, ONE, Outlook, Pick, Reach, Spread, Time};
+use crate::moves::{Controller, EndpointCounts, Event, FULL_SHARE, Outlook, Pick, Reach, Time};
 use crate::request::{Request, Running, Waiting};
 use crate::table::Row;
 use crate::world::World;
@@ -87,7 +87,7 @@
         let Some(controller) = world.moves.get_mut(&order.service) else {
             continue;
         };
-        let draw = world.rng.u32(..ONE);
+        let draw = world.rng.u32(..FULL_SHARE);
         if controller.version_for(now, order.repeatable, draw) == Pick::New {
             world.chosen.insert(Chosen { id: *id });
         }
@@ -166,7 +166,7 @@
                 ..Filter::default()
             };
         }
-        let among = controller.spread(now).map(|spread| {
+        let among = controller.endpoint_counts(now).map(|spread| {
             let mut among = open(self, now, &order.service, version);
             rank(&mut among, spread, new);
             among.sort();
@@ -219,7 +219,7 @@
 }
 
 /// Keeps those that the stage uses.
-fn rank(open: &mut Vec<EndpointId>, spread: Spread, new: bool) {
+fn rank(open: &mut Vec<EndpointId>, spread: EndpointCounts, new: bool) {
     let count = if new { spread.new } else { spread.old };
     open.sort_by_key(|id| xxhash_rust::xxh3::xxh3_64(id.as_bytes()));
     open.truncate(count as usize);
--- a/lib/tests/test_moves.rs
+++ b/lib/tests/test_moves.rs
@@ -5,8 +5,8 @@
 use poplarvale_lib::Code;
 use poplarvale_lib::lease::{Beat, Lease, MARGIN, Permit, Pulse, TICK};
 use poplarvale_lib::moves::ask::{Ask, Fleet, ask, cancel};
-use poplarvale_lib::moves::stages::{LAST, Scale, due, shares, spread};
-use poplarvale_lib::moves::{Counter, ONE, Record, status};
+use poplarvale_lib::moves::stages::{LAST_STAGE, Scale, due, endpoint_counts, shares};
+use poplarvale_lib::moves::{Counter, FULL_SHARE, Record, status};
 use proptest::prelude::*;
 
 const NOW: u64 = 1_000_000_000;
@@ -32,7 +32,7 @@
         version: "v1".into(),
         old: 10,
         new: 10,
-        repeatable: ONE / 10 * 9,
+        repeatable: FULL_SHARE / 10 * 9,
     }
 }
 
@@ -52,7 +52,7 @@
         now = next.due().unwrap_or(now);
         record = next;
     }
-    assert_eq!(stages, (0..=LAST).collect::<Vec<_>>());
+    assert_eq!(stages, (0..=LAST_STAGE).collect::<Vec<_>>());
     assert!(now < NOW + HOUR);
     let third = (0..3).try_fold(asked(), |record, _| record.step(permit(1), NOW));
     assert_eq!(
@@ -113,7 +113,13 @@
 }
 
 fn scales() -> impl Iterator<Item = Scale> {
-    let mixes = [ONE, ONE / 20 * 19, ONE / 2, ONE / 10, 0];
+    let mixes = [
+        FULL_SHARE,
+        FULL_SHARE / 20 * 19,
+        FULL_SHARE / 2,
+        FULL_SHARE / 10,
+        0,
+    ];
     (4..=400).flat_map(move |endpoints| {
         mixes.map(|repeatable| Scale {
             endpoints,
@@ -126,15 +132,16 @@
 /// over all new endpoints. Nobody notices before half of the callers meet it.
 #[test]
 fn stages_load_new_and_old_endpoints_alike() {
-    for scale in scales().filter(|scale| scale.repeatable > ONE / 4) {
+    for scale in scales().filter(|scale| scale.repeatable > FULL_SHARE / 4) {
         // In the second stage, small pools give up the equal load for the cap.
-        let few = f64::from(scale.endpoints) * f64::from(scale.repeatable) < 5.0 * f64::from(ONE);
-        for stage in if few { 2 } else { 1 }..=LAST {
+        let few =
+            f64::from(scale.endpoints) * f64::from(scale.repeatable) < 5.0 * f64::from(FULL_SHARE);
+        for stage in if few { 2 } else { 1 }..=LAST_STAGE {
             let total = shares(stage, scale).total(scale.repeatable);
-            let share = f64::from(total) / f64::from(ONE);
-            let spread = spread(total, scale.endpoints);
-            let new = share / f64::from(spread.new.min(scale.endpoints));
-            let old = (1.0 - share) / f64::from(spread.old);
+            let share = f64::from(total) / f64::from(FULL_SHARE);
+            let counts = endpoint_counts(total, scale.endpoints);
+            let new = share / f64::from(counts.new.min(scale.endpoints));
+            let old = (1.0 - share) / f64::from(counts.old);
             let ratio = new / old;
             assert!((0.8..1.2).contains(&ratio), "{stage} {scale:?} {ratio}");
         }
@@ -146,14 +153,14 @@
     for endpoints in 4..=400 {
         let scale = Scale {
             endpoints,
-            repeatable: ONE,
+            repeatable: FULL_SHARE,
         };
-        for stage in 1..=LAST {
+        for stage in 1..=LAST_STAGE {
             let total = shares(stage, scale).repeatable;
-            let share = f64::from(total) / f64::from(ONE);
-            let spread = spread(total, endpoints);
-            let new = share / f64::from(spread.new.min(endpoints));
-            let old = (1.0 - share) / f64::from(spread.old);
+            let share = f64::from(total) / f64::from(FULL_SHARE);
+            let counts = endpoint_counts(total, endpoints);
+            let new = share / f64::from(counts.new.min(endpoints));
+            let old = (1.0 - share) / f64::from(counts.old);
             let ratio = new / old;
             assert!((0.99..1.01).contains(&ratio), "{stage} {endpoints} {ratio}");
         }
@@ -164,13 +171,13 @@
 #[test]
 fn no_stage_overloads_the_few_endpoints() {
     for scale in scales() {
-        for stage in 1..=LAST {
+        for stage in 1..=LAST_STAGE {
             let total = shares(stage, scale).total(scale.repeatable);
-            let share = f64::from(total) / f64::from(ONE);
-            let spread = spread(total, scale.endpoints);
+            let share = f64::from(total) / f64::from(FULL_SHARE);
+            let counts = endpoint_counts(total, scale.endpoints);
             let fair = 1.0 / f64::from(scale.endpoints);
-            assert!(share / f64::from(spread.new.min(scale.endpoints)) < 1.2 * fair);
-            assert!((1.0 - share) / f64::from(spread.old) < 1.2 * fair);
+            assert!(share / f64::from(counts.new.min(scale.endpoints)) < 1.2 * fair);
+            assert!((1.0 - share) / f64::from(counts.old) < 1.2 * fair);
         }
     }
 }
@@ -178,7 +185,7 @@
 #[test]
 fn shares_only_grow_and_the_non_repeatable_come_last() {
     for scale in scales() {
-        for stage in 0..LAST {
+        for stage in 0..LAST_STAGE {
             let (one, next) = (shares(stage, scale), shares(stage + 1, scale));
             assert!(one.repeatable <= next.repeatable, "{stage} {scale:?}");
             assert!(one.once <= next.once && one.once <= one.repeatable);
@@ -191,7 +198,7 @@
 fn a_move_that_lost_time_still_ends_in_time() {
     let finish = NOW + HOUR;
     let mut now = NOW + HOUR / 2;
-    for stage in 1..=LAST {
+    for stage in 1..=LAST_STAGE {
         now = due(stage, now, finish);
     }
     assert!(now < finish);
@@ -226,7 +233,7 @@
     /// only on average. With a version that fails everything, callers notice.
     #[test]
     fn no_window_of_requests_passes_the_share(
-        steps in prop::collection::vec((0..=ONE, 1_usize..400), 1..6),
+        steps in prop::collection::vec((0..=FULL_SHARE, 1_usize..400), 1..6),
         seed: u64,
     ) {
         let mut rng = fastrand::Rng::with_seed(seed);
@@ -235,24 +242,24 @@
         let mut sums = vec![(0_u64, 0_u64)];
         for (share, count) in steps {
             for _ in 0..count {
-                let went = counter.take(share, rng.u32(..ONE));
+                let went = counter.take(share, rng.u32(..FULL_SHARE));
                 let last = sums[sums.len() - 1];
                 sums.push((last.0 + u64::from(share), last.1 + u64::from(went)));
             }
         }
         for (at, from) in sums.iter().enumerate() {
             for to in &sums[at..] {
-                let most = (to.0 - from.0).div_ceil(u64::from(ONE)) + 1;
+                let most = (to.0 - from.0).div_ceil(u64::from(FULL_SHARE)) + 1;
                 prop_assert!(to.1 - from.1 <= most);
             }
         }
     }
 
     #[test]
-    fn a_long_run_gets_its_share(share in 0..=ONE, seed: u64) {
+    fn a_long_run_gets_its_share(share in 0..=FULL_SHARE, seed: u64) {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut counter = Counter::default();
-        let went = (0..1000).filter(|_| counter.take(share, rng.u32(..ONE))).count();
+        let went = (0..1000).filter(|_| counter.take(share, rng.u32(..FULL_SHARE))).count();
         let due = share as usize / 1000;
         prop_assert!(went.abs_diff(due) <= 2, "{went} of {due}");
     }
@@ -263,7 +270,9 @@
 
     use std::time::{Duration, Instant};
 
-    use poplarvale_lib::moves::{Bad, Event, ONE, Reach, Record, Source, Stored, Watch, stages};
+    use poplarvale_lib::moves::{
+        Bad, Event, FULL_SHARE, Reach, Record, Source, Stored, Watch, stages,
+    };
     use poplarvale_lib::{
         Accepted, Code, Command, Customer, Endpoint, Input, Known, Lists, Order, Outcome, Plan,
         Send, Setup, Waiting, World,
@@ -429,7 +438,7 @@
         let mut bench = Bench::new(staged(4));
         let went = (0..200).filter(|_| bench.request(200)).count();
         let share = stages::shares(3, staged(4).terms().scale).repeatable;
-        let most = (share as usize * 200).div_ceil(ONE as usize) + 1;
+        let most = (share as usize * 200).div_ceil(FULL_SHARE as usize) + 1;
         assert!((most - 4..=most).contains(&went), "{went} of {most}");
     }
 
--- a/lib/tests/test_moves_faults.rs
+++ b/lib/tests/test_moves_faults.rs
@@ -6,9 +6,9 @@
 use poplarvale_lib::lease::{Lease, MARGIN};
 use poplarvale_lib::moves::ask::{Ask, Fleet, ask, cancel};
 use poplarvale_lib::moves::evidence::{Row, Sample, VersionSide};
-use poplarvale_lib::moves::stages::{LEAST, Scale, shares};
+use poplarvale_lib::moves::stages::{MIN_STAGE_TIME, Scale, shares};
 use poplarvale_lib::moves::{
-    Action, Bad, Controller, ONE, Outlook, Pick, Reach, Record, Source, Stored, Time,
+    Action, Bad, Controller, FULL_SHARE, Outlook, Pick, Reach, Record, Source, Stored, Time,
 };
 use proptest::prelude::*;
 
@@ -19,7 +19,7 @@
 const ID: u128 = 7;
 const SCALE: Scale = Scale {
     endpoints: 10,
-    repeatable: ONE,
+    repeatable: FULL_SHARE,
 };
 
 #[derive(Clone, Copy, Debug)]
@@ -134,7 +134,7 @@
             version: "v1".into(),
             old: 10,
             new: 10,
-            repeatable: ONE,
+            repeatable: FULL_SHARE,
         };
         let record = ask(None, &wish, &fleet, WALL).expect("it can be done");
         Self {
@@ -260,7 +260,7 @@
         let goes_on = write.record.stage() > old.stage() && old.stage().is_some();
         if goes_on {
             let before = self.stepped.map(|at| self.now - at);
-            let slow = before.is_none_or(|before| before + 2 * MARGIN >= LEAST);
+            let slow = before.is_none_or(|before| before + 2 * MARGIN >= MIN_STAGE_TIME);
             assert!(slow, "two steps {before:?} apart");
         }
         if write.record.stage() != old.stage() {
@@ -368,7 +368,7 @@
     }
 
     fn request(&mut self, d: usize) {
-        let draw = self.rng.u32(..ONE);
+        let draw = self.rng.u32(..FULL_SHARE);
         let daemon = &mut self.daemons[d];
         daemon.convicted |= daemon.controller.verdict().is_some();
         let record = daemon.controller.stored().map(|s| s.record.clone());
@@ -383,7 +383,7 @@
         }
         daemon.promised += stage.map_or(0, |s| u64::from(shares(s, SCALE).repeatable));
         daemon.went += u64::from(pick == Pick::New);
-        let most = daemon.promised.div_ceil(u64::from(ONE)) + 1;
+        let most = daemon.promised.div_ceil(u64::from(FULL_SHARE)) + 1;
         assert!(daemon.went <= most, "more than the share");
         let which = if pick == Pick::New {
             VersionSide::New
