--- a/daemon/src/moves.rs
+++ b/daemon/src/moves.rs
@@ -17,7 +17,7 @@
 };
 use poplarvale_lib::gossip::{Change, Key, Kind, Peer};
 use poplarvale_lib::moves::evidence::Row;
-use poplarvale_lib::moves::{Action, Bad, Event, Reach, Record, Source, Stored, Watch};
+use poplarvale_lib::moves::{Action, Event, Reach, Record, Source, Stored, Verdict, Watch};
 use poplarvale_lib::protos::moves::{BadVersion, EvidenceRow, NewsRow, RecordRow, VersionMove};
 use poplarvale_lib::store::{Condition, Failure, Held, Put as StorePut, Snapshot, Store as _};
 use poplarvale_lib::store::{Write, Written};
@@ -167,7 +167,7 @@
             }
         }
         for (service, _) in &self.records {
-            self.tell(service, Event::Heard(Source::Store));
+            self.tell(service, Event::Exchanged(Source::Store));
         }
     }
 
@@ -321,12 +321,12 @@
             }
         } else if key.kind == kinds::NEWS.number {
             let fresh = NewsRow::decode(value)?.fresh;
-            self.tell(&key.name, Event::Heard(Source::Peer { fresh }));
+            self.tell(&key.name, Event::Exchanged(Source::Peer { fresh }));
         } else if key.kind == Kind::VERDICT.number {
             let row = BadVersion::decode(value)?;
             if let (Some(id), Some(service)) = (from_hex(&row.r#move), service(&key.name)) {
                 let reason = row.reason.into();
-                self.tell(&service, Event::Bad(Bad { id, reason }));
+                self.tell(&service, Event::Verdict(Verdict { id, reason }));
             }
         } else if key.kind == Kind::EVIDENCE.number {
             let row = EvidenceRow::decode(value)?;
--- a/daemon/src/moves/ask.rs
+++ b/daemon/src/moves/ask.rs
@@ -186,7 +186,7 @@
         Record::Staged(_) => "staged",
         Record::Watching(_) => "watching",
         Record::Done(_) => "done",
-        Record::TakenBack(_) => "taken_back",
+        Record::RolledBack(_) => "taken_back",
         Record::Cancelled(_) => "cancelled",
     };
     MoveState {
--- a/lib/benches/moves/watched.rs
+++ b/lib/benches/moves/watched.rs
@@ -7,7 +7,7 @@
 use poplarvale_lib::moves::ask::{Ask, Fleet, ask};
 use poplarvale_lib::moves::evidence::{Row, Sample};
 use poplarvale_lib::moves::{
-    Action, Bad, Controller, Outlook, Pick, Reach, Record, Source, Stored, Time,
+    Action, Controller, Pick, Reach, Record, Source, Stored, TickInputs, Time, Verdict,
 };
 use prost::Message as _;
 
@@ -17,7 +17,7 @@
 
 pub(crate) enum Parcel {
     Row(Box<Row>),
-    Bad(Bad),
+    Verdict(Verdict),
     Record(Box<Stored>),
 }
 
@@ -90,8 +90,8 @@
         for (to, parcel) in arrived {
             match parcel {
                 Parcel::Row(row) => self.daemons[to].merge(*row),
-                Parcel::Bad(bad) => self.daemons[to].convict(bad),
-                Parcel::Record(stored) => self.daemons[to].adopt(time, *stored),
+                Parcel::Verdict(bad) => self.daemons[to].add_verdict(bad),
+                Parcel::Record(stored) => self.daemons[to].apply_record(time, *stored),
             }
         }
     }
@@ -100,7 +100,7 @@
         let lost = self.case.trouble == Trouble::Holder && self.part(now) > 0.45;
         if lost && self.holder == 0 {
             let lapse = *self.lapse.get_or_insert(now + Duration::from_secs(10));
-            self.daemons[0].hold(None);
+            self.daemons[0].set_lease(None);
             if now < lapse {
                 return;
             }
@@ -112,7 +112,7 @@
             fence: self.fence,
             deadline: now + Duration::from_secs(5),
         };
-        self.daemons[self.holder].hold((!out).then_some(lease));
+        self.daemons[self.holder].set_lease((!out).then_some(lease));
     }
 
     pub(crate) fn act(&mut self, d: usize, action: Action, score: &mut Score) {
@@ -131,7 +131,7 @@
                     });
                 }
             }
-            Action::Push(bad) => self.share(Some(d), PUSH_STEPS, || Parcel::Bad(bad.clone())),
+            Action::Push(bad) => self.share(Some(d), PUSH_STEPS, || Parcel::Verdict(bad.clone())),
             Action::Publish(rows) => {
                 for row in rows {
                     let bytes = row.to_wire().encoded_len() as u64;
@@ -161,24 +161,24 @@
             live: DAEMONS as u32,
             heard: DAEMONS as u32,
         };
-        let outlook = Outlook {
+        let inputs = TickInputs {
             time,
             reach,
             ready: true,
         };
         for d in 0..DAEMONS {
-            let actions = self.daemons[d].tick(outlook);
+            let actions = self.daemons[d].tick(inputs);
             for action in actions {
                 self.act(d, action, score);
             }
             if self.ticks.is_multiple_of(20) {
-                self.daemons[d].heard(time.now, Source::Peer { fresh: true }, reach);
+                self.daemons[d].note_exchange(time.now, Source::Peer { fresh: true }, reach);
             }
         }
         self.ticks += 1;
         match &self.store.record {
             Record::Done(_) => End::Done,
-            Record::TakenBack(back) => {
+            Record::RolledBack(back) => {
                 score.reason.clone_from(&back.state.reason);
                 End::Back
             }
--- a/lib/src/moves.rs
+++ b/lib/src/moves.rs
@@ -7,24 +7,24 @@
 //! `docs/design/moves.md` gives the reasons and the figures.
 
 pub mod ask;
-mod border;
+mod codec;
 mod controller;
 pub mod evidence;
 pub mod histogram;
-mod life;
+mod lifecycle;
 mod share;
 pub mod stages;
 pub mod status;
 pub mod verdict;
 
 pub use crate::systems::moving::{Chosen, Filter, Watch};
-pub use border::RecordError;
+pub use codec::RecordError;
 pub use controller::{
-    Action, Bad, Controller, Event, FRESHNESS_TTL, HoldReason, Outlook, PUBLISH_INTERVAL, Pick,
-    Reach, Source, Stored, Time,
+    Action, Controller, Event, FRESHNESS_TTL, HoldReason, PUBLISH_INTERVAL, Pick, Reach, Source,
+    Stored, TickInputs, Time, Verdict,
 };
-pub use life::{
-    Asked, Cancelled, Done, Move, MoveId, Open, Record, Staged, TakenBack, Terms, Watching,
+pub use lifecycle::{
+    Asked, Cancelled, Done, Move, MoveId, Open, Record, RolledBack, Staged, Terms, Watching,
 };
 pub use share::{Counter, FULL_SHARE, Share};
 pub use stages::EndpointCounts;
--- a/lib/src/moves/ask.rs
+++ b/lib/src/moves/ask.rs
@@ -11,7 +11,7 @@
 use crate::code::Code;
 use crate::ids::{ServiceId, VersionId};
 use crate::lists::is_id;
-use crate::moves::life::{Move, MoveId, Record, Terms};
+use crate::moves::lifecycle::{Move, MoveId, Record, Terms};
 use crate::moves::share::Share;
 use crate::moves::stages::{Scale, WallMs, min_move_time};
 
--- a/lib/src/moves/border.rs
+++ b/lib/src/moves/codec.rs
@@ -4,8 +4,8 @@
 use compact_str::CompactString;
 
 use crate::ids::{from_hex, hex};
-use crate::moves::life::{
-    Asked, Cancelled, Done, Move, Record, Staged, TakenBack, Terms, Watching,
+use crate::moves::lifecycle::{
+    Asked, Cancelled, Done, Move, Record, RolledBack, Staged, Terms, Watching,
 };
 use crate::moves::share::FULL_SHARE;
 use crate::moves::stages::{LAST_STAGE, Scale};
@@ -34,7 +34,7 @@
             Self::Staged(_) => (State::Staged, ""),
             Self::Watching(_) => (State::Watching, ""),
             Self::Done(_) => (State::Done, ""),
-            Self::TakenBack(m) => (State::TakenBack, m.state.reason.as_str()),
+            Self::RolledBack(m) => (State::TakenBack, m.state.reason.as_str()),
             Self::Cancelled(m) => (State::Cancelled, m.state.reason.as_str()),
         };
         let due = match self {
@@ -91,7 +91,7 @@
             }
             State::Watching => Ok(Self::Watching(in_state(base, Watching { due }))),
             State::Done => Ok(Self::Done(in_state(base, Done { at: due }))),
-            State::TakenBack => Ok(Self::TakenBack(in_state(base, TakenBack { reason }))),
+            State::TakenBack => Ok(Self::RolledBack(in_state(base, RolledBack { reason }))),
             State::Cancelled => Ok(Self::Cancelled(in_state(base, Cancelled { reason }))),
             State::None => Err(RecordError::State(stored.state)),
         }
--- a/lib/src/moves/controller.rs
+++ b/lib/src/moves/controller.rs
@@ -18,7 +18,7 @@
 use crate::ids::{Incarnation, Revision, ServiceId, VersionId};
 use crate::lease::{Beat, Lease, Permit, Pulse};
 use crate::moves::evidence::{Evidence, Row, Sample};
-use crate::moves::life::{MoveId, Record};
+use crate::moves::lifecycle::{MoveId, Record};
 use crate::moves::share::{Counter, FULL_SHARE, Share};
 use crate::moves::stages::{
     EndpointCounts, Shares, WallMs, cautious_shares, endpoint_counts, shares,
@@ -62,7 +62,7 @@
 
 /// A verdict that the new version is bad; never withdrawn.
 #[proc_macros::row]
-pub struct Bad {
+pub struct Verdict {
     /// Move that it ends.
     pub id: MoveId,
     /// Evidence, as a sentence for operators.
@@ -115,7 +115,7 @@
 
 /// Inputs of a tick.
 #[derive(Clone, Copy, Debug)]
-pub struct Outlook {
+pub struct TickInputs {
     /// Current time.
     pub time: Time,
     /// Connectivity to the live daemons.
@@ -130,11 +130,11 @@
     /// Record from the store or a peer.
     Record(Stored),
     /// Rows and record were exchanged with a source.
-    Heard(Source),
+    Exchanged(Source),
     /// Evidence row of a peer.
     Row(Box<Row>),
     /// Verdict of a peer.
-    Bad(Bad),
+    Verdict(Verdict),
     /// The lease was granted, renewed or lost.
     Lease(Option<Lease>),
 }
@@ -152,7 +152,7 @@
         until: Instant,
     },
     /// Push a verdict to every peer immediately.
-    Push(Bad),
+    Push(Verdict),
     /// Share own evidence rows in the next gossip round.
     Publish(Vec<Row>),
 }
@@ -200,7 +200,7 @@
     /// When the move must be finished.
     finish: Option<Instant>,
     /// Sorted by move id.
-    verdicts: Vec<Bad>,
+    verdicts: Vec<Verdict>,
     fresh_until: Option<Instant>,
     lease: Option<Lease>,
     pulse: Pulse,
@@ -239,7 +239,7 @@
     }
 
     /// Known verdicts, for the rows that daemons exchange.
-    pub fn verdicts(&self) -> &[Bad] {
+    pub fn verdicts(&self) -> &[Verdict] {
         &self.verdicts
     }
 
@@ -250,7 +250,7 @@
 
     /// Applies a record from the store or a peer. Only a higher revision counts, so
     /// that a late response can't restore an older record.
-    pub fn adopt(&mut self, time: Time, stored: Stored) {
+    pub fn apply_record(&mut self, time: Time, stored: Stored) {
         let known = self.stored.as_ref();
         if known.is_some_and(|known| known.revision >= stored.revision) {
             return;
@@ -277,7 +277,7 @@
     /// can know a verdict that has not reached the store yet. After all daemons
     /// have restarted none is fresh; then the store together with connectivity to
     /// most daemons is enough.
-    pub fn heard(&mut self, now: Instant, source: Source, reach: Reach) {
+    pub fn note_exchange(&mut self, now: Instant, source: Source, reach: Reach) {
         let proof = match source {
             Source::Peer { fresh } => fresh,
             Source::Store => reach.has_majority(),
@@ -288,7 +288,7 @@
     }
 
     /// Adds a verdict, received from a peer or reached by this daemon.
-    pub fn convict(&mut self, verdict: Bad) {
+    pub fn add_verdict(&mut self, verdict: Verdict) {
         if let Err(at) = self.verdicts.binary_search_by_key(&verdict.id, |v| v.id) {
             self.verdicts.insert(at, verdict);
         }
@@ -302,7 +302,7 @@
     }
 
     /// Sets the lease after it was granted, renewed or lost.
-    pub fn hold(&mut self, lease: Option<Lease>) {
+    pub fn set_lease(&mut self, lease: Option<Lease>) {
         self.lease = lease;
     }
 
@@ -396,7 +396,7 @@
     }
 
     /// Verdict on the current move.
-    pub fn verdict(&self) -> Option<&Bad> {
+    pub fn verdict(&self) -> Option<&Verdict> {
         let id = self.move_id()?;
         let at = self
             .verdicts
@@ -406,8 +406,8 @@
     }
 
     /// Evaluates the evidence and decides what to do.
-    pub fn tick(&mut self, outlook: Outlook) -> Vec<Action> {
-        let now = outlook.time.now;
+    pub fn tick(&mut self, inputs: TickInputs) -> Vec<Action> {
+        let now = inputs.time.now;
         if self.pulse.beat(now) == Beat::Paused {
             self.fresh_until = None;
             self.lease = None;
@@ -415,7 +415,7 @@
         let mut actions = Vec::new();
         self.evaluate(now, &mut actions);
         self.publish(now, &mut actions);
-        if let Some((record, permit)) = self.next_write(outlook) {
+        if let Some((record, permit)) = self.next_write(inputs) {
             self.write_until = Some(now + WRITE_TIMEOUT);
             let revision = self.stored.as_ref().map_or(0, |s| s.revision);
             let until = permit.until();
@@ -429,8 +429,8 @@
     }
 
     /// Why the move doesn't advance; none if it can.
-    pub fn hold_reason(&self, outlook: Outlook) -> Option<HoldReason> {
-        let now = outlook.time.now;
+    pub fn hold_reason(&self, inputs: TickInputs) -> Option<HoldReason> {
+        let now = inputs.time.now;
         if self.due.is_some_and(|due| now < due) {
             return Some(HoldReason::Time);
         }
@@ -443,10 +443,10 @@
         if !self.is_fresh(now) {
             return Some(HoldReason::Stale);
         }
-        if !outlook.reach.has_majority() {
+        if !inputs.reach.has_majority() {
             return Some(HoldReason::Partitioned);
         }
-        if !outlook.ready {
+        if !inputs.ready {
             return Some(HoldReason::Endpoints);
         }
         if self.detector.suspects() {
@@ -488,8 +488,8 @@
         let (Some(reason), Some(id), None) = (reason, self.move_id(), self.verdict()) else {
             return;
         };
-        let verdict = Bad { id, reason };
-        self.convict(verdict.clone());
+        let verdict = Verdict { id, reason };
+        self.add_verdict(verdict.clone());
         actions.push(Action::Push(verdict));
     }
 
@@ -537,24 +537,24 @@
         self.lease.as_ref()?.permit(now)
     }
 
-    fn next_write(&self, outlook: Outlook) -> Option<(Record, Permit)> {
-        let Time { now, wall } = outlook.time;
+    fn next_write(&self, inputs: TickInputs) -> Option<(Record, Permit)> {
+        let Time { now, wall } = inputs.time;
         let permit = self.permit(now)?;
         let record = &self.stored.as_ref()?.record;
         if self.write_until.is_some_and(|until| now < until) || record.fence() > permit.fence() {
             return None;
         }
         if let Some(verdict) = self.verdict() {
-            let back = record.clone().take_back(verdict.reason.clone())?;
+            let back = record.clone().roll_back(verdict.reason.clone())?;
             return Some((back, permit));
         }
         // The fencing token of a new lease is written to the record before the
         // first step, so that pending writes of the former holder meet a changed
         // revision.
         if record.fence() < permit.fence() {
-            return Some((record.clone().adopt(permit)?, permit));
+            return Some((record.clone().with_fence(permit)?, permit));
         }
-        if self.hold_reason(outlook).is_some() {
+        if self.hold_reason(inputs).is_some() {
             return None;
         }
         Some((record.clone().step(permit, wall)?, permit))
--- a/lib/src/moves/evidence.rs
+++ b/lib/src/moves/evidence.rs
@@ -13,7 +13,7 @@
 
 use crate::ids::{Incarnation, from_hex, hex};
 use crate::moves::histogram::{BUCKETS, Histogram};
-use crate::moves::life::MoveId;
+use crate::moves::lifecycle::MoveId;
 use crate::protos::moves::{EvidenceRow, evidence_row};
 
 /// Route of a service, or the model.
--- a/lib/src/moves/life.rs
+++ b/lib/src/moves/lifecycle.rs
@@ -73,7 +73,7 @@
 
 /// Ended by a verdict: the old version gets all requests.
 #[proc_macros::row]
-pub struct TakenBack {
+pub struct RolledBack {
     /// Evidence, as a sentence for operators.
     pub reason: CompactString,
 }
@@ -86,7 +86,7 @@
 }
 
 impl<S> Move<S> {
-    fn to<T>(self, fence: Fence, state: T) -> Move<T> {
+    fn with_state<T>(self, fence: Fence, state: T) -> Move<T> {
         Move {
             terms: self.terms,
             fence,
@@ -114,7 +114,7 @@
     /// Starts the first stage.
     pub fn start(self, permit: Permit, now: WallMs) -> Move<Staged> {
         let due = stages::due(0, now, self.terms.finish);
-        self.to(permit.fence(), Staged { stage: 0, due })
+        self.with_state(permit.fence(), Staged { stage: 0, due })
     }
 }
 
@@ -124,9 +124,9 @@
         let stage = self.state.stage + 1;
         let due = stages::due(stage, now, self.terms.finish);
         if stage >= LAST_STAGE {
-            Record::Watching(self.to(permit.fence(), Watching { due }))
+            Record::Watching(self.with_state(permit.fence(), Watching { due }))
         } else {
-            Record::Staged(self.to(permit.fence(), Staged { stage, due }))
+            Record::Staged(self.with_state(permit.fence(), Staged { stage, due }))
         }
     }
 }
@@ -134,7 +134,7 @@
 impl Move<Watching> {
     /// Finishes the move.
     pub fn finish(self, permit: Permit, now: WallMs) -> Move<Done> {
-        self.to(permit.fence(), Done { at: now })
+        self.with_state(permit.fence(), Done { at: now })
     }
 }
 
@@ -145,7 +145,7 @@
     /// A pending write of the former holder then meets a changed revision and a
     /// higher token, and changes nothing.
     #[must_use]
-    pub fn adopt(self, permit: Permit) -> Self {
+    pub fn with_fence(self, permit: Permit) -> Self {
         Self {
             fence: permit.fence(),
             ..self
@@ -153,15 +153,15 @@
     }
 
     /// Ends the move because the new version is bad.
-    pub fn take_back(self, reason: CompactString) -> Move<TakenBack> {
+    pub fn roll_back(self, reason: CompactString) -> Move<RolledBack> {
         let fence = self.fence;
-        self.to(fence, TakenBack { reason })
+        self.with_state(fence, RolledBack { reason })
     }
 
     /// Ends the move on an operator's request.
     pub fn cancel(self, reason: CompactString) -> Move<Cancelled> {
         let fence = self.fence;
-        self.to(fence, Cancelled { reason })
+        self.with_state(fence, Cancelled { reason })
     }
 }
 
@@ -177,7 +177,7 @@
     /// Finished.
     Done(Move<Done>),
     /// Rolled back.
-    TakenBack(Move<TakenBack>),
+    RolledBack(Move<RolledBack>),
     /// Cancelled.
     Cancelled(Move<Cancelled>),
 }
@@ -190,7 +190,7 @@
             Self::Staged(m) => &m.terms,
             Self::Watching(m) => &m.terms,
             Self::Done(m) => &m.terms,
-            Self::TakenBack(m) => &m.terms,
+            Self::RolledBack(m) => &m.terms,
             Self::Cancelled(m) => &m.terms,
         }
     }
@@ -202,7 +202,7 @@
             Self::Staged(m) => m.fence,
             Self::Watching(m) => m.fence,
             Self::Done(m) => m.fence,
-            Self::TakenBack(m) => m.fence,
+            Self::RolledBack(m) => m.fence,
             Self::Cancelled(m) => m.fence,
         }
     }
@@ -211,7 +211,7 @@
     pub fn ended(&self) -> bool {
         matches!(
             self,
-            Self::Done(_) | Self::TakenBack(_) | Self::Cancelled(_)
+            Self::Done(_) | Self::RolledBack(_) | Self::Cancelled(_)
         )
     }
 
@@ -220,7 +220,7 @@
         match self {
             Self::Staged(m) => Some(m.state.stage),
             Self::Watching(_) => Some(LAST_STAGE),
-            Self::Asked(_) | Self::Done(_) | Self::TakenBack(_) | Self::Cancelled(_) => None,
+            Self::Asked(_) | Self::Done(_) | Self::RolledBack(_) | Self::Cancelled(_) => None,
         }
     }
 
@@ -229,7 +229,7 @@
         match self {
             Self::Staged(m) => Some(m.state.due),
             Self::Watching(m) => Some(m.state.due),
-            Self::Asked(_) | Self::Done(_) | Self::TakenBack(_) | Self::Cancelled(_) => None,
+            Self::Asked(_) | Self::Done(_) | Self::RolledBack(_) | Self::Cancelled(_) => None,
         }
     }
 
@@ -239,28 +239,28 @@
             Self::Asked(m) => Some(Self::Staged(m.start(permit, now))),
             Self::Staged(m) => Some(m.advance(permit, now)),
             Self::Watching(m) => Some(Self::Done(m.finish(permit, now))),
-            Self::Done(_) | Self::TakenBack(_) | Self::Cancelled(_) => None,
+            Self::Done(_) | Self::RolledBack(_) | Self::Cancelled(_) => None,
         }
     }
 
     /// The same record under the fencing token of a new lease; none if the move has
     /// ended.
-    pub fn adopt(self, permit: Permit) -> Option<Self> {
+    pub fn with_fence(self, permit: Permit) -> Option<Self> {
         match self {
-            Self::Asked(m) => Some(Self::Asked(m.adopt(permit))),
-            Self::Staged(m) => Some(Self::Staged(m.adopt(permit))),
-            Self::Watching(m) => Some(Self::Watching(m.adopt(permit))),
-            Self::Done(_) | Self::TakenBack(_) | Self::Cancelled(_) => None,
+            Self::Asked(m) => Some(Self::Asked(m.with_fence(permit))),
+            Self::Staged(m) => Some(Self::Staged(m.with_fence(permit))),
+            Self::Watching(m) => Some(Self::Watching(m.with_fence(permit))),
+            Self::Done(_) | Self::RolledBack(_) | Self::Cancelled(_) => None,
         }
     }
 
     /// The record rolled back; none if the move has ended.
-    pub fn take_back(self, reason: CompactString) -> Option<Self> {
+    pub fn roll_back(self, reason: CompactString) -> Option<Self> {
         match self {
-            Self::Asked(m) => Some(Self::TakenBack(m.take_back(reason))),
-            Self::Staged(m) => Some(Self::TakenBack(m.take_back(reason))),
-            Self::Watching(m) => Some(Self::TakenBack(m.take_back(reason))),
-            Self::Done(_) | Self::TakenBack(_) | Self::Cancelled(_) => None,
+            Self::Asked(m) => Some(Self::RolledBack(m.roll_back(reason))),
+            Self::Staged(m) => Some(Self::RolledBack(m.roll_back(reason))),
+            Self::Watching(m) => Some(Self::RolledBack(m.roll_back(reason))),
+            Self::Done(_) | Self::RolledBack(_) | Self::Cancelled(_) => None,
         }
     }
 
@@ -270,7 +270,7 @@
             Self::Asked(m) => Some(Self::Cancelled(m.cancel(reason))),
             Self::Staged(m) => Some(Self::Cancelled(m.cancel(reason))),
             Self::Watching(m) => Some(Self::Cancelled(m.cancel(reason))),
-            Self::Done(_) | Self::TakenBack(_) | Self::Cancelled(_) => None,
+            Self::Done(_) | Self::RolledBack(_) | Self::Cancelled(_) => None,
         }
     }
 }
--- a/lib/src/moves/status.rs
+++ b/lib/src/moves/status.rs
@@ -2,7 +2,7 @@
 
 use compact_str::{CompactString, format_compact};
 
-use crate::moves::life::Record;
+use crate::moves::lifecycle::Record;
 use crate::moves::share::Share;
 use crate::moves::stages::{LAST_STAGE, Scale, Stage, shares};
 
@@ -29,7 +29,7 @@
             format_compact!("{head}: done, {late} s late")
         }
         Record::Done(_) => format_compact!("{head}: done in time"),
-        Record::TakenBack(m) => format_compact!("{head}: taken back: {}", m.state.reason),
+        Record::RolledBack(m) => format_compact!("{head}: taken back: {}", m.state.reason),
         Record::Cancelled(m) => format_compact!("{head}: cancelled: {}", m.state.reason),
     }
 }
--- a/lib/src/systems/moving.rs
+++ b/lib/src/systems/moving.rs
@@ -11,7 +11,7 @@
 use crate::ids::{EndpointId, RequestId, ServiceId, VersionId};
 use crate::input::Outcome;
 use crate::moves::evidence::{Sample, VersionSide};
-use crate::moves::{Controller, EndpointCounts, Event, FULL_SHARE, Outlook, Pick, Reach, Time};
+use crate::moves::{Controller, EndpointCounts, Event, FULL_SHARE, Pick, Reach, TickInputs, Time};
 use crate::request::{Request, Running, Waiting};
 use crate::table::Row;
 use crate::world::World;
@@ -66,11 +66,11 @@
         return;
     };
     match event {
-        Event::Record(stored) => controller.adopt(time, stored),
-        Event::Heard(source) => controller.heard(now, source, reach),
+        Event::Record(stored) => controller.apply_record(time, stored),
+        Event::Exchanged(source) => controller.note_exchange(now, source, reach),
         Event::Row(row) => controller.merge(*row),
-        Event::Bad(bad) => controller.convict(bad),
-        Event::Lease(lease) => controller.hold(lease),
+        Event::Verdict(bad) => controller.add_verdict(bad),
+        Event::Lease(lease) => controller.set_lease(lease),
     }
 }
 
@@ -105,9 +105,9 @@
         let to = controller.versions().map(|(_, to)| to.clone());
         let runs = |e: &Endpoint| e.service == *controller.id() && Some(&e.version) == to.as_ref();
         let ready = endpoints.iter().any(|e| runs(e) && e.takes(now));
-        let outlook = Outlook { time, reach, ready };
+        let inputs = TickInputs { time, reach, ready };
         let service = controller.id().clone();
-        for action in controller.tick(outlook) {
+        for action in controller.tick(inputs) {
             world.commands.push(Command::Move {
                 service: service.clone(),
                 action,
--- a/lib/tests/test_moves.rs
+++ b/lib/tests/test_moves.rs
@@ -105,7 +105,7 @@
         status::text(&cancelled),
         "booking: v1 to v2: cancelled: wrong build"
     );
-    let back = staged.take_back("failed".into()).expect("it runs");
+    let back = staged.roll_back("failed".into()).expect("it runs");
     let refusal = cancel(Some(&back), 7, "wrong build".into()).unwrap_err();
     assert_eq!(refusal.code, Code::Conflict);
     assert!(refusal.reason.ends_with("taken back: failed"));
@@ -271,7 +271,7 @@
     use std::time::{Duration, Instant};
 
     use poplarvale_lib::moves::{
-        Bad, Event, FULL_SHARE, Reach, Record, Source, Stored, Watch, stages,
+        Event, FULL_SHARE, Reach, Record, Source, Stored, Verdict, Watch, stages,
     };
     use poplarvale_lib::{
         Accepted, Code, Command, Customer, Endpoint, Input, Known, Lists, Order, Outcome, Plan,
@@ -320,7 +320,7 @@
             inputs.extend((0..10).map(|n| known(n, "v1")));
             inputs.extend((0..10).map(|n| known(n + 10, "v2")));
             bench.tick(inputs);
-            bench.tick(vec![event(Event::Heard(Source::Store))]);
+            bench.tick(vec![event(Event::Exchanged(Source::Store))]);
             bench
         }
 
@@ -447,11 +447,11 @@
     #[test]
     fn a_peer_s_verdict_ends_it_at_once() {
         let mut bench = Bench::new(staged(4));
-        let bad = Bad {
+        let bad = Verdict {
             id: 7,
             reason: "failed".into(),
         };
-        bench.tick(vec![event(Event::Bad(bad))]);
+        bench.tick(vec![event(Event::Verdict(bad))]);
         assert!((0..200).all(|_| !bench.request(200)));
     }
 
@@ -466,11 +466,11 @@
                 .collect(),
         );
         assert!((0..20).all(|_| bench.request(200)));
-        let bad = Bad {
+        let bad = Verdict {
             id: 7,
             reason: "failed".into(),
         };
-        bench.tick(vec![event(Event::Bad(bad))]);
+        bench.tick(vec![event(Event::Verdict(bad))]);
         assert!((0..20).all(|_| !bench.request(200)));
     }
 
@@ -479,7 +479,7 @@
     /// the version that was found bad.
     #[test]
     fn an_ended_move_shuts_out_no_later_version() {
-        let record = staged(1).take_back("failed".into()).expect("it is open");
+        let record = staged(1).roll_back("failed".into()).expect("it is open");
         let mut bench = Bench::new(record);
         let gone = (0..10).map(|n| Input::Gone(format!("e{n}").into()));
         bench.tick(gone.chain([known(30, "v3")]).collect());
@@ -506,7 +506,7 @@
         assert!(bench.world.moves.iter().all(|c| c.verdict().is_none()));
         bench.now += Duration::from_hours(1);
         bench.tick(Vec::new());
-        bench.tick(vec![event(Event::Heard(Source::Store))]);
+        bench.tick(vec![event(Event::Exchanged(Source::Store))]);
         bench.tick(Vec::new());
         let verdicts: Vec<_> = bench
             .world
@@ -526,7 +526,7 @@
     fn what_breaks_at_a_leaving_endpoint_is_not_counted() {
         let mut bench = Bench::new(staged(7));
         for _ in 0..1000 {
-            bench.tick(vec![event(Event::Heard(Source::Store))]);
+            bench.tick(vec![event(Event::Exchanged(Source::Store))]);
             let order = bench.order();
             let request = order.id;
             let commands = bench.tick(vec![Input::Arrived(order)]);
--- a/lib/tests/test_moves_faults.rs
+++ b/lib/tests/test_moves_faults.rs
@@ -8,7 +8,7 @@
 use poplarvale_lib::moves::evidence::{Row, Sample, VersionSide};
 use poplarvale_lib::moves::stages::{MIN_STAGE_TIME, Scale, shares};
 use poplarvale_lib::moves::{
-    Action, Bad, Controller, FULL_SHARE, Outlook, Pick, Reach, Record, Source, Stored, Time,
+    Action, Controller, FULL_SHARE, Pick, Reach, Record, Source, Stored, TickInputs, Time, Verdict,
 };
 use proptest::prelude::*;
 
@@ -60,10 +60,10 @@
         from: usize,
         fresh: bool,
         stored: Option<Stored>,
-        bad: Vec<Bad>,
+        bad: Vec<Verdict>,
     },
     Rows(Vec<Row>),
-    Bad(Bad),
+    Verdict(Verdict),
 }
 
 #[derive(Clone, Debug)]
@@ -229,21 +229,21 @@
             } => {
                 daemon.heard[from] = Some(now);
                 if let Some(stored) = stored {
-                    daemon.controller.adopt(time, stored);
+                    daemon.controller.apply_record(time, stored);
                 }
                 for bad in bad {
-                    daemon.controller.convict(bad);
+                    daemon.controller.add_verdict(bad);
                 }
                 let reach = self.reach(d);
                 let source = Source::Peer { fresh };
-                self.daemons[d].controller.heard(now, source, reach);
+                self.daemons[d].controller.note_exchange(now, source, reach);
             }
             Message::Rows(rows) => {
                 for row in rows {
                     daemon.controller.merge(row);
                 }
             }
-            Message::Bad(bad) => daemon.controller.convict(bad),
+            Message::Verdict(bad) => daemon.controller.add_verdict(bad),
         }
     }
 
@@ -289,16 +289,16 @@
             if self.rng.u8(..10) == 0 {
                 let stored = self.store.clone();
                 let controller = &mut self.daemons[d].controller;
-                controller.adopt(time, stored);
-                controller.heard(now, Source::Store, reach);
+                controller.apply_record(time, stored);
+                controller.note_exchange(now, Source::Store, reach);
             }
         }
-        let outlook = Outlook {
+        let inputs = TickInputs {
             time,
             reach,
             ready: true,
         };
-        let actions = self.daemons[d].controller.tick(outlook);
+        let actions = self.daemons[d].controller.tick(inputs);
         for action in actions {
             self.act(d, action);
         }
@@ -326,7 +326,7 @@
                 deadline,
             });
             self.daemons[d].lease.clone_from(&lease);
-            self.daemons[d].controller.hold(lease);
+            self.daemons[d].controller.set_lease(lease);
         }
     }
 
@@ -343,7 +343,7 @@
                     self.writes.push(Write { revision, record });
                 }
             }
-            Action::Push(bad) => self.send(d, &Message::Bad(bad)),
+            Action::Push(bad) => self.send(d, &Message::Verdict(bad)),
             Action::Publish(rows) => self.send(d, &Message::Rows(rows)),
         }
     }
@@ -428,7 +428,7 @@
                 net.play(event);
             }
         }
-        prop_assert!(!matches!(net.store.record, Record::TakenBack(_)));
+        prop_assert!(!matches!(net.store.record, Record::RolledBack(_)));
     }
 }
 
@@ -445,7 +445,7 @@
 fn a_failing_version_is_taken_back_with_its_evidence() {
     let mut net = Net::new(1, true);
     net.play(Event::Run(300));
-    let Record::TakenBack(back) = &net.store.record else {
+    let Record::RolledBack(back) = &net.store.record else {
         panic!("it was not taken back: {:?}", net.store.record);
     };
     assert!(
@@ -525,7 +525,7 @@
 
 /// A controller that is fresh and knows a staged record whose stage is over,
 /// written under the number 3.
-fn ready(net: &Net) -> (Controller, Outlook) {
+fn ready(net: &Net) -> (Controller, TickInputs) {
     let now = net.now;
     let wall = WALL + 40_000;
     let start = Time { now, wall: WALL };
@@ -538,7 +538,7 @@
     .expect("it is live");
     let record = net.store.record.clone().step(permit, WALL);
     let record = record.expect("it is asked");
-    controller.adopt(
+    controller.apply_record(
         start,
         Stored {
             revision: 5,
@@ -547,20 +547,20 @@
     );
     let reach = Reach { live: 1, heard: 1 };
     let later = now + Duration::from_secs(40);
-    let outlook = |now| Outlook {
+    let inputs = |now| TickInputs {
         time: Time { now, wall },
         reach,
         ready: true,
     };
-    controller.tick(outlook(later));
-    controller.heard(later, Source::Store, reach);
-    (controller, outlook(later + STEP))
+    controller.tick(inputs(later));
+    controller.note_exchange(later, Source::Store, reach);
+    (controller, inputs(later + STEP))
 }
 
-fn written(controller: &mut Controller, outlook: Outlook, fence: u64) -> Option<Record> {
-    let deadline = outlook.time.now + TERM;
-    controller.hold(Some(Lease { fence, deadline }));
-    let actions = controller.tick(outlook);
+fn written(controller: &mut Controller, inputs: TickInputs, fence: u64) -> Option<Record> {
+    let deadline = inputs.time.now + TERM;
+    controller.set_lease(Some(Lease { fence, deadline }));
+    let actions = controller.tick(inputs);
     actions.into_iter().find_map(|action| match action {
         Action::Write { record, .. } => Some(record),
         Action::Push(_) | Action::Publish(_) => None,
@@ -574,11 +574,11 @@
 #[test]
 fn a_new_holder_puts_its_number_on_the_record_first() {
     let net = Net::new(1, false);
-    let (mut controller, outlook) = ready(&net);
-    let record = written(&mut controller, outlook, 4).expect("it writes");
+    let (mut controller, inputs) = ready(&net);
+    let record = written(&mut controller, inputs, 4).expect("it writes");
     assert_eq!((record.fence(), record.stage()), (4, Some(0)));
-    let (mut controller, outlook) = ready(&net);
-    let record = written(&mut controller, outlook, 3).expect("it writes");
+    let (mut controller, inputs) = ready(&net);
+    let record = written(&mut controller, inputs, 3).expect("it writes");
     assert_eq!((record.fence(), record.stage()), (3, Some(1)));
 }
 
@@ -587,8 +587,8 @@
 #[test]
 fn a_holder_with_an_old_number_writes_nothing() {
     let net = Net::new(1, false);
-    let (mut controller, outlook) = ready(&net);
-    assert_eq!(written(&mut controller, outlook, 2), None);
+    let (mut controller, inputs) = ready(&net);
+    assert_eq!(written(&mut controller, inputs, 2), None);
 }
 
 /// An old copy of the record arrives after a newer one, from a slow peer. Taken
@@ -596,15 +596,15 @@
 #[test]
 fn an_older_record_changes_nothing() {
     let net = Net::new(1, false);
-    let (mut controller, outlook) = ready(&net);
+    let (mut controller, inputs) = ready(&net);
     let old = controller.stored().cloned().expect("it was adopted");
-    let ended = old.record.clone().take_back("failed".into());
+    let ended = old.record.clone().roll_back("failed".into());
     let back = Stored {
         revision: 6,
         record: ended.expect("it is open"),
     };
-    controller.adopt(outlook.time, back.clone());
-    controller.adopt(outlook.time, old);
+    controller.apply_record(inputs.time, back.clone());
+    controller.apply_record(inputs.time, old);
     assert_eq!(controller.stored(), Some(&back));
-    assert_eq!(controller.version_for(outlook.time.now, true, 0), Pick::Old);
+    assert_eq!(controller.version_for(inputs.time.now, true, 0), Pick::Old);
 }
