--- a/daemon/src/core/views.rs
+++ b/daemon/src/core/views.rs
@@ -66,7 +66,7 @@
         let others = counts.iter().filter(|(version, _)| version != to);
         let first = |(version, count): &&(VersionId, u32)| (Some(version) == stated, *count);
         let (version, old) = others.max_by_key(first)?.clone();
-        let repeatable = match row.kind {
+        let idempotent = match row.kind {
             ServiceKind::Model => FULL_SHARE,
             // The controllers go by the mix that they see; this is where they start.
             ServiceKind::Plain => FULL_SHARE / 2,
@@ -75,7 +75,7 @@
             version,
             old,
             new,
-            repeatable,
+            idempotent,
         })
     }
 
--- a/lib/benches/moves/cases.rs
+++ b/lib/benches/moves/cases.rs
@@ -120,7 +120,7 @@
         let part: f64 = once.map(|route| route.part).sum();
         Scale {
             endpoints: ENDPOINTS,
-            repeatable: ((1.0 - part) * f64::from(FULL_SHARE)) as u32,
+            idempotent: ((1.0 - part) * f64::from(FULL_SHARE)) as u32,
         }
     }
 
--- a/lib/benches/moves/main.rs
+++ b/lib/benches/moves/main.rs
@@ -84,7 +84,7 @@
         for n in 0..SAMPLES {
             watched.daemons[0].record(&Sample {
                 route: BOOKING[n as usize % BOOKING.len()].name.into(),
-                repeatable: true,
+                idempotent: true,
                 which: if n % 2 == 0 {
                     VersionSide::Old
                 } else {
--- a/lib/benches/moves/play.rs
+++ b/lib/benches/moves/play.rs
@@ -114,7 +114,7 @@
         self.count(hurt);
         let sample = Sample {
             route: route.name.into(),
-            repeatable: route.repeatable,
+            idempotent: route.repeatable,
             which: if is_new {
                 VersionSide::New
             } else {
--- a/lib/benches/moves/ramp.rs
+++ b/lib/benches/moves/ramp.rs
@@ -40,7 +40,7 @@
 
 impl Policy for Ramp {
     fn pick(&mut self, daemon: usize, _now: Instant, _repeatable: bool, draw: u32) -> Pick {
-        let share = shares(self.stage, self.scale).repeatable;
+        let share = shares(self.stage, self.scale).idempotent;
         if self.counters[daemon].take(share, draw) {
             Pick::New
         } else {
--- a/lib/benches/moves/watched.rs
+++ b/lib/benches/moves/watched.rs
@@ -46,7 +46,7 @@
             version: "v1".into(),
             old: ENDPOINTS,
             new: ENDPOINTS,
-            repeatable: case.scale().repeatable,
+            idempotent: case.scale().idempotent,
         };
         let record = ask(None, &wish, &fleet, WALL).expect("it can be done");
         let store = Stored {
--- a/lib/src/moves/ask.rs
+++ b/lib/src/moves/ask.rs
@@ -42,7 +42,7 @@
     /// Endpoints of the version to go to.
     pub new: u32,
     /// Recent share of the requests that are idempotent.
-    pub repeatable: Share,
+    pub idempotent: Share,
 }
 
 /// Why an operator's request was rejected.
@@ -92,7 +92,7 @@
         to: ask.to.clone(),
         scale: Scale {
             endpoints: fleet.old,
-            repeatable: fleet.repeatable,
+            idempotent: fleet.idempotent,
         },
         finish: ask.finish,
     })))
--- a/lib/src/moves/codec.rs
+++ b/lib/src/moves/codec.rs
@@ -47,7 +47,7 @@
             from: terms.from.to_string(),
             to: terms.to.to_string(),
             endpoints: terms.scale.endpoints,
-            repeatable: terms.scale.repeatable,
+            repeatable: terms.scale.idempotent,
             finish_ms: terms.finish,
             state: state.into(),
             stage: self.stage().unwrap_or_default().into(),
@@ -69,7 +69,7 @@
             to: stored.to.as_str().into(),
             scale: Scale {
                 endpoints: stored.endpoints,
-                repeatable: stored.repeatable.min(FULL_SHARE),
+                idempotent: stored.repeatable.min(FULL_SHARE),
             },
             finish: stored.finish_ms,
         };
--- a/lib/src/moves/controller.rs
+++ b/lib/src/moves/controller.rs
@@ -318,7 +318,7 @@
     ///
     /// `random` is uniform below [`FULL_SHARE`]. Call this once per request: a
     /// second call while the request waits would exceed the share.
-    pub fn version_for(&mut self, now: Instant, repeatable: bool, random: u32) -> Pick {
+    pub fn version_for(&mut self, now: Instant, idempotent: bool, random: u32) -> Pick {
         let Some(stored) = &self.stored else {
             return Pick::Any;
         };
@@ -328,7 +328,7 @@
         if stored.record.ended() {
             return Pick::Old;
         }
-        let share = self.share(now, repeatable);
+        let share = self.share(now, idempotent);
         if self.counter.take(share, random) {
             Pick::New
         } else {
@@ -338,8 +338,8 @@
 
     /// Share of idempotent or non-idempotent requests that may go to the new
     /// version now.
-    pub fn share(&self, now: Instant, repeatable: bool) -> Share {
-        self.shares(now).of(repeatable).min(FULL_SHARE)
+    pub fn share(&self, now: Instant, idempotent: bool) -> Share {
+        self.shares(now).of(idempotent).min(FULL_SHARE)
     }
 
     /// Number of endpoints of each version that may be used now.
@@ -367,10 +367,10 @@
     /// requested, and a few old endpoints must not be left with most of it.
     fn counts_for(&self, shares: Shares) -> Option<EndpointCounts> {
         let scale = self.stored.as_ref()?.record.terms().scale;
-        let measured = self.detector.repeatable();
-        let other = measured.filter(|m| m.abs_diff(scale.repeatable) > MIX_TOLERANCE);
-        let repeatable = other.unwrap_or(scale.repeatable);
-        Some(endpoint_counts(shares.total(repeatable), scale.endpoints))
+        let measured = self.detector.idempotent();
+        let other = measured.filter(|m| m.abs_diff(scale.idempotent) > MIX_TOLERANCE);
+        let idempotent = other.unwrap_or(scale.idempotent);
+        Some(endpoint_counts(shares.total(idempotent), scale.endpoints))
     }
 
     /// Whether any request may go to the new version now.
@@ -577,7 +577,7 @@
         let stage = stored.and_then(|s| Some((s.record.stage()?, s.record.terms().scale)));
         let shares = stage.map_or(Shares::NONE, |(stage, scale)| shares(stage, scale));
         let all = f64::from(seen.old) + f64::from(seen.new);
-        all * f64::from(shares.of(seen.repeatable)) / f64::from(FULL_SHARE)
+        all * f64::from(shares.of(seen.idempotent)) / f64::from(FULL_SHARE)
     }
 }
 
--- a/lib/src/moves/evidence.rs
+++ b/lib/src/moves/evidence.rs
@@ -40,7 +40,7 @@
     /// Route of the request.
     pub route: RouteId,
     /// Whether the route's requests are idempotent.
-    pub repeatable: bool,
+    pub idempotent: bool,
     /// Version it ran at.
     pub which: VersionSide,
     /// Latency of a complete response; none if the request failed.
@@ -136,7 +136,7 @@
     /// Route.
     pub route: RouteId,
     /// Whether the route's requests are idempotent.
-    pub repeatable: bool,
+    pub idempotent: bool,
     /// Counts of both versions.
     pub pair: Pair,
 }
@@ -151,7 +151,7 @@
             route: self.route.to_string(),
             old: Some(side_to_wire(&self.pair.old)),
             new: Some(side_to_wire(&self.pair.new)),
-            repeatable: self.repeatable,
+            repeatable: self.idempotent,
         }
     }
 
@@ -164,7 +164,7 @@
             sequence: wire.sequence,
             id: from_hex(&wire.r#move)?,
             route: wire.route.as_str().into(),
-            repeatable: wire.repeatable,
+            idempotent: wire.repeatable,
             pair: Pair { old, new },
         })
     }
@@ -206,7 +206,7 @@
     /// Route.
     pub route: RouteId,
     /// Whether the route's requests are idempotent.
-    pub repeatable: bool,
+    pub idempotent: bool,
     /// Counts added since the deltas were last taken.
     pub pair: Pair,
 }
@@ -225,7 +225,7 @@
 #[derive(Clone, Debug)]
 struct OwnCounts {
     route: RouteId,
-    repeatable: bool,
+    idempotent: bool,
     sequence: u64,
     published: u64,
     pair: Pair,
@@ -240,7 +240,7 @@
             Err(at) => {
                 let own = OwnCounts {
                     route: route.clone(),
-                    repeatable: sample.repeatable,
+                    idempotent: sample.idempotent,
                     sequence: 0,
                     published: 0,
                     pair: Pair::default(),
@@ -251,7 +251,7 @@
         };
         self.own[at].pair.record(sample);
         self.own[at].sequence += 1;
-        self.delta_of(&route, sample.repeatable).record(sample);
+        self.delta_of(&route, sample.idempotent).record(sample);
     }
 
     /// Merges a row of another daemon; older rows change nothing.
@@ -264,11 +264,11 @@
             Ok(at) if self.others[at].sequence >= row.sequence => {}
             Ok(at) => {
                 let added = row.pair.since(&self.others[at].pair);
-                self.delta_of(&row.route, row.repeatable).add(&added);
+                self.delta_of(&row.route, row.idempotent).add(&added);
                 self.others[at] = row;
             }
             Err(at) => {
-                self.delta_of(&row.route, row.repeatable).add(&row.pair);
+                self.delta_of(&row.route, row.idempotent).add(&row.pair);
                 self.others.insert(at, row);
             }
         }
@@ -288,7 +288,7 @@
                 sequence: own.sequence,
                 id,
                 route: own.route.clone(),
-                repeatable: own.repeatable,
+                idempotent: own.idempotent,
                 pair: own.pair.clone(),
             });
         }
@@ -309,13 +309,13 @@
         }
     }
 
-    fn delta_of(&mut self, route: &RouteId, repeatable: bool) -> &mut Pair {
+    fn delta_of(&mut self, route: &RouteId, idempotent: bool) -> &mut Pair {
         let found = self.deltas.binary_search_by(|delta| delta.route.cmp(route));
         let at = found.unwrap_or_else(|at| {
             let pair = Pair::default();
             let delta = RouteDelta {
                 route: route.clone(),
-                repeatable,
+                idempotent,
                 pair,
             };
             self.deltas.insert(at, delta);
--- a/lib/src/moves/stages.rs
+++ b/lib/src/moves/stages.rs
@@ -67,30 +67,30 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shares {
     /// Of idempotent requests.
-    pub repeatable: Share,
+    pub idempotent: Share,
     /// Of non-idempotent requests.
-    pub once: Share,
+    pub non_idempotent: Share,
 }
 
 impl Shares {
     /// Nothing goes to the new version.
     pub const NONE: Self = Self {
-        repeatable: 0,
-        once: 0,
+        idempotent: 0,
+        non_idempotent: 0,
     };
 
     /// Share of all requests, when the share `idempotent` of them is idempotent.
-    pub fn total(self, repeatable: Share) -> Share {
-        fraction_of(self.repeatable, repeatable)
-            + fraction_of(self.once, FULL_SHARE.saturating_sub(repeatable))
+    pub fn total(self, idempotent: Share) -> Share {
+        fraction_of(self.idempotent, idempotent)
+            + fraction_of(self.non_idempotent, FULL_SHARE.saturating_sub(idempotent))
     }
 
     /// Share of one kind of request.
-    pub fn of(self, repeatable: bool) -> Share {
-        if repeatable {
-            self.repeatable
+    pub fn of(self, idempotent: bool) -> Share {
+        if idempotent {
+            self.idempotent
         } else {
-            self.once
+            self.non_idempotent
         }
     }
 }
@@ -110,7 +110,7 @@
     /// Endpoints of the old version.
     pub endpoints: u32,
     /// Share of the requests that are idempotent.
-    pub repeatable: Share,
+    pub idempotent: Share,
 }
 
 /// Shares that the stages aim for.
@@ -124,8 +124,11 @@
     target(FULL_SHARE, FULL_SHARE),
 ];
 
-const fn target(repeatable: Share, once: Share) -> Shares {
-    Shares { repeatable, once }
+const fn target(idempotent: Share, non_idempotent: Share) -> Shares {
+    Shares {
+        idempotent,
+        non_idempotent,
+    }
 }
 
 /// Largest share of the idempotent requests in each stage.
@@ -153,8 +156,8 @@
     // a share must never fall.
     let fits = (1..=stage).map(|stage| fitted_share(stage, scale));
     Shares {
-        repeatable: fits.max().unwrap_or(target.repeatable),
-        once: target.once,
+        idempotent: fits.max().unwrap_or(target.idempotent),
+        non_idempotent: target.non_idempotent,
     }
 }
 
@@ -162,8 +165,8 @@
     let full = FULL_SHARE - kept_share(scale.endpoints);
     let target = TARGETS[usize::from(stage)];
     Shares {
-        repeatable: target.repeatable.min(full),
-        once: target.once.min(full),
+        idempotent: target.idempotent.min(full),
+        non_idempotent: target.non_idempotent.min(full),
     }
 }
 
@@ -185,21 +188,25 @@
 /// be cleared, and be suspected again.
 pub fn cautious_shares(stage: Stage, scale: Scale) -> Shares {
     let full = shares(stage, scale);
-    let once = full.once.min(CAUTIOUS_NON_IDEMPOTENT);
-    let repeatable = fit_share(target(SECOND_SHARE, once), MAX_SECOND_SHARE, scale);
+    let non_idempotent = full.non_idempotent.min(CAUTIOUS_NON_IDEMPOTENT);
+    let idempotent = fit_share(
+        target(SECOND_SHARE, non_idempotent),
+        MAX_SECOND_SHARE,
+        scale,
+    );
     Shares {
-        repeatable: repeatable.min(full.repeatable),
-        once,
+        idempotent: idempotent.min(full.idempotent),
+        non_idempotent,
     }
 }
 
 /// Share of idempotent requests near a target with which a whole number of
 /// endpoints is loaded evenly.
 fn fit_share(target: Shares, most: Share, scale: Scale) -> Share {
-    let other = fraction_of(target.once, FULL_SHARE - scale.repeatable);
-    let even_shares = even_shares(target.total(scale.repeatable), scale.endpoints);
+    let other = fraction_of(target.non_idempotent, FULL_SHARE - scale.idempotent);
+    let even_shares = even_shares(target.total(scale.idempotent), scale.endpoints);
     even_shares
-        .map(|whole| kind_share(whole, other, scale.repeatable, target.repeatable))
+        .map(|whole| kind_share(whole, other, scale.idempotent, target.idempotent))
         .find(|share| (FIRST_SHARE..=most).contains(share))
         .unwrap_or(most)
 }
--- a/lib/src/moves/status.rs
+++ b/lib/src/moves/status.rs
@@ -38,8 +38,8 @@
     let shares = shares(stage, scale);
     format_compact!(
         "{} % of repeatable and {} % of other requests",
-        percent(shares.repeatable),
-        percent(shares.once)
+        percent(shares.idempotent),
+        percent(shares.non_idempotent)
     )
 }
 
--- a/lib/src/moves/verdict.rs
+++ b/lib/src/moves/verdict.rs
@@ -43,7 +43,7 @@
     /// Route.
     pub route: RouteId,
     /// Whether its requests are idempotent.
-    pub repeatable: bool,
+    pub idempotent: bool,
     /// At the old version.
     pub old: u32,
     /// At the new version.
@@ -79,7 +79,7 @@
         let mut slow = Pooled::new(&self.slow);
         let mut tail = Pooled::new(&self.tail);
         for delta in deltas {
-            let tests = self.tests_of(&delta.route, delta.repeatable);
+            let tests = self.tests_of(&delta.route, delta.idempotent);
             tests.add(&delta.pair);
             let batch = tests.failing_batch(&delta.pair);
             let llrs = tests.failing.llrs(&batch);
@@ -142,18 +142,18 @@
     pub fn seen(&self) -> impl Iterator<Item = Seen> + '_ {
         self.routes.iter().map(|tests| Seen {
             route: tests.route.clone(),
-            repeatable: tests.repeatable,
+            idempotent: tests.idempotent,
             old: tests.old,
             new: tests.new,
         })
     }
 
     /// Share of the requests that are idempotent; none before enough were seen.
-    pub fn repeatable(&self) -> Option<Share> {
+    pub fn idempotent(&self) -> Option<Share> {
         let all = |tests: &&RouteTests| f64::from(tests.old) + f64::from(tests.new);
         let whole: f64 = self.routes.iter().map(|tests| all(&tests)).sum();
-        let repeatable = self.routes.iter().filter(|tests| tests.repeatable);
-        let part: f64 = repeatable.map(|tests| all(&tests)).sum();
+        let idempotent = self.routes.iter().filter(|tests| tests.idempotent);
+        let part: f64 = idempotent.map(|tests| all(&tests)).sum();
         (whole >= MIN_MIX_REQUESTS).then(|| (part / whole * f64::from(FULL_SHARE)) as Share)
     }
 
@@ -166,11 +166,11 @@
         }
     }
 
-    fn tests_of(&mut self, route: &RouteId, repeatable: bool) -> &mut RouteTests {
+    fn tests_of(&mut self, route: &RouteId, idempotent: bool) -> &mut RouteTests {
         let found = self.routes.binary_search_by(|tests| tests.route.cmp(route));
         let at = found.unwrap_or_else(|at| {
             self.routes
-                .insert(at, RouteTests::new(route.clone(), repeatable));
+                .insert(at, RouteTests::new(route.clone(), idempotent));
             at
         });
         &mut self.routes[at]
--- a/lib/src/moves/verdict/route.rs
+++ b/lib/src/moves/verdict/route.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct RouteTests {
     pub(super) route: RouteId,
-    pub(super) repeatable: bool,
+    pub(super) idempotent: bool,
     pub(super) reference: Reference,
     pub(super) failing: FaultTest,
     pub(super) slow: FaultTest,
@@ -22,10 +22,10 @@
 }
 
 impl RouteTests {
-    pub(super) fn new(route: RouteId, repeatable: bool) -> Self {
+    pub(super) fn new(route: RouteId, idempotent: bool) -> Self {
         Self {
             route,
-            repeatable,
+            idempotent,
             reference: Reference::default(),
             failing: FaultTest::new(Fault::Failing),
             slow: FaultTest::new(Fault::Slow),
--- a/lib/src/systems/moving.rs
+++ b/lib/src/systems/moving.rs
@@ -275,7 +275,7 @@
     };
     controller.record(&Sample {
         route: order.route.clone(),
-        repeatable: order.repeatable,
+        idempotent: order.repeatable,
         which,
         time: whole.then_some(took),
         compared,
--- a/lib/tests/test_moves.rs
+++ b/lib/tests/test_moves.rs
@@ -32,7 +32,7 @@
         version: "v1".into(),
         old: 10,
         new: 10,
-        repeatable: FULL_SHARE / 10 * 9,
+        idempotent: FULL_SHARE / 10 * 9,
     }
 }
 
@@ -121,9 +121,9 @@
         0,
     ];
     (4..=400).flat_map(move |endpoints| {
-        mixes.map(|repeatable| Scale {
+        mixes.map(|idempotent| Scale {
             endpoints,
-            repeatable,
+            idempotent,
         })
     })
 }
@@ -132,12 +132,12 @@
 /// over all new endpoints. Nobody notices before half of the callers meet it.
 #[test]
 fn stages_load_new_and_old_endpoints_alike() {
-    for scale in scales().filter(|scale| scale.repeatable > FULL_SHARE / 4) {
+    for scale in scales().filter(|scale| scale.idempotent > FULL_SHARE / 4) {
         // In the second stage, small pools give up the equal load for the cap.
         let few =
-            f64::from(scale.endpoints) * f64::from(scale.repeatable) < 5.0 * f64::from(FULL_SHARE);
+            f64::from(scale.endpoints) * f64::from(scale.idempotent) < 5.0 * f64::from(FULL_SHARE);
         for stage in if few { 2 } else { 1 }..=LAST_STAGE {
-            let total = shares(stage, scale).total(scale.repeatable);
+            let total = shares(stage, scale).total(scale.idempotent);
             let share = f64::from(total) / f64::from(FULL_SHARE);
             let counts = endpoint_counts(total, scale.endpoints);
             let new = share / f64::from(counts.new.min(scale.endpoints));
@@ -153,10 +153,10 @@
     for endpoints in 4..=400 {
         let scale = Scale {
             endpoints,
-            repeatable: FULL_SHARE,
+            idempotent: FULL_SHARE,
         };
         for stage in 1..=LAST_STAGE {
-            let total = shares(stage, scale).repeatable;
+            let total = shares(stage, scale).idempotent;
             let share = f64::from(total) / f64::from(FULL_SHARE);
             let counts = endpoint_counts(total, endpoints);
             let new = share / f64::from(counts.new.min(endpoints));
@@ -172,7 +172,7 @@
 fn no_stage_overloads_the_few_endpoints() {
     for scale in scales() {
         for stage in 1..=LAST_STAGE {
-            let total = shares(stage, scale).total(scale.repeatable);
+            let total = shares(stage, scale).total(scale.idempotent);
             let share = f64::from(total) / f64::from(FULL_SHARE);
             let counts = endpoint_counts(total, scale.endpoints);
             let fair = 1.0 / f64::from(scale.endpoints);
@@ -187,10 +187,12 @@
     for scale in scales() {
         for stage in 0..LAST_STAGE {
             let (one, next) = (shares(stage, scale), shares(stage + 1, scale));
-            assert!(one.repeatable <= next.repeatable, "{stage} {scale:?}");
-            assert!(one.once <= next.once && one.once <= one.repeatable);
+            assert!(one.idempotent <= next.idempotent, "{stage} {scale:?}");
+            assert!(
+                one.non_idempotent <= next.non_idempotent && one.non_idempotent <= one.idempotent
+            );
         }
-        assert_eq!(shares(2, scale).once, 0);
+        assert_eq!(shares(2, scale).non_idempotent, 0);
     }
 }
 
@@ -437,7 +439,7 @@
     fn requests_get_their_stage_s_share() {
         let mut bench = Bench::new(staged(4));
         let went = (0..200).filter(|_| bench.request(200)).count();
-        let share = stages::shares(3, staged(4).terms().scale).repeatable;
+        let share = stages::shares(3, staged(4).terms().scale).idempotent;
         let most = (share as usize * 200).div_ceil(FULL_SHARE as usize) + 1;
         assert!((most - 4..=most).contains(&went), "{went} of {most}");
     }
--- a/lib/tests/test_moves_evidence.rs
+++ b/lib/tests/test_moves_evidence.rs
@@ -13,7 +13,7 @@
         (0..3_u8, any::<bool>(), 0..100_000_u64, 0..4_u8).prop_map(|(route, new, time, kind)| {
             Sample {
                 route: format!("GET /{route}").into(),
-                repeatable: true,
+                idempotent: true,
                 which: if new {
                     VersionSide::New
                 } else {
@@ -56,7 +56,7 @@
     for n in 0..10 * MAX_ROUTES {
         evidence.record(&Sample {
             route: format!("GET /{n}").into(),
-            repeatable: true,
+            idempotent: true,
             which: VersionSide::Old,
             time: None,
             compared: true,
@@ -82,7 +82,7 @@
     fn counts_past_the_last_slot_are_refused(first in 0..200_u32, length in 0..200_usize) {
         let mut wire = published(&[Sample {
             route: "GET /".into(),
-            repeatable: true,
+            idempotent: true,
             which: VersionSide::New,
             time: Some(Duration::from_millis(5)),
             compared: true,
--- a/lib/tests/test_moves_faults.rs
+++ b/lib/tests/test_moves_faults.rs
@@ -19,7 +19,7 @@
 const ID: u128 = 7;
 const SCALE: Scale = Scale {
     endpoints: 10,
-    repeatable: FULL_SHARE,
+    idempotent: FULL_SHARE,
 };
 
 #[derive(Clone, Copy, Debug)]
@@ -134,7 +134,7 @@
             version: "v1".into(),
             old: 10,
             new: 10,
-            repeatable: FULL_SHARE,
+            idempotent: FULL_SHARE,
         };
         let record = ask(None, &wish, &fleet, WALL).expect("it can be done");
         Self {
@@ -381,7 +381,7 @@
         if matches!(record, Some(Record::Done(_))) {
             return;
         }
-        daemon.promised += stage.map_or(0, |s| u64::from(shares(s, SCALE).repeatable));
+        daemon.promised += stage.map_or(0, |s| u64::from(shares(s, SCALE).idempotent));
         daemon.went += u64::from(pick == Pick::New);
         let most = daemon.promised.div_ceil(u64::from(FULL_SHARE)) + 1;
         assert!(daemon.went <= most, "more than the share");
@@ -393,7 +393,7 @@
         let fails = pick == Pick::New && self.failing;
         daemon.controller.record(&Sample {
             route: "chat".into(),
-            repeatable: true,
+            idempotent: true,
             which,
             time: (!fails).then_some(Duration::from_millis(20)),
             compared: true,
