--- a/lib/src/moves/controller.rs
+++ b/lib/src/moves/controller.rs
@@ -273,10 +273,10 @@
     /// Notes that rows and record were exchanged with a source just now.
     ///
     /// An exchange with a peer that is stale itself doesn't make this daemon fresh.
-    /// Nor does reading the store while most other daemons are unreachable: they
-    /// can know a verdict that has not reached the store yet. After all daemons
-    /// have restarted none is fresh; then the store together with connectivity to
-    /// most daemons is enough.
+    /// Nor does the store alone while other daemons are live: they can know a
+    /// verdict that has not reached the store yet. After all daemons have restarted
+    /// none is fresh; then the store makes a daemon fresh that can reach most of
+    /// the others.
     pub fn note_exchange(&mut self, now: Instant, source: Source, reach: Reach) {
         let proof = match source {
             Source::Peer { fresh } => fresh,
--- a/lib/tests/test_moves.rs
+++ b/lib/tests/test_moves.rs
@@ -1,4 +1,5 @@
-//! Tests of version moves: the record's life cycle, shares and operators' wishes.
+//! Tests of version moves: life cycle of the record, shares, and operators'
+//! requests.
 
 use std::time::{Duration, Instant};
 
@@ -15,10 +16,12 @@
 fn permit(fence: u64) -> Permit {
     let now = Instant::now();
     let deadline = now + Duration::from_secs(10);
-    Lease { fence, deadline }.permit(now).expect("it is live")
+    Lease { fence, deadline }
+        .permit(now)
+        .expect("the lease is live")
 }
 
-fn wish(finish: u64) -> Ask {
+fn move_ask(finish: u64) -> Ask {
     Ask {
         id: 7,
         service: "booking".into(),
@@ -37,7 +40,7 @@
 }
 
 fn asked() -> Record {
-    ask(None, &wish(NOW + HOUR), &fleet(), NOW).expect("it can be done")
+    ask(None, &move_ask(NOW + HOUR), &fleet(), NOW).expect("the move is possible")
 }
 
 #[test]
@@ -56,56 +59,61 @@
     assert!(now < NOW + HOUR);
     let third = (0..3).try_fold(asked(), |record, _| record.step(permit(1), NOW));
     assert_eq!(
-        status::text(&third.expect("it is open")),
+        status::text(&third.expect("the move has not ended")),
         "booking: v1 to v2: stage 3 of 7, 25.6 % of repeatable and 0.0 % of other requests"
     );
     assert_eq!(status::text(&record), "booking: v1 to v2: done in time");
 }
 
 #[test]
-fn an_impossible_time_is_refused_with_the_reason() {
-    let late = ask(None, &wish(NOW + 20_000), &fleet(), NOW).unwrap_err();
+fn an_impossible_finish_time_is_rejected_with_the_reason() {
+    let late = ask(None, &move_ask(NOW + 20_000), &fleet(), NOW).unwrap_err();
     assert_eq!(late.code, Code::BadMove);
     assert_eq!(
         late.to_string(),
         "4006: the finish-by time is 20 s away; a move takes 45 s at least"
     );
-    let past = ask(None, &wish(NOW - 1), &fleet(), NOW).unwrap_err();
+    let past = ask(None, &move_ask(NOW - 1), &fleet(), NOW).unwrap_err();
     assert_eq!(past.code, Code::BadMove);
 }
 
-/// Two operators ask for moves of one service at the same time. Were both
-/// accepted, requests would go to three versions at once and the evidence would
-/// say nothing about any of them.
+/// Two operators start moves of one service at the same time. If both were
+/// accepted, requests would go to three versions at once and the evidence would say
+/// nothing about any of them.
 #[test]
-fn a_second_move_of_a_service_is_refused_while_one_runs() {
+fn a_second_move_of_a_service_is_rejected_while_one_runs() {
     let first = asked();
     let other = Ask {
         id: 8,
         to: "v3".into(),
-        ..wish(NOW + HOUR)
+        ..move_ask(NOW + HOUR)
     };
     let refusal = ask(Some(&first), &other, &fleet(), NOW).unwrap_err();
     assert_eq!(refusal.code, Code::Conflict);
     assert!(refusal.reason.contains("v2 is under way"));
-    // The same wish again, as after a lost answer, finds its own record.
-    let again = ask(Some(&first), &wish(NOW + HOUR), &fleet(), NOW);
+    // The same request again, as after a lost response, finds its own record.
+    let again = ask(Some(&first), &move_ask(NOW + HOUR), &fleet(), NOW);
     assert_eq!(again, Ok(first));
 }
 
-/// An operator cancels while the lease's holder advances. Whichever is written
-/// first wins; the other reads again. After a cancel there is nothing to advance,
-/// and after the end there is nothing to cancel, and the operator reads why.
+/// An operator cancels while the lease holder advances the move. Whichever is
+/// written first wins; the other reads again. After a cancel there is nothing to
+/// advance, and after the end there is nothing to cancel, and the operator reads
+/// why.
 #[test]
 fn a_cancel_and_an_advance_never_both_count() {
-    let staged = asked().step(permit(1), NOW).expect("it is asked");
-    let cancelled = cancel(Some(&staged), 7, "wrong build".into()).expect("it runs");
+    let staged = asked()
+        .step(permit(1), NOW)
+        .expect("the move waits for its first stage");
+    let cancelled = cancel(Some(&staged), 7, "wrong build".into()).expect("the move has not ended");
     assert_eq!(cancelled.clone().step(permit(1), NOW), None);
     assert_eq!(
         status::text(&cancelled),
         "booking: v1 to v2: cancelled: wrong build"
     );
-    let back = staged.roll_back("failed".into()).expect("it runs");
+    let back = staged
+        .roll_back("failed".into())
+        .expect("the move has not ended");
     let refusal = cancel(Some(&back), 7, "wrong build".into()).unwrap_err();
     assert_eq!(refusal.code, Code::Conflict);
     assert!(refusal.reason.ends_with("taken back: failed"));
@@ -128,12 +136,14 @@
     })
 }
 
-/// A fault shows only under load, and the first stages spread their few requests
-/// over all new endpoints. Nobody notices before half of the callers meet it.
+/// If the first stages spread their few requests over all new endpoints, none of
+/// these would be loaded, and a fault under load would not be noticed before half
+/// of the callers meet it.
 #[test]
 fn stages_load_new_and_old_endpoints_alike() {
     for scale in scales().filter(|scale| scale.idempotent > FULL_SHARE / 4) {
-        // In the second stage, small pools give up the equal load for the cap.
+        // In the second stage, small pools give up the equal load for the largest
+        // share of the stage.
         let few =
             f64::from(scale.endpoints) * f64::from(scale.idempotent) < 5.0 * f64::from(FULL_SHARE);
         for stage in if few { 2 } else { 1 }..=LAST_STAGE {
@@ -149,7 +159,7 @@
 }
 
 #[test]
-fn stages_load_endpoints_exactly_alike_if_all_is_repeatable() {
+fn stages_load_endpoints_exactly_evenly_if_all_requests_are_idempotent() {
     for endpoints in 4..=400 {
         let scale = Scale {
             endpoints,
@@ -167,7 +177,8 @@
     }
 }
 
-/// No mix of routes may leave a few endpoints with far more than their part.
+/// Whatever the mix of routes, no stage may leave a few endpoints with far more
+/// than their share.
 #[test]
 fn no_stage_overloads_the_few_endpoints() {
     for scale in scales() {
@@ -217,8 +228,8 @@
     assert_eq!(lease.permit(now + MARGIN), None);
 }
 
-/// A host freezes for some seconds. On waking, the process believes that no time
-/// has passed, and would go on with what it knew.
+/// A host freezes for some seconds. When it resumes, the process believes that no
+/// time has passed and would act on outdated state.
 #[test]
 fn a_late_tick_is_a_pause_and_so_is_the_first() {
     let mut pulse = Pulse::new();
@@ -231,8 +242,8 @@
 proptest! {
     #![proptest_config(testutils::fixed(256))]
 
-    /// A daemon sends more than its share for a while, because the share is kept
-    /// only on average. With a version that fails everything, callers notice.
+    /// A share that is kept only on average lets a daemon exceed it for a while;
+    /// with a version that fails every request, callers notice.
     #[test]
     fn no_window_of_requests_passes_the_share(
         steps in prop::collection::vec((0..=FULL_SHARE, 1_usize..400), 1..6),
@@ -240,7 +251,8 @@
     ) {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut counter = Counter::default();
-        // Sums of shares and of requests sent, up to each request.
+        // Sums of the shares and of the requests sent to the new version, up to
+        // each request.
         let mut sums = vec![(0_u64, 0_u64)];
         for (share, count) in steps {
             for _ in 0..count {
@@ -267,8 +279,8 @@
     }
 }
 
-mod in_a_world {
-    //! A move inside the deciding core: inputs in, commands out.
+mod in_the_decision_core {
+    //! A move inside the decision core: inputs in, commands out.
 
     use std::time::{Duration, Instant};
 
@@ -282,15 +294,15 @@
 
     const WALL: u64 = 1_000_000_000;
 
-    struct Bench {
+    struct Harness {
         world: World,
         now: Instant,
         count: u128,
-        /// Requests that no endpoint was open to.
+        /// Requests for which no endpoint was available.
         unserved: u32,
     }
 
-    impl Bench {
+    impl Harness {
         fn new(record: Record) -> Self {
             let setup = Setup {
                 incarnation: 1,
@@ -299,14 +311,14 @@
                 waiting: 1000,
                 running: 1000,
             };
-            let mut bench = Self {
+            let mut harness = Self {
                 world: World::new(setup, Vec::new(), 1),
                 now: Instant::now(),
                 count: 0,
                 unserved: 0,
             };
             let watch = Watch {
-                at: bench.now,
+                at: harness.now,
                 wall: WALL,
                 reach: Reach { live: 1, heard: 1 },
             };
@@ -321,9 +333,9 @@
             ];
             inputs.extend((0..10).map(|n| known(n, "v1")));
             inputs.extend((0..10).map(|n| known(n + 10, "v2")));
-            bench.tick(inputs);
-            bench.tick(vec![event(Event::Exchanged(Source::Store))]);
-            bench
+            harness.tick(inputs);
+            harness.tick(vec![event(Event::Exchanged(Source::Store))]);
+            harness
         }
 
         fn tick(&mut self, inputs: Vec<Input>) -> Vec<Command> {
@@ -348,7 +360,7 @@
             }
         }
 
-        /// Lets one request in, answers it, and tells whether it might have gone
+        /// Admits one request, answers it, and returns whether it could have gone
         /// to the new version.
         fn request(&mut self, status: u16) -> bool {
             let order = self.order();
@@ -430,87 +442,92 @@
     fn staged(steps: u8) -> Record {
         let mut record = super::asked();
         for _ in 0..steps {
-            record = record.step(super::permit(1), WALL).expect("it is open");
+            record = record
+                .step(super::permit(1), WALL)
+                .expect("the move has not ended");
         }
         record
     }
 
     #[test]
-    fn requests_get_their_stage_s_share() {
-        let mut bench = Bench::new(staged(4));
-        let went = (0..200).filter(|_| bench.request(200)).count();
+    fn requests_get_the_share_of_their_stage() {
+        let mut harness = Harness::new(staged(4));
+        let went = (0..200).filter(|_| harness.request(200)).count();
         let share = stages::shares(3, staged(4).terms().scale).idempotent;
         let most = (share as usize * 200).div_ceil(FULL_SHARE as usize) + 1;
         assert!((most - 4..=most).contains(&went), "{went} of {most}");
     }
 
-    /// A peer found the version bad. From the next request on, callers here must
-    /// not meet it.
+    /// A peer found the version bad. From the next request on, callers of this
+    /// daemon must not reach it.
     #[test]
     fn a_peer_s_verdict_ends_it_at_once() {
-        let mut bench = Bench::new(staged(4));
+        let mut harness = Harness::new(staged(4));
         let bad = Verdict {
             id: 7,
             reason: "failed".into(),
         };
-        bench.tick(vec![event(Event::Verdict(bad))]);
-        assert!((0..200).all(|_| !bench.request(200)));
+        harness.tick(vec![event(Event::Verdict(bad))]);
+        assert!((0..200).all(|_| !harness.request(200)));
     }
 
     /// No endpoint of the old version is left in this zone. Requests are served by
-    /// the new one rather than not at all, unless it is known to be bad.
+    /// the new version rather than not at all, unless it is known to be bad.
     #[test]
-    fn the_new_version_serves_where_the_old_one_is_gone() {
-        let mut bench = Bench::new(staged(1));
-        bench.tick(
+    fn the_new_version_serves_where_no_old_endpoint_is_left() {
+        let mut harness = Harness::new(staged(1));
+        harness.tick(
             (0..10)
                 .map(|n| Input::Gone(format!("e{n}").into()))
                 .collect(),
         );
-        assert!((0..20).all(|_| bench.request(200)));
+        assert!((0..20).all(|_| harness.request(200)));
         let bad = Verdict {
             id: 7,
             reason: "failed".into(),
         };
-        bench.tick(vec![event(Event::Verdict(bad))]);
-        assert!((0..20).all(|_| !bench.request(200)));
+        harness.tick(vec![event(Event::Verdict(bad))]);
+        assert!((0..20).all(|_| !harness.request(200)));
     }
 
-    /// A move was taken back; weeks later the endpoints are replaced by a third
-    /// version without a move. Requests must go there, and not to what is left of
-    /// the version that was found bad.
+    /// A move was rolled back; weeks later the endpoints are replaced by a third
+    /// version without a move. Requests must go there, and not to remaining
+    /// endpoints of the version that was found bad.
     #[test]
-    fn an_ended_move_shuts_out_no_later_version() {
-        let record = staged(1).roll_back("failed".into()).expect("it is open");
-        let mut bench = Bench::new(record);
+    fn an_ended_move_excludes_no_later_version() {
+        let record = staged(1)
+            .roll_back("failed".into())
+            .expect("the move has not ended");
+        let mut harness = Harness::new(record);
         let gone = (0..10).map(|n| Input::Gone(format!("e{n}").into()));
-        bench.tick(gone.chain([known(30, "v3")]).collect());
-        let waiting = Waiting::new(bench.order());
-        let filter = bench.world.open_to(bench.now, &waiting);
-        let open = bench.world.endpoints.iter().filter(|e| filter.allows(e));
+        harness.tick(gone.chain([known(30, "v3")]).collect());
+        let waiting = Waiting::new(harness.order());
+        let filter = harness.world.open_to(harness.now, &waiting);
+        let open = harness.world.endpoints.iter().filter(|e| filter.allows(e));
         let open: Vec<_> = open.map(|e| e.id.as_str()).collect();
         assert_eq!(open, ["e30"]);
     }
 
-    /// The new version's endpoints take no connections. No caller is hurt, as each
-    /// request goes elsewhere, but nothing is learned either. When the time is up
-    /// operators must read so, and not wait for ever.
+    /// The new version's endpoints accept no connections. No caller is affected, as
+    /// each request goes elsewhere, but nothing is learned about the version
+    /// either. When the time is up, operators must read this as the reason; the
+    /// move must not wait for ever.
     #[test]
-    fn a_version_that_sees_no_requests_is_taken_back_when_time_is_up() {
-        let mut bench = Bench::new(staged(2));
-        bench.tick(
+    fn a_version_that_sees_no_requests_is_rolled_back_when_time_is_up() {
+        let mut harness = Harness::new(staged(2));
+        harness.tick(
             (10..20)
                 .map(|n| Input::Gone(format!("e{n}").into()))
                 .collect(),
         );
-        assert!((0..700).all(|_| !bench.request(200)));
-        assert_eq!(bench.unserved, 0);
-        assert!(bench.world.moves.iter().all(|c| c.verdict().is_none()));
-        bench.now += Duration::from_hours(1);
-        bench.tick(Vec::new());
-        bench.tick(vec![event(Event::Exchanged(Source::Store))]);
-        bench.tick(Vec::new());
-        let verdicts: Vec<_> = bench
+        assert!((0..700).all(|_| !harness.request(200)));
+        assert_eq!(harness.unserved, 0);
+        assert!(harness.world.moves.iter().all(|c| c.verdict().is_none()));
+        harness.now += Duration::from_hours(1);
+        harness.tick(Vec::new());
+        harness.tick(vec![event(Event::Exchanged(Source::Store))]);
+        harness.tick(Vec::new());
+        let verdicts: Vec<_> = harness
             .world
             .moves
             .iter()
@@ -522,52 +539,55 @@
         );
     }
 
-    /// An endpoint is reclaimed, and the requests that run there break. The
-    /// version it runs must not be blamed for it.
+    /// An endpoint is reclaimed, and the requests that run there break off. This
+    /// must not count against the version it runs.
     #[test]
-    fn what_breaks_at_a_leaving_endpoint_is_not_counted() {
-        let mut bench = Bench::new(staged(7));
+    fn failures_at_a_reclaimed_endpoint_are_not_counted() {
+        let mut harness = Harness::new(staged(7));
         for _ in 0..1000 {
-            bench.tick(vec![event(Event::Exchanged(Source::Store))]);
-            let order = bench.order();
+            harness.tick(vec![event(Event::Exchanged(Source::Store))]);
+            let order = harness.order();
             let request = order.id;
-            let commands = bench.tick(vec![Input::Arrived(order)]);
+            let commands = harness.tick(vec![Input::Arrived(order)]);
             let sent = sends(commands).into_iter().find(|s| s.request == request);
             let Send {
                 attempt, endpoint, ..
-            } = sent.expect("it is sent");
+            } = sent.expect("the request is sent");
             let ended = |outcome| Input::Ended {
                 attempt,
                 request,
                 outcome,
             };
-            let row = bench.world.endpoints.get(&endpoint).cloned();
+            let row = harness.world.endpoints.get(&endpoint).cloned();
             if !row.as_ref().is_some_and(is_new) {
-                bench.tick(vec![ended(Outcome::Whole { status: 200 })]);
+                harness.tick(vec![ended(Outcome::Whole { status: 200 })]);
                 continue;
             }
-            let until = bench.now + Duration::from_secs(20);
+            let until = harness.now + Duration::from_secs(20);
             let code = Code::Broken;
-            let commands = bench.tick(vec![
+            let commands = harness.tick(vec![
                 Input::Leaving {
                     endpoint: endpoint.clone(),
                     until,
                 },
                 ended(Outcome::Broken { code }),
             ]);
-            // It is sent again and ends well; one that ran for ever would make its
-            // endpoint look as if it hung.
+            // The retry ends well; if it ran for ever, its endpoint would look as
+            // if it hung.
             for again in sends(commands) {
-                bench.tick(vec![Input::Ended {
+                harness.tick(vec![Input::Ended {
                     attempt: again.attempt,
                     request,
                     outcome: Outcome::Whole { status: 200 },
                 }]);
             }
-            let n = endpoint.trim_start_matches('e').parse().expect("a number");
-            bench.tick(vec![Input::Gone(endpoint), known(n, "v2")]);
+            let n = endpoint
+                .trim_start_matches('e')
+                .parse()
+                .expect("an endpoint id ends in a number");
+            harness.tick(vec![Input::Gone(endpoint), known(n, "v2")]);
         }
-        let mut moves = bench.world.moves.iter();
+        let mut moves = harness.world.moves.iter();
         assert!(moves.all(|controller| controller.verdict().is_none()));
     }
 }
--- a/lib/tests/test_moves_evidence.rs
+++ b/lib/tests/test_moves_evidence.rs
@@ -1,4 +1,5 @@
-//! Evidence of version moves: rows on the wire, and rows that come in any order.
+//! Evidence of version moves: the wire form of rows, and merging rows that arrive
+//! in any order.
 
 use std::time::Duration;
 
@@ -26,7 +27,7 @@
     prop::collection::vec(one, 1..60)
 }
 
-/// Rows as a daemon publishes them, some samples apart.
+/// Rows as a daemon publishes them, one publication after every few samples.
 fn published(samples: &[Sample]) -> Vec<Row> {
     let mut evidence = Evidence::default();
     let mut rows = Vec::new();
@@ -40,7 +41,7 @@
 }
 
 #[test]
-fn slots_cover_their_times() {
+fn buckets_cover_their_latencies() {
     for at in 1..BUCKETS - 1 {
         assert_eq!(bucket(upper_edge(at).mul_f64(0.99)), at);
     }
@@ -49,9 +50,9 @@
 }
 
 /// A caller makes up a path for each request. Without a limit, the rows of the
-/// daemon it asks would fill the memory of all the others.
+/// daemon that it calls would fill the memory of all other daemons.
 #[test]
-fn made_up_routes_share_one_row() {
+fn routes_past_the_limit_share_one_row() {
     let mut evidence = Evidence::default();
     for n in 0..10 * MAX_ROUTES {
         evidence.record(&Sample {
@@ -72,14 +73,14 @@
     #![proptest_config(testutils::fixed(128))]
 
     #[test]
-    fn a_row_reads_back_as_it_was_written(samples in samples()) {
+    fn a_row_survives_the_wire_form(samples in samples()) {
         for row in published(&samples) {
             prop_assert_eq!(Row::from_wire(&row.to_wire()), Some(row));
         }
     }
 
     #[test]
-    fn counts_past_the_last_slot_are_refused(first in 0..200_u32, length in 0..200_usize) {
+    fn counts_past_the_last_bucket_are_rejected(first in 0..200_u32, length in 0..200_usize) {
         let mut wire = published(&[Sample {
             route: "GET /".into(),
             idempotent: true,
@@ -87,15 +88,15 @@
             time: Some(Duration::from_millis(5)),
             compared: true,
         }])[0].to_wire();
-        let side = wire.new.as_mut().expect("it has both");
+        let side = wire.new.as_mut().expect("a row has both versions");
         side.first = first;
         side.counts = vec![1; length];
         let fits = first as usize + length <= BUCKETS;
         prop_assert_eq!(Row::from_wire(&wire).is_some(), fits);
     }
 
-    /// Rows come twice, late and in any order. Counted twice, a few failures would
-    /// convict a good version.
+    /// Rows arrive twice, late and in any order. If they were counted twice, a few
+    /// failures would make a good version look bad.
     #[test]
     fn each_request_counts_once_in_any_order(samples in samples(), seed: u64) {
         let mut rng = fastrand::Rng::with_seed(seed);
--- a/lib/tests/test_moves_faults.rs
+++ b/lib/tests/test_moves_faults.rs
@@ -1,5 +1,5 @@
-//! Version moves on several daemons under cuts, pauses, restarts and lost,
-//! doubled or reordered messages.
+//! Version moves on several daemons with partitions, pauses, restarts and lost,
+//! duplicated or reordered messages.
 
 use std::time::{Duration, Instant};
 
@@ -15,7 +15,7 @@
 const DAEMONS: usize = 4;
 const WALL: u64 = 1_000_000_000;
 const STEP: Duration = Duration::from_millis(50);
-const TERM: Duration = Duration::from_secs(4);
+const LEASE_TERM: Duration = Duration::from_secs(4);
 const ID: u128 = 7;
 const SCALE: Scale = Scale {
     endpoints: 10,
@@ -24,17 +24,17 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    /// All that run do so for some steps.
+    /// All daemons that are not frozen run for some steps.
     Run(u16),
-    /// One stands still for some steps, and then goes on as if nothing were.
+    /// One is frozen for some steps, and then continues as if nothing had happened.
     Freeze(usize, u16),
-    /// One is replaced by a process that knows nothing.
+    /// One is replaced by a new process without state.
     Restart(usize),
-    /// One is cut off from the others, or joined again.
-    Cut(usize, bool),
-    /// One is cut off from the store, or joined again.
-    CutStore(usize, bool),
-    /// Requests at the new version begin to fail, or stop to.
+    /// One is partitioned from the others, or connected again.
+    Partition(usize, bool),
+    /// One is disconnected from the store, or connected again.
+    DisconnectStore(usize, bool),
+    /// Requests at the new version begin to fail, or stop failing.
     Fail(bool),
     /// An operator cancels.
     Cancel,
@@ -46,8 +46,8 @@
         6 => (1_u16..200).prop_map(Event::Run),
         2 => (daemon.clone(), 1_u16..300).prop_map(|(d, n)| Event::Freeze(d, n)),
         2 => daemon.clone().prop_map(Event::Restart),
-        2 => (daemon.clone(), any::<bool>()).prop_map(|(d, c)| Event::Cut(d, c)),
-        1 => (daemon, any::<bool>()).prop_map(|(d, c)| Event::CutStore(d, c)),
+        2 => (daemon.clone(), any::<bool>()).prop_map(|(d, c)| Event::Partition(d, c)),
+        1 => (daemon, any::<bool>()).prop_map(|(d, c)| Event::DisconnectStore(d, c)),
         1 => any::<bool>().prop_map(Event::Fail),
     ];
     let rare = prop_oneof![30 => event, 1 => Just(Event::Cancel)];
@@ -60,7 +60,7 @@
         from: usize,
         fresh: bool,
         stored: Option<Stored>,
-        bad: Vec<Verdict>,
+        verdicts: Vec<Verdict>,
     },
     Rows(Vec<Row>),
     Verdict(Verdict),
@@ -74,37 +74,38 @@
 
 struct Daemon {
     controller: Controller,
-    life: u64,
-    /// Steps for which it stands still.
+    incarnation: u64,
+    /// Steps for which it stays frozen.
     frozen: u16,
-    cut: bool,
-    cut_store: bool,
-    heard: Vec<Option<Instant>>,
+    partitioned: bool,
+    store_lost: bool,
+    last_heard: Vec<Option<Instant>>,
     lease: Option<Lease>,
-    convicted: bool,
-    /// Shares of the requests since its start, and how many went over.
-    promised: u64,
-    went: u64,
+    saw_verdict: bool,
+    /// Sum of the shares of its requests since its start, and how many went to the
+    /// new version.
+    share_sum: u64,
+    sent_new: u64,
 }
 
 impl Daemon {
-    fn new(life: u64) -> Self {
+    fn new(incarnation: u64) -> Self {
         Self {
-            controller: Controller::new("booking".into(), life),
-            life,
+            controller: Controller::new("booking".into(), incarnation),
+            incarnation,
             frozen: 0,
-            cut: false,
-            cut_store: false,
-            heard: vec![None; DAEMONS],
+            partitioned: false,
+            store_lost: false,
+            last_heard: vec![None; DAEMONS],
             lease: None,
-            convicted: false,
-            promised: 0,
-            went: 0,
+            saw_verdict: false,
+            share_sum: 0,
+            sent_new: 0,
         }
     }
 }
 
-/// Daemons, the store, and what travels between them.
+/// Daemons, the store, and the messages and writes in transit.
 struct Net {
     start: Instant,
     now: Instant,
@@ -116,15 +117,15 @@
     writes: Vec<Write>,
     messages: Vec<(usize, Message)>,
     failing: bool,
-    /// When the record last went a step on.
-    stepped: Option<Instant>,
+    /// When the record last changed its stage.
+    stage_changed: Option<Instant>,
     steps: u32,
 }
 
 impl Net {
     fn new(seed: u64, failing: bool) -> Self {
         let start = Instant::now();
-        let wish = Ask {
+        let move_ask = Ask {
             id: ID,
             service: "booking".into(),
             to: "v2".into(),
@@ -136,7 +137,7 @@
             new: 10,
             idempotent: FULL_SHARE,
         };
-        let record = ask(None, &wish, &fleet, WALL).expect("it can be done");
+        let record = ask(None, &move_ask, &fleet, WALL).expect("the move is possible");
         Self {
             start,
             now: start,
@@ -151,7 +152,7 @@
             writes: Vec::new(),
             messages: Vec::new(),
             failing,
-            stepped: None,
+            stage_changed: None,
             steps: 0,
         }
     }
@@ -168,16 +169,16 @@
             Event::Run(steps) => (0..steps).for_each(|_| self.step()),
             Event::Freeze(d, steps) => self.daemons[d].frozen = steps,
             Event::Restart(d) => {
-                let life = self.daemons[d].life + DAEMONS as u64;
-                self.daemons[d] = Daemon::new(life);
+                let incarnation = self.daemons[d].incarnation + DAEMONS as u64;
+                self.daemons[d] = Daemon::new(incarnation);
             }
-            Event::Cut(d, cut) => self.daemons[d].cut = cut,
-            Event::CutStore(d, cut) => self.daemons[d].cut_store = cut,
+            Event::Partition(d, partitioned) => self.daemons[d].partitioned = partitioned,
+            Event::DisconnectStore(d, lost) => self.daemons[d].store_lost = lost,
             Event::Fail(failing) => self.failing = failing,
             Event::Cancel => {
                 if let Ok(record) = cancel(Some(&self.store.record), ID, "asked".into()) {
                     let revision = self.store.revision;
-                    self.land(Write { revision, record });
+                    self.apply_write(Write { revision, record });
                 }
             }
         }
@@ -195,7 +196,7 @@
         }
     }
 
-    /// A part of what travels arrives, in any order and some of it twice.
+    /// Some of the messages in transit arrive, in any order and some of them twice.
     fn deliver(&mut self) {
         for _ in 0..self.messages.len() / 2 {
             let at = self.rng.usize(..self.messages.len());
@@ -203,7 +204,7 @@
             if self.rng.u8(..10) > 0 {
                 self.messages.swap_remove(at);
             }
-            if !self.daemons[to].cut && self.daemons[to].frozen == 0 {
+            if !self.daemons[to].partitioned && self.daemons[to].frozen == 0 {
                 self.receive(to, message);
             }
         }
@@ -213,7 +214,7 @@
             if self.rng.u8(..10) > 0 {
                 self.writes.swap_remove(at);
             }
-            self.land(write);
+            self.apply_write(write);
         }
     }
 
@@ -225,14 +226,14 @@
                 from,
                 fresh,
                 stored,
-                bad,
+                verdicts,
             } => {
-                daemon.heard[from] = Some(now);
+                daemon.last_heard[from] = Some(now);
                 if let Some(stored) = stored {
                     daemon.controller.apply_record(time, stored);
                 }
-                for bad in bad {
-                    daemon.controller.add_verdict(bad);
+                for verdict in verdicts {
+                    daemon.controller.add_verdict(verdict);
                 }
                 let reach = self.reach(d);
                 let source = Source::Peer { fresh };
@@ -243,28 +244,31 @@
                     daemon.controller.merge(row);
                 }
             }
-            Message::Verdict(bad) => daemon.controller.add_verdict(bad),
+            Message::Verdict(verdict) => daemon.controller.add_verdict(verdict),
         }
     }
 
-    /// The store takes a write only on the revision it was decided on.
-    fn land(&mut self, write: Write) {
+    /// The store accepts a write only on the revision that it was based on.
+    fn apply_write(&mut self, write: Write) {
         if write.revision != self.store.revision {
             return;
         }
         let old = &self.store.record;
-        // A second cancel writes what stands there already.
+        // A second cancel writes the record that is already there.
         let same = write.record == *old;
-        assert!(same || !old.ended(), "an ended move changed");
-        assert!(write.record.fence() >= old.fence(), "an old holder wrote");
-        let goes_on = write.record.stage() > old.stage() && old.stage().is_some();
-        if goes_on {
-            let before = self.stepped.map(|at| self.now - at);
+        assert!(same || !old.ended(), "a move changed after its end");
+        assert!(
+            write.record.fence() >= old.fence(),
+            "a write with an old fencing token was accepted"
+        );
+        let advances = write.record.stage() > old.stage() && old.stage().is_some();
+        if advances {
+            let before = self.stage_changed.map(|at| self.now - at);
             let slow = before.is_none_or(|before| before + 2 * MARGIN >= MIN_STAGE_TIME);
             assert!(slow, "two steps {before:?} apart");
         }
         if write.record.stage() != old.stage() {
-            self.stepped = Some(self.now);
+            self.stage_changed = Some(self.now);
             self.steps += 1;
         }
         self.store = Stored {
@@ -278,13 +282,13 @@
             |at: &&Option<Instant>| at.is_some_and(|at| self.now - at < Duration::from_secs(10));
         Reach {
             live: DAEMONS as u32,
-            heard: 1 + self.daemons[d].heard.iter().filter(recent).count() as u32,
+            heard: 1 + self.daemons[d].last_heard.iter().filter(recent).count() as u32,
         }
     }
 
     fn run(&mut self, d: usize) {
         let (now, time, reach) = (self.now, self.time(), self.reach(d));
-        if !self.daemons[d].cut_store {
+        if !self.daemons[d].store_lost {
             self.lease(d);
             if self.rng.u8(..10) == 0 {
                 let stored = self.store.clone();
@@ -310,7 +314,8 @@
         }
     }
 
-    /// The store's lease: one holder at a time, a higher number for each grant.
+    /// The store's lease: one holder at a time, and a higher fencing token for each
+    /// grant.
     fn lease(&mut self, d: usize) {
         let free = self.holder.is_none_or(|(_, until)| until <= self.now);
         let mine = self.holder.is_some_and(|(holder, _)| holder == d);
@@ -319,7 +324,7 @@
             self.fence += 1;
         }
         if free || mine {
-            let deadline = self.now + TERM;
+            let deadline = self.now + LEASE_TERM;
             self.holder = Some((d, deadline));
             let lease = Some(Lease {
                 fence: self.fence,
@@ -337,13 +342,16 @@
                 record,
                 until,
             } => {
-                let lease = self.daemons[d].lease.as_ref().expect("a lease was held");
+                let lease = self.daemons[d]
+                    .lease
+                    .as_ref()
+                    .expect("the daemon holds the lease");
                 assert!(self.now < until && until + MARGIN <= lease.deadline);
-                if !self.daemons[d].cut_store {
+                if !self.daemons[d].store_lost {
                     self.writes.push(Write { revision, record });
                 }
             }
-            Action::Push(bad) => self.send(d, &Message::Verdict(bad)),
+            Action::Push(verdict) => self.send(d, &Message::Verdict(verdict)),
             Action::Publish(rows) => self.send(d, &Message::Rows(rows)),
         }
     }
@@ -354,13 +362,13 @@
             from: d,
             fresh: controller.is_fresh(self.now),
             stored: controller.stored().cloned(),
-            bad: controller.verdicts().to_vec(),
+            verdicts: controller.verdicts().to_vec(),
         };
         self.send(d, &message);
     }
 
     fn send(&mut self, from: usize, message: &Message) {
-        if self.daemons[from].cut {
+        if self.daemons[from].partitioned {
             return;
         }
         let others = (0..DAEMONS).filter(|to| *to != from);
@@ -368,23 +376,26 @@
     }
 
     fn request(&mut self, d: usize) {
-        let draw = self.rng.u32(..FULL_SHARE);
+        let random = self.rng.u32(..FULL_SHARE);
         let daemon = &mut self.daemons[d];
-        daemon.convicted |= daemon.controller.verdict().is_some();
+        daemon.saw_verdict |= daemon.controller.verdict().is_some();
         let record = daemon.controller.stored().map(|s| s.record.clone());
         let stage = record.as_ref().and_then(Record::stage);
-        let pick = daemon.controller.version_for(self.now, true, draw);
-        if daemon.convicted {
+        let pick = daemon.controller.version_for(self.now, true, random);
+        if daemon.saw_verdict {
             assert!(daemon.controller.verdict().is_some(), "a verdict was lost");
             assert_eq!(pick, Pick::Old, "a bad version got a request");
         }
         if matches!(record, Some(Record::Done(_))) {
             return;
         }
-        daemon.promised += stage.map_or(0, |s| u64::from(shares(s, SCALE).idempotent));
-        daemon.went += u64::from(pick == Pick::New);
-        let most = daemon.promised.div_ceil(u64::from(FULL_SHARE)) + 1;
-        assert!(daemon.went <= most, "more than the share");
+        daemon.share_sum += stage.map_or(0, |s| u64::from(shares(s, SCALE).idempotent));
+        daemon.sent_new += u64::from(pick == Pick::New);
+        let most = daemon.share_sum.div_ceil(u64::from(FULL_SHARE)) + 1;
+        assert!(
+            daemon.sent_new <= most,
+            "more requests than the share allows"
+        );
         let which = if pick == Pick::New {
             VersionSide::New
         } else {
@@ -404,10 +415,10 @@
 proptest! {
     #![proptest_config(testutils::fixed(200))]
 
-    /// Daemons are cut off, frozen and replaced while a bad version is moved to,
-    /// and messages come late, twice or not. A daemon that forgets a verdict, a
-    /// holder that acts after its pause, or a share that is passed would show as
-    /// callers who meet the bad version again.
+    /// Daemons are partitioned, frozen and replaced during a move to a bad version,
+    /// and messages arrive late, twice or never. If a daemon forgot a verdict, a
+    /// holder acted after its pause, or a share was exceeded, callers would reach
+    /// the bad version again.
     #[test]
     fn verdict_share_and_lease_hold_in_every_schedule(events in events(), seed: u64) {
         let mut net = Net::new(seed, true);
@@ -416,7 +427,7 @@
         }
     }
 
-    /// The same with a good version: nothing may be taken back.
+    /// The same with a good version: the move must not be rolled back.
     #[test]
     fn a_good_version_is_not_taken_back_by_faults_of_the_network(
         events in events(),
@@ -439,14 +450,14 @@
     assert!(matches!(&net.store.record, Record::Done(done) if done.state.at <= WALL + 60_000));
 }
 
-/// A version fails every request from its first one on. Operators read that it
-/// was taken back, and on what evidence.
+/// A version fails every request from the first one on. Operators must read that
+/// the move was rolled back, and on what evidence.
 #[test]
 fn a_failing_version_is_taken_back_with_its_evidence() {
     let mut net = Net::new(1, true);
     net.play(Event::Run(300));
     let Record::RolledBack(back) = &net.store.record else {
-        panic!("it was not taken back: {:?}", net.store.record);
+        panic!("the move was not rolled back: {:?}", net.store.record);
     };
     assert!(
         back.state.reason.contains("on chat failed"),
@@ -455,14 +466,14 @@
     );
 }
 
-/// The platform's store is out when the fault shows. The verdict must reach
-/// everyone without it.
+/// The platform's store is down when the fault shows. The verdict must reach all
+/// daemons without it.
 #[test]
 fn a_verdict_spreads_while_the_store_is_out() {
     let mut net = Net::new(3, false);
     net.play(Event::Run(400));
     for d in 0..DAEMONS {
-        net.play(Event::CutStore(d, true));
+        net.play(Event::DisconnectStore(d, true));
     }
     net.play(Event::Fail(true));
     net.play(Event::Run(200));
@@ -470,11 +481,12 @@
     assert!(net.daemons.iter().all(|d| d.controller.verdict().is_some()));
 }
 
-/// The holder's host freezes just after it read the clock. Another takes the
-/// lease and goes on; the first one wakes and its write, long under way, lands.
-/// Were it to count, the move would jump a stage nobody has looked at.
+/// The lease holder's host freezes just after it read the clock. Another daemon
+/// takes the lease and advances the move; the first one resumes and its delayed
+/// write arrives. If that counted, the move would skip a stage that no daemon has
+/// evaluated.
 #[test]
-fn of_two_holders_only_one_goes_on() {
+fn of_two_lease_holders_only_one_advances_the_move() {
     let mut net = Net::new(5, false);
     net.play(Event::Run(100));
     let held = net.holder.map_or(0, |(d, _)| d);
@@ -486,45 +498,45 @@
     net.play(Event::Run(199));
     assert!(net.store.record.fence() > old.record.fence());
     let before = net.store.clone();
-    net.land(old);
+    net.apply_write(old);
     assert_eq!(net.store, before);
     net.play(Event::Run(10));
     let controller = &net.daemons[held].controller;
     assert!(controller.stored().is_some());
 }
 
-/// A daemon wakes from a long freeze and has missed the verdict. Its callers must
-/// not meet the bad version until it has heard the news.
+/// A daemon resumes after a long freeze and has missed the verdict. Its callers
+/// must not reach the bad version until it has received current state.
 #[test]
 fn a_daemon_that_was_paused_sends_nothing_until_it_heard() {
     let mut net = Net::new(6, false);
     net.play(Event::Run(600));
     assert!(net.daemons[2].controller.is_open(net.now));
-    net.play(Event::Cut(2, true));
-    net.play(Event::CutStore(2, true));
+    net.play(Event::Partition(2, true));
+    net.play(Event::DisconnectStore(2, true));
     net.play(Event::Freeze(2, 100));
     net.play(Event::Run(101));
     assert!(!net.daemons[2].controller.is_open(net.now));
-    net.play(Event::Cut(2, false));
+    net.play(Event::Partition(2, false));
     net.play(Event::Run(40));
     assert!(net.daemons[2].controller.is_open(net.now));
 }
 
-/// A zone loses its store and its peers. It goes on with the last share for as
-/// long as its daemons hear each other, and one alone goes back to the old
-/// version when its news has aged.
+/// A zone loses the store and its peers. It keeps the last share as long as its
+/// daemons receive each other's digests; a daemon that is partitioned alone returns
+/// to the old version when its state is no longer fresh.
 #[test]
 fn a_daemon_that_hears_nobody_goes_back_to_the_old_version() {
     let mut net = Net::new(8, false);
     net.play(Event::Run(400));
-    net.play(Event::Cut(1, true));
-    net.play(Event::CutStore(1, true));
+    net.play(Event::Partition(1, true));
+    net.play(Event::DisconnectStore(1, true));
     net.play(Event::Run(240));
     assert!(!net.daemons[1].controller.is_open(net.now));
 }
 
-/// A controller that is fresh and knows a staged record whose stage is over,
-/// written under the number 3.
+/// A controller with fresh state and a staged record whose stage is over, written
+/// under fencing token 3.
 fn ready(net: &Net) -> (Controller, TickInputs) {
     let now = net.now;
     let wall = WALL + 40_000;
@@ -532,12 +544,12 @@
     let mut controller = Controller::new("booking".into(), 1);
     let permit = Lease {
         fence: 3,
-        deadline: now + TERM,
+        deadline: now + LEASE_TERM,
     }
     .permit(now)
-    .expect("it is live");
+    .expect("the lease is live");
     let record = net.store.record.clone().step(permit, WALL);
-    let record = record.expect("it is asked");
+    let record = record.expect("the move waits for its first stage");
     controller.apply_record(
         start,
         Stored {
@@ -558,7 +570,7 @@
 }
 
 fn written(controller: &mut Controller, inputs: TickInputs, fence: u64) -> Option<Record> {
-    let deadline = inputs.time.now + TERM;
+    let deadline = inputs.time.now + LEASE_TERM;
     controller.set_lease(Some(Lease { fence, deadline }));
     let actions = controller.tick(inputs);
     actions.into_iter().find_map(|action| match action {
@@ -568,22 +580,22 @@
 }
 
 /// The lease passes to another daemon while a write of the former holder is still
-/// under way. The new holder must first put its number on the record: then that
-/// write meets another revision. Were it to step at once, the stage that the
-/// former holder decided on could still come in between.
+/// pending. The new holder must first write its fencing token to the record: then
+/// that write meets another revision. If it advanced at once, the stage that the
+/// former holder decided on could still be written in between.
 #[test]
-fn a_new_holder_puts_its_number_on_the_record_first() {
+fn a_new_holder_first_writes_its_fencing_token() {
     let net = Net::new(1, false);
     let (mut controller, inputs) = ready(&net);
-    let record = written(&mut controller, inputs, 4).expect("it writes");
+    let record = written(&mut controller, inputs, 4).expect("the lease holder writes the record");
     assert_eq!((record.fence(), record.stage()), (4, Some(0)));
     let (mut controller, inputs) = ready(&net);
-    let record = written(&mut controller, inputs, 3).expect("it writes");
+    let record = written(&mut controller, inputs, 3).expect("the lease holder writes the record");
     assert_eq!((record.fence(), record.stage()), (3, Some(1)));
 }
 
 /// A holder that lost its lease without noticing sees a record with a higher
-/// number. It must leave the move to the holder of that number.
+/// fencing token. It must leave the move to the holder of that token.
 #[test]
 fn a_holder_with_an_old_number_writes_nothing() {
     let net = Net::new(1, false);
@@ -591,17 +603,20 @@
     assert_eq!(written(&mut controller, inputs, 2), None);
 }
 
-/// An old copy of the record arrives after a newer one, from a slow peer. Taken
-/// for new, it would bring a version back that was taken back.
+/// An old copy of the record arrives after a newer one, from a slow peer. If it
+/// were applied, a version that was rolled back would get requests again.
 #[test]
 fn an_older_record_changes_nothing() {
     let net = Net::new(1, false);
     let (mut controller, inputs) = ready(&net);
-    let old = controller.stored().cloned().expect("it was adopted");
+    let old = controller
+        .stored()
+        .cloned()
+        .expect("the record was applied");
     let ended = old.record.clone().roll_back("failed".into());
     let back = Stored {
         revision: 6,
-        record: ended.expect("it is open"),
+        record: ended.expect("the move has not ended"),
     };
     controller.apply_record(inputs.time, back.clone());
     controller.apply_record(inputs.time, old);
