--- a/lib/benches/moves/ramp.rs
+++ b/lib/benches/moves/ramp.rs
@@ -3,8 +3,8 @@
 use std::collections::VecDeque;
 use std::time::Instant;
 
-use poplarvale_lib::moves::evidence::{Sample, Which};
-use poplarvale_lib::moves::stages::{LAST, Scale, due, shares};
+use poplarvale_lib::moves::evidence::{Sample, VersionSide};
+use poplarvale_lib::moves::stages::{LAST_STAGE, Scale, due, shares};
 use poplarvale_lib::moves::{Counter, Pick, Time};
 
 use crate::policy::{End, Policy, Score};
@@ -40,7 +40,7 @@
 
 impl Policy for Ramp {
     fn pick(&mut self, daemon: usize, _now: Instant, _repeatable: bool, draw: u32) -> Pick {
-        let share = shares(self.stage, self.scale).repeatable;
+        let share = shares(self.stage, self.scale).idempotent;
         if self.counters[daemon].take(share, draw) {
             Pick::New
         } else {
@@ -49,7 +49,7 @@
     }
 
     fn record(&mut self, _daemon: usize, sample: &Sample) {
-        if sample.which == Which::New {
+        if sample.which == VersionSide::New {
             self.current.0 += 1;
             self.current.1 += u64::from(sample.time.is_none());
         }
@@ -66,7 +66,7 @@
             return End::Back;
         }
         if time.wall >= self.due {
-            if self.stage >= LAST {
+            if self.stage >= LAST_STAGE {
                 return End::Done;
             }
             self.stage += 1;
--- a/lib/src/systems/moving.rs
+++ b/lib/src/systems/moving.rs
@@ -10,8 +10,8 @@
 use crate::endpoint::Endpoint;
 use crate::ids::{EndpointId, RequestId, ServiceId, VersionId};
 use crate::input::Outcome;
-use crate::moves::evidence::{Sample, Which};
-use crate::moves::{Controller, Event, ONE, Outlook, Pick, Reach, Spread, Time};
+use crate::moves::evidence::{Sample, VersionSide};
+use crate::moves::{Controller, EndpointCounts, Event, FULL_SHARE, Pick, Reach, TickInputs, Time};
 use crate::request::{Request, Running, Waiting};
 use crate::table::Row;
 use crate::world::World;
@@ -66,11 +66,11 @@
         return;
     };
     match event {
-        Event::Record(stored) => controller.adopt(time, stored),
-        Event::Heard(source) => controller.heard(now, source, reach),
+        Event::Record(stored) => controller.apply_record(time, stored),
+        Event::Exchanged(source) => controller.note_exchange(now, source, reach),
         Event::Row(row) => controller.merge(*row),
-        Event::Bad(bad) => controller.convict(bad),
-        Event::Lease(lease) => controller.hold(lease),
+        Event::Verdict(bad) => controller.add_verdict(bad),
+        Event::Lease(lease) => controller.set_lease(lease),
     }
 }
 
@@ -87,7 +87,7 @@
         let Some(controller) = world.moves.get_mut(&order.service) else {
             continue;
         };
-        let draw = world.rng.u32(..ONE);
+        let draw = world.rng.u32(..FULL_SHARE);
         if controller.version_for(now, order.repeatable, draw) == Pick::New {
             world.chosen.insert(Chosen { id: *id });
         }
@@ -105,9 +105,9 @@
         let to = controller.versions().map(|(_, to)| to.clone());
         let runs = |e: &Endpoint| e.service == *controller.id() && Some(&e.version) == to.as_ref();
         let ready = endpoints.iter().any(|e| runs(e) && e.takes(now));
-        let outlook = Outlook { time, reach, ready };
+        let inputs = TickInputs { time, reach, ready };
         let service = controller.id().clone();
-        for action in controller.tick(outlook) {
+        for action in controller.tick(inputs) {
             world.commands.push(Command::Move {
                 service: service.clone(),
                 action,
@@ -166,7 +166,7 @@
                 ..Filter::default()
             };
         }
-        let among = controller.spread(now).map(|spread| {
+        let among = controller.endpoint_counts(now).map(|spread| {
             let mut among = open(self, now, &order.service, version);
             rank(&mut among, spread, new);
             among.sort();
@@ -219,7 +219,7 @@
 }
 
 /// Keeps those that the stage uses.
-fn rank(open: &mut Vec<EndpointId>, spread: Spread, new: bool) {
+fn rank(open: &mut Vec<EndpointId>, spread: EndpointCounts, new: bool) {
     let count = if new { spread.new } else { spread.old };
     open.sort_by_key(|id| xxhash_rust::xxh3::xxh3_64(id.as_bytes()));
     open.truncate(count as usize);
@@ -267,15 +267,15 @@
         return;
     };
     let which = if version == to {
-        Which::New
+        VersionSide::New
     } else if version == from {
-        Which::Old
+        VersionSide::Old
     } else {
         return;
     };
     controller.record(&Sample {
         route: order.route.clone(),
-        repeatable: order.repeatable,
+        idempotent: order.repeatable,
         which,
         time: whole.then_some(took),
         compared,
