--- a/daemon/src/hosts.rs
+++ b/daemon/src/hosts.rs
@@ -16,7 +16,7 @@
 use poplarvale_lib::gossip::{Kind, Peer};
 use poplarvale_lib::protos::peer::LeavingEndpoint;
 use poplarvale_lib::protos::platform::ListedHosts;
-use poplarvale_lib::routing::KEPT;
+use poplarvale_lib::routing::NOTICE_TTL;
 use poplarvale_lib::{EndpointId, Input, Row, Table, ZoneId};
 use prost::Message as _;
 
@@ -156,7 +156,7 @@
 
     /// Takes rows back whose endpoints are long gone, or the lane would fill up.
     fn forget(&mut self, now: Instant, ctx: &mut Context<Self>) {
-        let old = |notice: &&Notice| notice.until + KEPT <= now;
+        let old = |notice: &&Notice| notice.until + NOTICE_TTL <= now;
         let own = self.notices.iter().filter(old).filter(|notice| notice.own);
         let own: Vec<EndpointId> = own.map(|notice| notice.endpoint.clone()).collect();
         self.notices.retain(|notice| !old(&notice));
--- a/daemon/src/probe/wire.rs
+++ b/daemon/src/probe/wire.rs
@@ -6,7 +6,7 @@
 use poplarvale_lib::EndpointId;
 use poplarvale_lib::protos::peer::LoadRow;
 use poplarvale_lib::protos::platform::{CacheChange, EngineLoad};
-use poplarvale_lib::routing::{CacheEvent, Report};
+use poplarvale_lib::routing::{CacheEvent, LoadReport};
 
 use super::duty::Duty;
 
@@ -57,9 +57,9 @@
 
 /// What a row that comes at a time says of an endpoint. A row is a round or two
 /// of gossip under way, which its age leaves out.
-pub(crate) fn report(endpoint: &EndpointId, now: Instant, row: &LoadRow) -> Report {
+pub(crate) fn report(endpoint: &EndpointId, now: Instant, row: &LoadRow) -> LoadReport {
     let age = Duration::from_millis(row.age_ms.into());
-    Report {
+    LoadReport {
         endpoint: endpoint.clone(),
         at: now.checked_sub(age).unwrap_or(now),
         running: row.running,
--- a/lib/benches/decisions.rs
+++ b/lib/benches/decisions.rs
@@ -7,7 +7,7 @@
 use compact_str::format_compact;
 use criterion::{BenchmarkId, Criterion};
 use poplarvale_lib::moves::Filter;
-use poplarvale_lib::routing::{Ask, Cache, CacheEvent, Policy, pick};
+use poplarvale_lib::routing::{CacheEvent, Criteria, Policy, PrefixCache, pick};
 use poplarvale_lib::{
     Accepted, Command, Customer, Input, Known, Lists, Order, Outcome, Plan, Send, Service,
     ServiceKind, Setup, Waiting, World,
@@ -48,13 +48,13 @@
         group.bench_function(BenchmarkId::from_parameter(endpoints), |b| {
             b.iter(|| {
                 at = (at + 1) % waiting.len();
-                let ask = Ask {
+                let criteria = Criteria {
                     waiting: &waiting[at],
-                    most: 10_000,
+                    max_running: 10_000,
                     now,
                     filter: &Filter::default(),
                 };
-                black_box(pick(&world.routing, &world.endpoints, &ask, &mut rng))
+                black_box(pick(&world.routing, &world.endpoints, &criteria, &mut rng))
             });
         });
     }
@@ -123,14 +123,14 @@
 /// What keeping a full cache view up to date takes: a sending, and an event.
 fn caches(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("cache");
-    let mut cache = Cache::default();
-    (0..100).for_each(|talk| cache.sent(&blocks(talk)));
+    let mut cache = PrefixCache::default();
+    (0..100).for_each(|talk| cache.record_prompt(&blocks(talk)));
     let prompts: Vec<Vec<u64>> = (100..1_000).map(blocks).collect();
     let mut at = 0;
     group.bench_function("sent", |b| {
         b.iter(|| {
             at = (at + 1) % prompts.len();
-            cache.sent(&prompts[at]);
+            cache.record_prompt(&prompts[at]);
         });
     });
     let mut sequence = 0;
@@ -156,7 +156,7 @@
     for (at, id) in ids.iter().enumerate() {
         for turn in 0..60 {
             let blocks = blocks((at as u64 * 7 + turn) % TALKS);
-            world.routing.sent(now, &blocks, id, 0);
+            world.routing.record_prompt(now, &blocks, id, 0);
         }
     }
 }
--- a/lib/benches/routing.rs
+++ b/lib/benches/routing.rs
@@ -1,5 +1,5 @@
-//! Measures where work goes: ours against least loaded and round robin, on the
-//! same trace, quiet and with reclaims.
+//! Compares selection by cost with the least-loaded and round-robin baselines on
+//! the same traces, with and without reclaims.
 
 use poplarvale_lib::routing::Policy;
 use testutils::{Arrival, Reclaim, Scene, Speed, conversations, replay};
@@ -64,8 +64,9 @@
     lost();
 }
 
-/// More than four endpoints can do, through eight daemons that see the same room
-/// in reports of two seconds, late by two: what is answered in time must not fall.
+/// More load than four endpoints can serve, through eight daemons that see the
+/// same headroom in reports sent every two seconds and two seconds late. The
+/// number of answers in time must not fall.
 fn crowded() {
     let scene = Scene {
         endpoints: 1,
@@ -79,8 +80,8 @@
     }
 }
 
-/// Tokens recomputed with one cache event in five lost against those with none
-/// lost, in small caches. Single seeds differ by a tenth, so there are many.
+/// Tokens recomputed with one cache event in five lost, compared with none lost,
+/// in small caches. Single seeds differ by a tenth, hence many seeds.
 fn lost() {
     let scene = Scene {
         zones: 3,
--- a/lib/src/dump.rs
+++ b/lib/src/dump.rs
@@ -45,15 +45,15 @@
 
     fn endpoint(&self, row: &Endpoint, now: Instant) -> Value {
         let mut value = endpoint(row, now);
-        if let Some(seat) = self.routing.get(&row.id) {
-            let report = seat.load.last();
+        if let Some(info) = self.routing.get(&row.id) {
+            let report = info.load.last_report();
             value["load"] = json!({
                 "running": report.running,
                 "slots": report.slots,
-                "pending": seat.load.pending(now),
+                "pending": info.load.pending(now),
                 "export": report.export,
                 "age_ms": -millis(report.at, now),
-                "blocks": seat.cache.len(),
+                "blocks": info.cache.len(),
             });
         }
         value
--- a/lib/src/load/state.rs
+++ b/lib/src/load/state.rs
@@ -250,8 +250,8 @@
                 self.pools.insert(Pool::new(endpoint.service.clone()));
             }
             if let Some(pool) = self.pools.get_mut(&endpoint.service) {
-                let seat = view.near(at, &endpoint.id);
-                let room = seat.map_or(0, |seat| seat.load.room(now, endpoint.running));
+                let info = view.get_at(at, &endpoint.id);
+                let room = info.map_or(0, |info| info.load.headroom(now, endpoint.running));
                 pool.add(endpoint, stats, room);
             }
         }
--- a/lib/src/routing/place.rs
+++ b/lib/src/routing/distance.rs
@@ -1,15 +1,15 @@
-//! Distance between availability zones.
+//! Network distance between availability zones.
 
 use crate::ids::{RegionId, ZoneId};
-use crate::routing::cost::{REGION, ZONE};
+use crate::routing::cost::{CROSS_REGION_S, CROSS_ZONE_S};
 use crate::table::{Row, Table};
 
-/// How far an endpoint is from this daemon.
+/// Distance of an endpoint from this daemon.
 #[proc_macros::kind]
 pub enum Distance {
     /// Same availability zone.
     Zone,
-    /// Another availability zone of the region.
+    /// Another availability zone of the same region.
     Region,
     /// Another region.
     Far,
@@ -19,23 +19,23 @@
     /// All distances, nearest first.
     pub const ALL: [Self; 3] = [Self::Zone, Self::Region, Self::Far];
 
-    /// What it adds to the cost, in seconds.
+    /// Seconds that it adds to the cost.
     pub fn seconds(self) -> f64 {
         match self {
             Self::Zone => 0.0,
-            Self::Region => ZONE,
-            Self::Far => REGION,
+            Self::Region => CROSS_ZONE_S,
+            Self::Far => CROSS_REGION_S,
         }
     }
 }
 
 #[proc_macros::row]
-struct Place {
+struct ZoneRegion {
     zone: ZoneId,
     region: RegionId,
 }
 
-impl Row for Place {
+impl Row for ZoneRegion {
     type Id = ZoneId;
     fn id(&self) -> &ZoneId {
         &self.zone
@@ -44,24 +44,24 @@
 
 /// Regions of the availability zones.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Places {
-    places: Table<Place>,
+pub struct ZoneRegions {
+    regions: Table<ZoneRegion>,
 }
 
-impl Places {
-    /// Notes the region of a zone.
-    pub fn note(&mut self, zone: ZoneId, region: RegionId) {
-        self.places.insert(Place { zone, region });
+impl ZoneRegions {
+    /// Sets the region of a zone.
+    pub fn set(&mut self, zone: ZoneId, region: RegionId) {
+        self.regions.insert(ZoneRegion { zone, region });
     }
 
     /// Distance from a zone and its region to another zone. A zone whose region
-    /// nobody told counts as one of the same region.
+    /// is unknown counts as one of the same region.
     pub fn distance(&self, zone: &ZoneId, region: &RegionId, to: &ZoneId) -> Distance {
         if zone == to {
             return Distance::Zone;
         }
-        match self.places.get(to) {
-            Some(place) if place.region != *region => Distance::Far,
+        match self.regions.get(to) {
+            Some(known) if known.region != *region => Distance::Far,
             _ => Distance::Region,
         }
     }
--- a/lib/src/routing/pick.rs
+++ b/lib/src/routing/pick.rs
@@ -1,8 +1,9 @@
-//! Picks the endpoint of a request.
+//! Picks the endpoint for a request.
 //!
-//! One walk over the endpoints of the service finds those that take work and
-//! their load; those beyond the bound of their distance are left out; of the rest
-//! the one with the least cost is taken, and among equal ones one is drawn.
+//! One pass over the endpoints of the service collects those that accept the
+//! request, with their load. Endpoints beyond the load bound of their distance
+//! are dropped. Of the rest the one with the lowest cost is picked, at random
+//! among ties.
 
 use std::time::Instant;
 
@@ -10,221 +11,241 @@
 use crate::ids::EndpointId;
 use crate::moves::Filter;
 use crate::request::Waiting;
-use crate::routing::cache::BLOCK;
-use crate::routing::cost::{Cost, EQUAL, wait};
-use crate::routing::place::Distance;
-use crate::routing::rendezvous::{Bound, choices, key};
-use crate::routing::view::{Seat, View};
+use crate::routing::cost::{Cost, TIE_S, predicted_wait};
+use crate::routing::distance::Distance;
+use crate::routing::prefix_cache::BLOCK_TOKENS;
+use crate::routing::rendezvous::{LoadBound, choices, prefix_key};
+use crate::routing::view::{EndpointInfo, View};
 use crate::table::Table;
 
-/// Share of a prompt that its first choice is supposed to have cached, as other
-/// daemons are likely to have sent its beginning there; each alternative is
-/// supposed to have half as much. With less, daemons go by their late reports and
-/// events and run after one another; with more, they leave what they know cached.
-const LIKELY: f64 = 0.6;
+/// Share of a prompt assumed to be cached at its first choice, since other
+/// daemons have probably sent its prefix there; each alternative is assumed to
+/// have half as much as the one before. With a lower share, daemons rely on their
+/// late reports and events and follow each other to the same endpoints; with a
+/// higher one, they leave endpoints that they know to have the prompt cached.
+const ASSUMED_CACHED: f64 = 0.6;
 
-/// Endpoints whose cached prefix is looked up block by block. The rough figure
-/// that they are found by is at most half too low, and of the three first choices
-/// and the known holders of a prompt hardly ever more than eight are in question.
-const CLOSER: usize = 8;
+/// Maximum number of endpoints whose cached prefix is looked up block by block.
+/// The estimate by which they are preselected is at most half too low, and the
+/// three choices of a prefix and the endpoints known to have it cached are hardly
+/// ever more than eight.
+const MAX_EXACT: usize = 8;
 
 /// How endpoints are chosen.
 #[proc_macros::kind]
 #[derive(Default)]
 pub enum Policy {
-    /// By cost.
+    /// Lowest cost.
     #[default]
     Cost,
-    /// Least loaded, own availability zone first; to compare with.
+    /// Least loaded, own availability zone first; a baseline for comparison.
     LeastLoaded,
-    /// One after the other; to compare with.
+    /// Round robin; a baseline for comparison.
     RoundRobin,
 }
 
-/// A request that needs an endpoint.
+/// What an endpoint is picked for.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<'a> {
+pub struct Criteria<'a> {
     /// The request.
     pub waiting: &'a Waiting,
-    /// Most requests of this daemon at one endpoint.
-    pub most: u32,
-    /// The present.
+    /// Maximum number of requests of this daemon at one endpoint.
+    pub max_running: u32,
+    /// Current time.
     pub now: Instant,
-    /// Versions that it may go to while a version move goes on.
+    /// Versions that the request may go to during a version move.
     pub filter: &'a Filter,
 }
 
-/// The endpoint picked.
+/// The picked endpoint.
 #[proc_macros::row]
 pub struct Pick {
     /// Endpoint.
     pub endpoint: EndpointId,
-    /// What it costs.
+    /// Its cost.
     pub cost: Cost,
-    /// Prompt tokens that are in its cache.
+    /// Prompt tokens that it has cached.
     pub cached: f64,
 }
 
-struct Open<'a> {
+struct Candidate<'a> {
     endpoint: &'a Endpoint,
-    seat: &'a Seat,
+    info: &'a EndpointInfo,
     load: u32,
 }
 
-struct Priced<'a> {
-    open: &'a Open<'a>,
+struct ScoredCandidate<'a> {
+    candidate: &'a Candidate<'a>,
     cost: Cost,
     cached: f64,
 }
 
-/// Picks the endpoint with the least cost; none when none takes the request.
+/// Picks the endpoint with the lowest cost; none if no endpoint accepts the
+/// request.
 ///
-/// The view must be in step with the endpoints, see [`View::sync`].
+/// The view must be in sync with the endpoint table, see [`View::sync`].
 pub fn pick(
     view: &View,
     endpoints: &Table<Endpoint>,
-    ask: &Ask<'_>,
+    criteria: &Criteria<'_>,
     rng: &mut fastrand::Rng,
 ) -> Option<Pick> {
-    let open = within(open(view, endpoints, ask));
-    let hints = hints(&open, ask);
-    let priced = cheapest(&open, &hints, ask, rng);
-    let least = priced
+    let candidates = within_bounds(candidates(view, endpoints, criteria));
+    let assumed = assumed_blocks(&candidates, criteria);
+    let scored = score(&candidates, &assumed, criteria, rng);
+    let least = scored
         .iter()
-        .map(|priced| priced.cost.seconds())
+        .map(|scored| scored.cost.seconds())
         .min_by(f64::total_cmp)?;
-    let equal = |priced: &&Priced<'_>| priced.cost.seconds() <= least + EQUAL;
-    let count = priced.iter().filter(equal).count();
-    let drawn = priced.iter().filter(equal).nth(rng.usize(..count))?;
+    let tied = |scored: &&ScoredCandidate<'_>| scored.cost.seconds() <= least + TIE_S;
+    let count = scored.iter().filter(tied).count();
+    let picked = scored.iter().filter(tied).nth(rng.usize(..count))?;
     Some(Pick {
-        endpoint: drawn.open.endpoint.id.clone(),
-        cost: drawn.cost,
-        cached: drawn.cached,
+        endpoint: picked.candidate.endpoint.id.clone(),
+        cost: picked.cost,
+        cached: picked.cached,
     })
 }
 
-/// Whether any endpoint takes the request now.
-pub fn is_open(view: &View, endpoints: &Table<Endpoint>, ask: &Ask<'_>) -> bool {
-    !open(view, endpoints, ask).is_empty()
+/// Whether any endpoint accepts the request now.
+pub fn has_candidate(view: &View, endpoints: &Table<Endpoint>, criteria: &Criteria<'_>) -> bool {
+    !candidates(view, endpoints, criteria).is_empty()
 }
 
-/// Endpoints that take the request.
-fn open<'a>(view: &'a View, endpoints: &'a Table<Endpoint>, ask: &Ask<'_>) -> Vec<Open<'a>> {
-    let waiting = ask.waiting;
+/// Endpoints that accept the request.
+fn candidates<'a>(
+    view: &'a View,
+    endpoints: &'a Table<Endpoint>,
+    criteria: &Criteria<'_>,
+) -> Vec<Candidate<'a>> {
+    let waiting = criteria.waiting;
     let order = &waiting.order;
-    let stay = (!order.repeatable).then(|| {
-        view.tails
-            .until(ask.now, &order.service, &order.route, order.deadline)
+    let needed_until = (!order.repeatable).then(|| {
+        view.latencies
+            .needed_until(criteria.now, &order.service, &order.route, order.deadline)
     });
     let rows = endpoints.iter().as_slice();
-    let seats = view.seats();
-    let group = view.group(&order.service);
-    let mut open = Vec::with_capacity(group.len());
+    let infos = view.infos();
+    let group = view.service_endpoints(&order.service);
+    let mut candidates = Vec::with_capacity(group.len());
     for &at in group {
-        let (Some(endpoint), Some(seat)) = (rows.get(at), seats.get(at)) else {
+        let (Some(endpoint), Some(info)) = (rows.get(at), infos.get(at)) else {
             continue;
         };
-        if endpoint.takes(ask.now)
-            && endpoint.running < ask.most
-            && lasts(seat, stay)
+        if endpoint.takes(criteria.now)
+            && endpoint.running < criteria.max_running
+            && outlives(info, needed_until)
             && !waiting.failed.contains(&endpoint.id)
-            && ask.filter.allows(endpoint)
+            && criteria.filter.allows(endpoint)
         {
-            let load = seat.load.running(endpoint.running);
-            open.push(Open {
+            let load = info.load.running(endpoint.running);
+            candidates.push(Candidate {
                 endpoint,
-                seat,
+                info,
                 load,
             });
         }
     }
-    open
+    candidates
 }
 
-/// Whether an endpoint stays until a time, as far as is known.
-fn lasts(seat: &Seat, stay: Option<Instant>) -> bool {
-    match (seat.ends, stay) {
-        (Some(ends), Some(stay)) => ends > stay,
+/// Whether an endpoint stays beyond `needed_until`, as far as its end is known.
+fn outlives(info: &EndpointInfo, needed_until: Option<Instant>) -> bool {
+    match (info.ends_at, needed_until) {
+        (Some(ends_at), Some(needed_until)) => ends_at > needed_until,
         _ => true,
     }
 }
 
-/// Leaves out the endpoints whose load is beyond the bound of their distance.
-fn within(mut open: Vec<Open<'_>>) -> Vec<Open<'_>> {
-    let mut bounds = [Bound::default(); Distance::ALL.len()];
-    for open in &open {
-        bounds[open.seat.distance as usize].add(open.load);
+/// Drops the endpoints whose load is beyond the bound of their distance.
+fn within_bounds(mut candidates: Vec<Candidate<'_>>) -> Vec<Candidate<'_>> {
+    let mut bounds = [LoadBound::default(); Distance::ALL.len()];
+    for candidate in &candidates {
+        bounds[candidate.info.distance as usize].add(candidate.load);
     }
-    open.retain(|open| bounds[open.seat.distance as usize].holds(open.load));
-    open
+    candidates.retain(|c| bounds[c.info.distance as usize].allows(c.load));
+    candidates
 }
 
-/// Blocks that other daemons have likely had computed at each endpoint: the
-/// first choice of the prefix counts as a doubtful holder, the alternatives as
-/// more doubtful ones.
-fn hints(open: &[Open<'_>], ask: &Ask<'_>) -> Vec<f64> {
-    let mut hints = vec![0.0; open.len()];
-    let Some(key) = key(&ask.waiting.order.blocks) else {
-        return hints;
+/// Number of blocks that each endpoint is assumed to have cached because other
+/// daemons have probably sent the prefix there: the share for the first choice of
+/// the prefix, and half of the previous share for each alternative.
+fn assumed_blocks(candidates: &[Candidate<'_>], criteria: &Criteria<'_>) -> Vec<f64> {
+    let mut assumed = vec![0.0; candidates.len()];
+    let Some(key) = prefix_key(&criteria.waiting.order.blocks) else {
+        return assumed;
     };
-    let mut worth = ask.waiting.order.blocks.len() as f64 * LIKELY;
-    for choice in choices(key, open.iter().map(|open| open.seat.hash)) {
+    let mut blocks = criteria.waiting.order.blocks.len() as f64 * ASSUMED_CACHED;
+    for choice in choices(key, candidates.iter().map(|c| c.info.id_hash)) {
         if let Some(at) = choice {
-            hints[at] = worth;
+            assumed[at] = blocks;
         }
-        worth /= 2.0;
+        blocks /= 2.0;
     }
-    hints
+    assumed
 }
 
-/// Costs of the endpoints worth a closer look: looking up each block of the
-/// prompt at every endpoint would take most of a decision's time.
-fn cheapest<'a>(
-    open: &'a [Open<'a>],
-    hints: &[f64],
-    ask: &Ask<'_>,
+/// Costs of the most promising candidates: looking up each block of the prompt at
+/// every endpoint would take most of the time of a decision.
+fn score<'a>(
+    candidates: &'a [Candidate<'a>],
+    assumed: &[f64],
+    criteria: &Criteria<'_>,
     rng: &mut fastrand::Rng,
-) -> Vec<Priced<'a>> {
-    let blocks = &ask.waiting.order.blocks;
-    let mut rough: Vec<(f64, usize)> = Vec::with_capacity(open.len());
-    for (at, (open, &hint)) in open.iter().zip(hints).enumerate() {
-        let known = open.seat.cache.about(blocks) as f64;
-        // Drawn a little apart, or of many equal endpoints the same few would
-        // be looked at by every daemon.
-        let drawn = rng.f64() * EQUAL;
-        let seconds = cost(open, known.max(hint), ask).seconds();
-        rough.push((seconds + drawn, at));
+) -> Vec<ScoredCandidate<'a>> {
+    let blocks = &criteria.waiting.order.blocks;
+    let mut rough: Vec<(f64, usize)> = Vec::with_capacity(candidates.len());
+    for (at, (candidate, &assumed)) in candidates.iter().zip(assumed).enumerate() {
+        let known = candidate.info.cache.estimate(blocks) as f64;
+        // Random jitter, so that among many equal endpoints the daemons do not
+        // all preselect the same few.
+        let jitter = rng.f64() * TIE_S;
+        let seconds = cost(candidate, known.max(assumed), criteria).seconds();
+        rough.push((seconds + jitter, at));
     }
-    if rough.len() > CLOSER {
-        rough.select_nth_unstable_by(CLOSER, |a, b| a.0.total_cmp(&b.0));
-        rough.truncate(CLOSER);
+    if rough.len() > MAX_EXACT {
+        rough.select_nth_unstable_by(MAX_EXACT, |a, b| a.0.total_cmp(&b.0));
+        rough.truncate(MAX_EXACT);
     }
     rough
         .into_iter()
-        .map(|(_, at)| exact(&open[at], hints[at], ask))
+        .map(|(_, at)| score_exactly(&candidates[at], assumed[at], criteria))
         .collect()
 }
 
-fn exact<'a>(open: &'a Open<'a>, hint: f64, ask: &Ask<'_>) -> Priced<'a> {
-    let known = open.seat.cache.prefix(&ask.waiting.order.blocks).worth();
-    Priced {
-        open,
-        cost: cost(open, known.max(hint), ask),
-        cached: known * f64::from(BLOCK),
+fn score_exactly<'a>(
+    candidate: &'a Candidate<'a>,
+    assumed: f64,
+    criteria: &Criteria<'_>,
+) -> ScoredCandidate<'a> {
+    let known = candidate
+        .info
+        .cache
+        .prefix(&criteria.waiting.order.blocks)
+        .weighted_blocks();
+    ScoredCandidate {
+        candidate,
+        cost: cost(candidate, known.max(assumed), criteria),
+        cached: known * f64::from(BLOCK_TOKENS),
     }
 }
 
-/// Cost of an endpoint that has so many blocks of the prompt.
-fn cost(open: &Open<'_>, cached: f64, ask: &Ask<'_>) -> Cost {
-    let order = &ask.waiting.order;
-    let seat = open.seat;
-    let report = seat.load.last();
-    let prompt = f64::from(order.prompt) + f64::from(ask.waiting.delivered);
-    let cached = (cached * f64::from(BLOCK)).min(prompt);
+/// Cost of an endpoint that has `cached` blocks of the prompt.
+fn cost(candidate: &Candidate<'_>, cached: f64, criteria: &Criteria<'_>) -> Cost {
+    let order = &criteria.waiting.order;
+    let info = candidate.info;
+    let report = info.load.last_report();
+    let prompt = f64::from(order.prompt) + f64::from(criteria.waiting.delivered);
+    let cached = (cached * f64::from(BLOCK_TOKENS)).min(prompt);
     Cost {
-        wait: wait(report, seat.load.pending(ask.now), open.load, order.answer),
+        wait: predicted_wait(
+            report,
+            info.load.pending(criteria.now),
+            candidate.load,
+            order.answer,
+        ),
         prefill: (prompt - cached) / report.prefill.max(1.0),
-        distance: seat.distance.seconds(),
-        price: seat.price,
+        distance: info.distance.seconds(),
+        price: info.price_s,
     }
 }
--- a/lib/src/routing/view.rs
+++ b/lib/src/routing/view.rs
@@ -1,8 +1,9 @@
-//! What a daemon knows of its endpoints beyond their table.
+//! What a daemon knows about its endpoints beyond the endpoint table.
 //!
-//! Seats stand in the order of the endpoints' table, and each service has the
-//! list of its seats with distance and price worked out, so that a decision walks
-//! the endpoints of one service and works out nothing that did not change.
+//! The entries are in the order of the endpoint table. Each service has the list
+//! of its entries, whose distance and price penalty are computed in advance, so
+//! that a decision visits only the endpoints of one service and computes nothing
+//! that did not change.
 
 use std::time::Instant;
 
@@ -10,275 +11,283 @@
 
 use crate::endpoint::Endpoint;
 use crate::ids::{EndpointId, RegionId, ServiceId, ZoneId};
-use crate::routing::cache::{BLOCK, Cache, CacheEvent};
-use crate::routing::cost::price;
-use crate::routing::fluid::Fluid;
-use crate::routing::load::{Load, Report};
+use crate::routing::backlog::Backlog;
+use crate::routing::cost::price_penalty;
+use crate::routing::distance::{Distance, ZoneRegions};
+use crate::routing::endpoint_load::{EndpointLoad, LoadReport};
 use crate::routing::notice::Notices;
 use crate::routing::pick::Policy;
-use crate::routing::place::{Distance, Places};
-use crate::routing::tail::Tails;
+use crate::routing::prefix_cache::{BLOCK_TOKENS, CacheEvent, PrefixCache};
+use crate::routing::route_latency::RouteLatencies;
 use crate::table::{Row, Table};
 use crate::world::Setup;
 
-/// What the borders tell about endpoints.
+/// Input about endpoints from outside the world.
 #[proc_macros::row]
 pub enum Event {
-    /// An endpoint reported its load.
-    Load(Report),
-    /// An endpoint's prefix cache changed.
+    /// Load report of an endpoint.
+    Load(LoadReport),
+    /// Change of an endpoint's prefix cache.
     Cache(CacheEvent),
     /// Region of an availability zone.
-    Place {
+    Zone {
         /// Availability zone.
         zone: ZoneId,
         /// Its region.
         region: RegionId,
     },
-    /// Price of an endpoint that is known; told before, it is forgotten.
+    /// Price of a known endpoint. Prices of endpoints that are not known yet are
+    /// dropped.
     Price {
         /// Endpoint.
         endpoint: EndpointId,
-        /// Price of an hour, in any currency that is the same for all.
+        /// Price per hour, in a currency that is the same for all endpoints.
         hourly: f64,
     },
-    /// Known end of an endpoint's life, long before any notice: a host that is
-    /// only lent for some time, or that will be replaced.
+    /// Known end of an endpoint, long before any reclaim notice: its host is lent
+    /// for a limited time or will be replaced.
     Ends {
         /// Endpoint.
         endpoint: EndpointId,
-        /// When.
+        /// When it ends.
         at: Instant,
     },
 }
 
-/// What is known of one endpoint.
+/// What is known about one endpoint.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Seat {
+pub struct EndpointInfo {
     /// Endpoint.
     pub endpoint: EndpointId,
     /// Its load.
-    pub load: Load,
+    pub load: EndpointLoad,
     /// Its prefix cache.
-    pub cache: Cache,
-    /// Price of an hour; 0 when not known.
+    pub cache: PrefixCache,
+    /// Price per hour; 0 if unknown.
     pub hourly: f64,
-    /// Known end of its life.
-    pub ends: Option<Instant>,
-    /// KV cache tokens on their way out.
-    pub exports: Fluid,
+    /// Known end of its lifetime.
+    pub ends_at: Option<Instant>,
+    /// KV cache tokens that are being exported.
+    pub export_backlog: Backlog,
     /// Hash of its id, for rendezvous hashing.
-    pub(crate) hash: u64,
-    /// How far it is.
+    pub(crate) id_hash: u64,
+    /// Distance from this daemon.
     pub(crate) distance: Distance,
-    /// Seconds that its price counts for.
-    pub(crate) price: f64,
+    /// Price penalty in seconds.
+    pub(crate) price_s: f64,
     process: Option<(std::net::SocketAddr, crate::ids::VersionId)>,
 }
 
-impl Row for Seat {
+impl Row for EndpointInfo {
     type Id = EndpointId;
     fn id(&self) -> &EndpointId {
         &self.endpoint
     }
 }
 
-impl Seat {
+impl EndpointInfo {
     fn new(endpoint: &EndpointId, now: Instant) -> Self {
         Self {
             endpoint: endpoint.clone(),
-            load: Load::new(endpoint.clone(), now),
-            cache: Cache::default(),
+            load: EndpointLoad::new(endpoint.clone(), now),
+            cache: PrefixCache::default(),
             hourly: 0.0,
-            ends: None,
-            exports: Fluid::default(),
-            hash: xxh3_64(endpoint.as_bytes()),
+            ends_at: None,
+            export_backlog: Backlog::default(),
+            id_hash: xxh3_64(endpoint.as_bytes()),
             distance: Distance::Region,
-            price: 0.0,
+            price_s: 0.0,
             process: None,
         }
     }
 
-    /// Whether this seat speaks of the process that the row names. The row of a
-    /// new process under an old id must not inherit cache and load.
-    fn matches(&self, endpoint: &Endpoint) -> bool {
+    /// Whether this entry describes the process that the row names. A new process
+    /// under an old id must not inherit cache and load.
+    fn is_same_process(&self, endpoint: &Endpoint) -> bool {
         self.process.as_ref().is_some_and(|(address, version)| {
             *address == endpoint.address && *version == endpoint.version
         })
     }
 }
 
-/// Seats of one service.
+/// Positions of the endpoints of one service.
 #[derive(Clone, Debug, PartialEq)]
 struct Group {
     service: ServiceId,
-    seats: Vec<usize>,
+    members: Vec<usize>,
 }
 
-/// All that is known of endpoints beyond their table.
+/// What is known about all endpoints beyond the endpoint table.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct View {
     /// How endpoints are chosen.
     pub policy: Policy,
-    /// Slow tails of the routes.
-    pub tails: Tails,
+    /// Latency histograms of the routes.
+    pub latencies: RouteLatencies,
     /// Reclaim notices.
     pub notices: Notices,
-    pub(crate) turn: usize,
-    seats: Table<Seat>,
+    pub(crate) round_robin: usize,
+    infos: Table<EndpointInfo>,
     groups: Vec<Group>,
-    places: Places,
-    /// Known ends, also of endpoints that are not known yet.
-    ends: Notices,
-    changed: bool,
+    zones: ZoneRegions,
+    /// Known ends, including those of endpoints that are not known yet.
+    known_ends: Notices,
+    stale: bool,
 }
 
 impl View {
-    /// Takes in what a border told.
-    pub fn take(&mut self, now: Instant, event: Event) {
+    /// Applies an input about endpoints.
+    pub fn apply(&mut self, now: Instant, event: Event) {
         match event {
             Event::Load(report) => {
                 let endpoint = report.endpoint.clone();
-                self.seat(now, &endpoint).load.report(now, report);
+                self.info_mut(now, &endpoint).load.apply(now, report);
             }
-            Event::Cache(event) => self.seat(now, &event.endpoint).cache.apply(&event),
-            Event::Place { zone, region } => {
-                self.places.note(zone, region);
-                self.changed = true;
+            Event::Cache(event) => self.info_mut(now, &event.endpoint).cache.apply(&event),
+            Event::Zone { zone, region } => {
+                self.zones.set(zone, region);
+                self.stale = true;
             }
             Event::Price { endpoint, hourly } => {
-                self.seat(now, &endpoint).hourly = hourly;
-                self.changed = true;
+                self.info_mut(now, &endpoint).hourly = hourly;
+                self.stale = true;
             }
             Event::Ends { endpoint, at } => {
-                self.ends.set(now, &endpoint, at);
-                self.changed = true;
+                self.known_ends.set(now, &endpoint, at);
+                self.stale = true;
             }
         }
     }
 
-    /// Seat of an endpoint.
-    pub fn get(&self, endpoint: &EndpointId) -> Option<&Seat> {
-        self.seats.get(endpoint)
+    /// What is known about an endpoint.
+    pub fn get(&self, endpoint: &EndpointId) -> Option<&EndpointInfo> {
+        self.infos.get(endpoint)
     }
 
-    /// Seat of an endpoint whose place in the endpoints' table is `at`. The seats
-    /// follow that table once a tick; a search for each would double a quiet tick.
-    pub(crate) fn near(&self, at: usize, endpoint: &EndpointId) -> Option<&Seat> {
-        let seat = self.seats().get(at);
-        seat.filter(|seat| seat.endpoint == *endpoint)
+    /// Like [`View::get`], for an endpoint whose position in the endpoint table
+    /// is `at`. The entries follow that table once per tick; a search for each
+    /// endpoint would double the time of an idle tick.
+    pub(crate) fn get_at(&self, at: usize, endpoint: &EndpointId) -> Option<&EndpointInfo> {
+        let info = self.infos().get(at);
+        info.filter(|info| info.endpoint == *endpoint)
             .or_else(|| self.get(endpoint))
     }
 
-    /// Seats in the order of the endpoints' table, once in step with it.
-    pub(crate) fn seats(&self) -> &[Seat] {
-        self.seats.iter().as_slice()
+    /// Entries in the order of the endpoint table, after [`View::sync`].
+    pub(crate) fn infos(&self) -> &[EndpointInfo] {
+        self.infos.iter().as_slice()
     }
 
     /// Positions of a service's endpoints.
-    pub(crate) fn group(&self, service: &ServiceId) -> &[usize] {
-        match self.find(service) {
-            Ok(at) => &self.groups[at].seats,
+    pub(crate) fn service_endpoints(&self, service: &ServiceId) -> &[usize] {
+        match self.find_group(service) {
+            Ok(at) => &self.groups[at].members,
             Err(_) => &[],
         }
     }
 
-    /// Notes a sending to an endpoint, with the tokens that it would prefill if
-    /// nothing were cached there.
-    pub fn sent(&mut self, now: Instant, blocks: &[u64], endpoint: &EndpointId, tokens: u32) {
-        let seat = self.seat(now, endpoint);
-        let cached = seat.cache.prefix(blocks).worth() * f64::from(BLOCK);
+    /// Records that a prompt was sent to an endpoint, with the tokens that it
+    /// would prefill if nothing were cached there.
+    pub fn record_prompt(
+        &mut self,
+        now: Instant,
+        blocks: &[u64],
+        endpoint: &EndpointId,
+        tokens: u32,
+    ) {
+        let info = self.info_mut(now, endpoint);
+        let cached = info.cache.prefix(blocks).weighted_blocks() * f64::from(BLOCK_TOKENS);
         let tokens = (f64::from(tokens) - cached).max(0.0);
-        seat.load.sent(now, tokens);
-        seat.cache.sent(blocks);
+        info.load.record_prompt(now, tokens);
+        info.cache.record_prompt(blocks);
     }
 
-    /// Notes that KV cache of an endpoint goes out.
-    pub(crate) fn exported(&mut self, now: Instant, endpoint: &EndpointId, tokens: u32) {
-        let seat = self.seat(now, endpoint);
-        let rate = seat.load.last().export;
-        seat.exports.add(now, rate, f64::from(tokens));
+    /// Records that an endpoint exports KV cache.
+    pub(crate) fn record_export(&mut self, now: Instant, endpoint: &EndpointId, tokens: u32) {
+        let info = self.info_mut(now, endpoint);
+        let rate = info.load.last_report().export;
+        info.export_backlog.add(now, rate, f64::from(tokens));
     }
 
-    /// Brings the seats in step with the endpoints.
+    /// Synchronises the entries with the endpoint table.
     pub fn sync(&mut self, now: Instant, setup: &Setup, endpoints: &Table<Endpoint>) {
-        if self.changed || !self.in_step(endpoints) {
+        if self.stale || !self.is_synced(endpoints) {
             self.rebuild(now, setup, endpoints);
-            self.changed = false;
+            self.stale = false;
         }
-        for (seat, endpoint) in self.seats.iter_mut().zip(endpoints) {
-            seat.load.count(now, endpoint.running);
+        for (info, endpoint) in self.infos.iter_mut().zip(endpoints) {
+            info.load.record_running(now, endpoint.running);
         }
     }
 
-    fn in_step(&self, endpoints: &Table<Endpoint>) -> bool {
-        self.seats.len() == endpoints.len()
+    fn is_synced(&self, endpoints: &Table<Endpoint>) -> bool {
+        self.infos.len() == endpoints.len()
             && self
-                .seats
+                .infos
                 .iter()
                 .zip(endpoints)
-                .all(|(seat, row)| seat.endpoint == row.id && seat.matches(row))
+                .all(|(info, row)| info.endpoint == row.id && info.is_same_process(row))
     }
 
     fn rebuild(&mut self, now: Instant, setup: &Setup, endpoints: &Table<Endpoint>) {
-        self.seats.retain(|seat| endpoints.contains(&seat.endpoint));
+        self.infos.retain(|info| endpoints.contains(&info.endpoint));
         for row in endpoints {
-            let ends = self.ends.until(now, &row.id);
-            let distance = self.places.distance(&setup.zone, &setup.region, &row.zone);
-            let seat = self.seat(now, &row.id);
-            if seat.process.is_some() && !seat.matches(row) {
-                *seat = Seat::new(&row.id, now);
+            let ends_at = self.known_ends.gone_at(now, &row.id);
+            let distance = self.zones.distance(&setup.zone, &setup.region, &row.zone);
+            let info = self.info_mut(now, &row.id);
+            if info.process.is_some() && !info.is_same_process(row) {
+                *info = EndpointInfo::new(&row.id, now);
             }
-            seat.process = Some((row.address, row.version.clone()));
-            seat.distance = distance;
-            seat.ends = ends;
+            info.process = Some((row.address, row.version.clone()));
+            info.distance = distance;
+            info.ends_at = ends_at;
         }
         self.groups.clear();
         for (at, row) in endpoints.iter().enumerate() {
-            self.join(&row.service, at);
+            self.add_to_group(&row.service, at);
         }
-        self.value();
+        self.update_prices();
     }
 
-    fn join(&mut self, service: &ServiceId, seat: usize) {
-        match self.find(service) {
-            Ok(at) => self.groups[at].seats.push(seat),
+    fn add_to_group(&mut self, service: &ServiceId, position: usize) {
+        match self.find_group(service) {
+            Ok(at) => self.groups[at].members.push(position),
             Err(at) => {
                 let group = Group {
                     service: service.clone(),
-                    seats: vec![seat],
+                    members: vec![position],
                 };
                 self.groups.insert(at, group);
             }
         }
     }
 
-    /// Works out what each price counts for against the cheapest of its service.
-    fn value(&mut self) {
-        let hourly: Vec<f64> = self.seats.iter().map(|seat| seat.hourly).collect();
+    /// Computes each price penalty against the cheapest endpoint of the service.
+    fn update_prices(&mut self) {
+        let hourly: Vec<f64> = self.infos.iter().map(|info| info.hourly).collect();
         let mut prices = vec![0.0; hourly.len()];
         for group in &self.groups {
-            let known = group.seats.iter().map(|&at| hourly[at]);
+            let known = group.members.iter().map(|&at| hourly[at]);
             let cheapest = known.filter(|&h| h > 0.0).fold(f64::INFINITY, f64::min);
-            for &at in &group.seats {
-                prices[at] = price(hourly[at], cheapest);
+            for &at in &group.members {
+                prices[at] = price_penalty(hourly[at], cheapest);
             }
         }
-        for (seat, price) in self.seats.iter_mut().zip(prices) {
-            seat.price = price;
+        for (info, price) in self.infos.iter_mut().zip(prices) {
+            info.price_s = price;
         }
     }
 
-    fn find(&self, service: &ServiceId) -> Result<usize, usize> {
+    fn find_group(&self, service: &ServiceId) -> Result<usize, usize> {
         self.groups.binary_search_by(|g| g.service.cmp(service))
     }
 
-    fn seat(&mut self, now: Instant, endpoint: &EndpointId) -> &mut Seat {
-        if !self.seats.contains(endpoint) {
-            self.seats.insert(Seat::new(endpoint, now));
+    fn info_mut(&mut self, now: Instant, endpoint: &EndpointId) -> &mut EndpointInfo {
+        if !self.infos.contains(endpoint) {
+            self.infos.insert(EndpointInfo::new(endpoint, now));
         }
-        self.seats
+        self.infos
             .get_mut(endpoint)
-            .expect("the seat was just put in")
+            .expect("the entry was inserted above")
     }
 }
--- a/lib/src/systems/choose.rs
+++ b/lib/src/systems/choose.rs
@@ -6,7 +6,7 @@
 use crate::ids::EndpointId;
 use crate::moves::Filter;
 use crate::request::Waiting;
-use crate::routing::{Ask, Policy, pick};
+use crate::routing::{Criteria, Policy, pick};
 use crate::world::World;
 
 /// Endpoint for a request by the policy in force; none when none takes it.
@@ -14,13 +14,13 @@
     let filter = &world.open_to(now, waiting);
     match world.routing.policy {
         Policy::Cost => {
-            let ask = Ask {
+            let criteria = Criteria {
                 waiting,
-                most: world.setup.running,
+                max_running: world.setup.running,
                 now,
                 filter,
             };
-            let pick = pick(&world.routing, &world.endpoints, &ask, &mut world.rng)?;
+            let pick = pick(&world.routing, &world.endpoints, &criteria, &mut world.rng)?;
             Some(pick.endpoint)
         }
         Policy::LeastLoaded => least_loaded(world, now, waiting, filter),
@@ -55,10 +55,10 @@
     waiting: &Waiting,
     filter: &Filter,
 ) -> Option<EndpointId> {
-    let turn = world.routing.turn;
+    let turn = world.routing.round_robin;
     let open = open(world, now, waiting, filter);
     let id = open.get(turn % open.len().max(1))?.id.clone();
-    world.routing.turn = turn.wrapping_add(1);
+    world.routing.round_robin = turn.wrapping_add(1);
     Some(id)
 }
 
--- a/lib/src/systems/intake.rs
+++ b/lib/src/systems/intake.rs
@@ -40,7 +40,7 @@
             Input::Gone(endpoint) => {
                 leaving::gone(world, &endpoint);
             }
-            Input::Routing(event) => world.routing.take(now, event),
+            Input::Routing(event) => world.routing.apply(now, event),
             Input::Fleet(count) => world.load.shares.set_expected(count),
             Input::Met(incarnation) => allowance::meet(world, now, incarnation),
             Input::Parted(incarnation) => world.load.shares.remove_peer(incarnation),
@@ -69,7 +69,7 @@
     let old = world.endpoints.remove(&known.id);
     let same = old.filter(|o| o.address == known.address && o.version == known.version);
     let endpoint = same.unwrap_or(Endpoint {
-        leaving: world.routing.notices.until(now, &known.id),
+        leaving: world.routing.notices.gone_at(now, &known.id),
         id: known.id,
         service: known.service,
         zone: known.zone,
--- a/lib/src/systems/leaving.rs
+++ b/lib/src/systems/leaving.rs
@@ -13,13 +13,15 @@
 use crate::endpoint::Endpoint;
 use crate::ids::{EndpointId, RequestId};
 use crate::request::{Repeatable, Request, Running, Sending};
-use crate::routing::{Ask, Carry, Pick, Policy, Stream, pick, plan, stays};
+use crate::routing::{
+    Criteria, Migration, Pick, Policy, Stream, ends_in_time, pick, plan_migration,
+};
 use crate::world::World;
 
 /// Notes a notice. Of two announcements the earlier end counts: new work then
 /// stops in time.
 pub(crate) fn notice(world: &mut World, now: Instant, endpoint: &EndpointId, until: Instant) {
-    world.routing.notices.note(now, endpoint, until);
+    world.routing.notices.record(now, endpoint, until);
     if let Some(endpoint) = world.endpoints.get_mut(endpoint) {
         let known = endpoint.leaving.unwrap_or(until);
         endpoint.leaving = Some(known.min(until));
@@ -53,7 +55,10 @@
     };
     let order = request.order();
     let took = now.saturating_duration_since(sent);
-    world.routing.tails.note(&order.service, &order.route, took);
+    world
+        .routing
+        .latencies
+        .record(&order.service, &order.route, took);
 }
 
 /// Carries streams away from the endpoints that are leaving.
@@ -85,7 +90,7 @@
         let Ok(at) = endpoints.binary_search_by(|e| e.id.cmp(&running.endpoint)) else {
             continue;
         };
-        if !stays(rest(world, now, running), left(endpoints[at], now)) {
+        if !ends_in_time(rest(world, now, running), left(endpoints[at], now)) {
             overdue.push((running.endpoint.clone(), running.order.id));
         }
     }
@@ -110,9 +115,9 @@
         .filter_map(|(_, id)| stream(world, now, &endpoint, *id))
         .collect();
     let (export, queued) = exports(world, now, &endpoint.id);
-    let carries = plan(left(&endpoint, now), export, queued, &streams);
+    let carries = plan_migration(left(&endpoint, now), export, queued, &streams);
     for ((_, id), carry) in overdue.iter().zip(carries) {
-        if carry != Carry::Stay {
+        if carry != Migration::Stay {
             carry_on(world, now, *id, carry);
         }
     }
@@ -123,8 +128,8 @@
     let Some(seat) = world.routing.get(endpoint) else {
         return (0.0, 0.0);
     };
-    let rate = seat.load.last().export;
-    (rate, seat.exports.level(now, rate))
+    let rate = seat.load.last_report().export;
+    (rate, seat.export_backlog.level(now, rate))
 }
 
 fn stream(world: &mut World, now: Instant, from: &Endpoint, id: RequestId) -> Option<Stream> {
@@ -137,9 +142,9 @@
     let to = elsewhere(world, now, &running);
     let cached = to.as_ref().map_or(0.0, |pick| pick.cached);
     Some(Stream {
-        rest,
-        cache,
-        again: (f64::from(cache) - cached).max(0.0) as u32,
+        remaining: rest,
+        cache_tokens: cache,
+        recompute: (f64::from(cache) - cached).max(0.0) as u32,
         movable: started && to.is_some_and(|to| takes_cache(world, from, &to.endpoint)),
     })
 }
@@ -151,11 +156,12 @@
         return Duration::ZERO;
     };
     if order.model.is_none() {
-        let tails = &world.routing.tails;
-        let until = tails.until(running.sent, &order.service, &order.route, order.deadline);
+        let latencies = &world.routing.latencies;
+        let until =
+            latencies.needed_until(running.sent, &order.service, &order.route, order.deadline);
         return until.saturating_duration_since(now);
     }
-    let report = seat.load.last();
+    let report = seat.load.last_report();
     let answer = f64::from(order.answer.saturating_sub(running.delivered));
     let prompt = match running.first {
         Some(_) => 0.0,
@@ -169,13 +175,13 @@
 
 fn elsewhere(world: &mut World, now: Instant, running: &Running<Repeatable>) -> Option<Pick> {
     let waiting = running.clone().again();
-    let ask = Ask {
+    let criteria = Criteria {
         filter: &world.open_to(now, &waiting),
         waiting: &waiting,
-        most: world.setup.running,
+        max_running: world.setup.running,
         now,
     };
-    pick(&world.routing, &world.endpoints, &ask, &mut world.rng)
+    pick(&world.routing, &world.endpoints, &criteria, &mut world.rng)
 }
 
 /// Whether KV cache of one endpoint can go into another: both can carry it, and
@@ -183,7 +189,7 @@
 fn takes_cache(world: &World, from: &Endpoint, to: &EndpointId) -> bool {
     let carries = |id| {
         let seat = world.routing.get(id);
-        seat.is_some_and(|seat| seat.load.last().export > 0.0)
+        seat.is_some_and(|seat| seat.load.last_report().export > 0.0)
     };
     let same = world
         .endpoints
@@ -194,7 +200,7 @@
 
 /// Sends a stream on to another endpoint. While there is none it stays, as every
 /// token that it still gives need not be computed elsewhere.
-fn carry_on(world: &mut World, now: Instant, id: RequestId, carry: Carry) {
+fn carry_on(world: &mut World, now: Instant, id: RequestId, carry: Migration) {
     let Some(Request::Repeatable(running)) = world.requests.get(&id).cloned() else {
         return;
     };
@@ -210,9 +216,9 @@
     };
     // An earlier stream may have taken the place that the plan was made with.
     let size = running.order.prompt.saturating_add(running.delivered);
-    let moves = carry == Carry::Move && takes_cache(world, &from, &row.id);
+    let moves = carry == Migration::Move && takes_cache(world, &from, &row.id);
     if moves {
-        world.routing.exported(now, &from.id, size);
+        world.routing.record_export(now, &from.id, size);
     } else {
         world.commands.push(Command::Cancel(running.attempt));
     }
@@ -235,7 +241,7 @@
     let prompt = if moves { 0 } else { size };
     world
         .routing
-        .sent(now, &running.order.blocks, &row.id, prompt);
+        .record_prompt(now, &running.order.blocks, &row.id, prompt);
     shift(world, &from.id, &row.id);
     let carried = running.move_to(sending);
     world.requests.insert(Request::Repeatable(carried));
--- a/lib/src/systems/queue.rs
+++ b/lib/src/systems/queue.rs
@@ -12,7 +12,7 @@
 use crate::load::fair_queue::{Entry, FairQueue};
 use crate::load::{Choice, remaining_work};
 use crate::request::{Ending, Request};
-use crate::routing::{Ask, is_open};
+use crate::routing::{Criteria, has_candidate};
 use crate::systems::intake::finish;
 use crate::table::Row;
 use crate::world::World;
@@ -93,13 +93,13 @@
     if waiting.failed.is_empty() && waiting.order.repeatable && !moved {
         return true;
     }
-    let ask = Ask {
+    let criteria = Criteria {
         waiting,
-        most: world.setup.running,
+        max_running: world.setup.running,
         now,
         filter: &world.open_to(now, waiting),
     };
-    is_open(&world.routing, &world.endpoints, &ask)
+    has_candidate(&world.routing, &world.endpoints, &criteria)
 }
 
 /// Ends the requests that can no longer be done in time. They were let in on a
--- a/lib/src/systems/route.rs
+++ b/lib/src/systems/route.rs
@@ -40,7 +40,7 @@
     let prompt = waiting.order.prompt.saturating_add(waiting.delivered);
     world
         .routing
-        .sent(now, &waiting.order.blocks, &row.id, prompt);
+        .record_prompt(now, &waiting.order.blocks, &row.id, prompt);
     let sending = Sending {
         attempt,
         endpoint,
--- a/lib/tests/test_routing_cache.rs
+++ b/lib/tests/test_routing_cache.rs
@@ -1,8 +1,9 @@
-//! The view of an endpoint's prefix cache against what it really holds.
+//! The model of an endpoint's prefix cache, compared with what the endpoint
+//! really has cached.
 
 use std::collections::BTreeSet;
 
-use poplarvale_lib::routing::{Cache, CacheEvent, MOST_BLOCKS, Prefix};
+use poplarvale_lib::routing::{CacheEvent, CachedPrefix, MAX_BLOCKS, PrefixCache};
 use proptest::prelude::*;
 use testutils::{Engine, Job, Speed};
 
@@ -16,75 +17,79 @@
     }
 }
 
-fn sure(sure: usize) -> Prefix {
-    Prefix { sure, doubtful: 0 }
+fn confirmed(confirmed: usize) -> CachedPrefix {
+    CachedPrefix {
+        confirmed,
+        unconfirmed: 0,
+    }
 }
 
-/// The event that removed a block is lost. A turn sent there for its cache would
-/// wait for the whole history to be computed.
+/// The event that removed a block is lost. A turn sent to the endpoint for its
+/// cached prefix would wait until the whole history is computed.
 #[test]
-fn a_gap_makes_what_was_known_doubtful() {
-    let mut cache = Cache::default();
+fn a_gap_makes_earlier_entries_unconfirmed() {
+    let mut cache = PrefixCache::default();
     cache.apply(&event(0, &[1, 2, 3], &[]));
     cache.apply(&event(2, &[9], &[]));
-    let doubtful = Prefix {
-        sure: 0,
-        doubtful: 3,
+    let unconfirmed = CachedPrefix {
+        confirmed: 0,
+        unconfirmed: 3,
     };
-    assert_eq!(cache.prefix(&[1, 2, 3, 4]), doubtful);
-    assert_eq!(cache.prefix(&[9]), sure(1));
-    cache.sent(&[1, 2]);
-    let renewed = Prefix {
-        sure: 2,
-        doubtful: 1,
+    assert_eq!(cache.prefix(&[1, 2, 3, 4]), unconfirmed);
+    assert_eq!(cache.prefix(&[9]), confirmed(1));
+    cache.record_prompt(&[1, 2]);
+    let renewed = CachedPrefix {
+        confirmed: 2,
+        unconfirmed: 1,
     };
     assert_eq!(cache.prefix(&[1, 2, 3]), renewed);
 }
 
-/// A turn's event is lost, and the next turn's names only the blocks that were
-/// new with it. Were its prompt taken to end at the gap, the third turn would go
-/// to another endpoint and its guest wait for the whole history to be computed.
+/// The event of one turn is lost, and the event of the next turn names only the
+/// blocks that it added. If the cached prefix were taken to end at the gap, the
+/// third turn would go to another endpoint and wait until the whole history is
+/// computed.
 #[test]
-fn a_sure_block_vouches_for_those_before_it() {
-    let mut cache = Cache::default();
+fn a_confirmed_block_confirms_those_before_it() {
+    let mut cache = PrefixCache::default();
     cache.apply(&event(0, &[1, 2], &[]));
     cache.apply(&event(2, &[5, 6], &[]));
-    assert_eq!(cache.prefix(&[1, 2, 3, 4, 5, 6, 7]), sure(6));
-    assert_eq!(cache.prefix(&[1, 2, 3, 4, 9]).sure, 0);
+    assert_eq!(cache.prefix(&[1, 2, 3, 4, 5, 6, 7]), confirmed(6));
+    assert_eq!(cache.prefix(&[1, 2, 3, 4, 9]).confirmed, 0);
     cache.apply(&event(4, &[9], &[]));
-    let doubtful = Prefix {
-        sure: 0,
-        doubtful: 2,
+    let unconfirmed = CachedPrefix {
+        confirmed: 0,
+        unconfirmed: 2,
     };
-    assert_eq!(cache.prefix(&[1, 2, 3, 4, 5, 6, 7]), doubtful);
+    assert_eq!(cache.prefix(&[1, 2, 3, 4, 5, 6, 7]), unconfirmed);
 }
 
-/// The missing event was only late.
+/// The missing event is only late and closes the gap.
 #[test]
 fn a_late_event_closes_its_gap() {
-    let mut cache = Cache::default();
+    let mut cache = PrefixCache::default();
     cache.apply(&event(0, &[1, 2, 3], &[]));
     cache.apply(&event(2, &[3], &[]));
     cache.apply(&event(1, &[4], &[3]));
-    assert_eq!(cache.prefix(&[1, 2, 3, 4]), sure(4));
+    assert_eq!(cache.prefix(&[1, 2, 3, 4]), confirmed(4));
     cache.apply(&event(1, &[], &[1]));
-    assert_eq!(cache.prefix(&[1]), sure(1), "applied twice");
+    assert_eq!(cache.prefix(&[1]), confirmed(1), "event applied twice");
 }
 
-/// An engine died and a new process answers under its name with an empty cache.
+/// An engine crashed, and a new process answers under its id with an empty cache.
 #[test]
-fn a_new_process_begins_empty() {
-    let mut cache = Cache::default();
-    cache.sent(&[1, 2]);
+fn a_new_process_starts_with_an_empty_cache() {
+    let mut cache = PrefixCache::default();
+    cache.record_prompt(&[1, 2]);
     cache.apply(&event(40, &[3], &[]));
-    assert_eq!(cache.prefix(&[1, 2, 3]), sure(3));
+    assert_eq!(cache.prefix(&[1, 2, 3]), confirmed(3));
     let restarted = CacheEvent {
         epoch: 2,
         ..event(0, &[7], &[])
     };
     cache.apply(&restarted);
-    assert_eq!(cache.prefix(&[1]), sure(0));
-    assert_eq!(cache.prefix(&[7]), sure(1));
+    assert_eq!(cache.prefix(&[1]), confirmed(0));
+    assert_eq!(cache.prefix(&[7]), confirmed(1));
 }
 
 /// Changes of an engine's cache, each with blocks to add and to remove.
@@ -100,24 +105,31 @@
     })
 }
 
-fn held(events: &[CacheEvent]) -> BTreeSet<u64> {
-    let mut held = BTreeSet::new();
+fn cached(events: &[CacheEvent]) -> BTreeSet<u64> {
+    let mut cached = BTreeSet::new();
     for event in events {
         event.removed.iter().for_each(|block| {
-            held.remove(block);
+            cached.remove(block);
         });
-        held.extend(event.added.iter().copied());
+        cached.extend(event.added.iter().copied());
     }
-    held
+    cached
 }
 
-/// Prompt of a conversation: two blocks that all share, then its own.
-fn prompt(talk: u64, len: u64) -> Vec<u64> {
-    let block = |depth| if depth < 2 { depth } else { 100 * talk + depth };
+/// Prompt of a conversation: two blocks that all conversations share, then its
+/// own.
+fn prompt(conversation: u64, len: u64) -> Vec<u64> {
+    let block = |depth| {
+        if depth < 2 {
+            depth
+        } else {
+            100 * conversation + depth
+        }
+    };
     (0..len).map(block).collect()
 }
 
-/// An engine that computes at once and whose cache holds 24 blocks.
+/// An engine that computes without delay and caches up to 24 blocks.
 fn engine() -> Engine {
     Engine::new(Speed {
         prefill: 1e9,
@@ -148,23 +160,23 @@
     #![proptest_config(testutils::fixed(256))]
 
     #[test]
-    fn with_lost_events_no_prefix_is_called_sure_that_an_engine_dropped(
+    fn with_lost_events_no_prefix_that_an_engine_evicted_is_confirmed(
         turns in prop::collection::vec((1..6_u64, 1..12_u64, any::<bool>()), 1..60),
     ) {
-        let (mut engine, mut cache) = (engine(), Cache::default());
-        let mut held = BTreeSet::new();
-        for (talk, len, lost) in turns {
-            for event in compute(&mut engine, &prompt(talk, len)) {
-                held.retain(|block| !event.removed.contains(block));
-                held.extend(event.added.iter().copied());
+        let (mut engine, mut cache) = (engine(), PrefixCache::default());
+        let mut cached = BTreeSet::new();
+        for (conversation, len, lost) in turns {
+            for event in compute(&mut engine, &prompt(conversation, len)) {
+                cached.retain(|block| !event.removed.contains(block));
+                cached.extend(event.added.iter().copied());
                 if lost && event.sequence > 0 {
                     continue;
                 }
                 cache.apply(&event);
-                for talk in 1..6 {
-                    let blocks = prompt(talk, 12);
-                    let there = blocks.iter().take_while(|block| held.contains(block));
-                    prop_assert!(cache.prefix(&blocks).sure <= there.count());
+                for conversation in 1..6 {
+                    let blocks = prompt(conversation, 12);
+                    let cached_blocks = blocks.iter().take_while(|block| cached.contains(block));
+                    prop_assert!(cache.prefix(&blocks).confirmed <= cached_blocks.count());
                 }
             }
         }
@@ -177,50 +189,50 @@
     ) {
         let mut order: Vec<usize> = (0..events.len()).collect();
         order[1..].sort_by_key(|&at| at + late[at - 1]);
-        let mut cache = Cache::default();
+        let mut cache = PrefixCache::default();
         for at in order {
             cache.apply(&events[at]);
         }
-        let held = held(&events);
+        let cached = cached(&events);
         for block in 0..30 {
-            let there = usize::from(held.contains(&block));
-            prop_assert_eq!(cache.prefix(&[block]), sure(there), "block {}", block);
+            let expected = usize::from(cached.contains(&block));
+            prop_assert_eq!(cache.prefix(&[block]), confirmed(expected), "block {}", block);
         }
     }
 
     #[test]
-    fn with_lost_events_nothing_gone_is_called_sure(
+    fn with_lost_events_no_removed_block_is_confirmed(
         events in changes(),
         lost in prop::collection::vec(any::<bool>(), 40),
     ) {
         let last = events.len() - 1;
-        let mut cache = Cache::default();
+        let mut cache = PrefixCache::default();
         for (at, event) in events.iter().enumerate() {
             if at == 0 || at == last || !lost[at - 1] {
                 cache.apply(event);
             }
         }
-        let held = held(&events);
+        let cached = cached(&events);
         for block in 0..30 {
-            if cache.prefix(&[block]).sure == 1 {
-                prop_assert!(held.contains(&block), "block {}", block);
+            if cache.prefix(&[block]).confirmed == 1 {
+                prop_assert!(cached.contains(&block), "block {}", block);
             }
         }
     }
 
     #[test]
-    fn the_view_is_bounded_and_keeps_the_latest(
+    fn the_model_is_bounded_and_keeps_the_latest(
         prompts in prop::collection::vec((any::<u64>(), 1..400_usize), 1..30),
     ) {
-        let mut cache = Cache::default();
+        let mut cache = PrefixCache::default();
         for (seed, len) in prompts {
             let mut rng = fastrand::Rng::with_seed(seed);
             let blocks: Vec<u64> = std::iter::repeat_with(|| rng.u64(..)).take(len).collect();
-            cache.sent(&blocks);
-            prop_assert!(cache.len() <= MOST_BLOCKS);
-            prop_assert_eq!(cache.prefix(&blocks), sure(len));
-            let about = cache.about(&blocks);
-            prop_assert!(about <= len && len < 2 * about);
+            cache.record_prompt(&blocks);
+            prop_assert!(cache.len() <= MAX_BLOCKS);
+            prop_assert_eq!(cache.prefix(&blocks), confirmed(len));
+            let estimate = cache.estimate(&blocks);
+            prop_assert!(estimate <= len && len < 2 * estimate);
         }
     }
 }
--- a/lib/tests/test_routing_leaving.rs
+++ b/lib/tests/test_routing_leaving.rs
@@ -1,4 +1,4 @@
-//! Endpoints that leave, and what becomes of the requests there.
+//! Endpoints that are leaving, and what happens to the requests there.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -6,7 +6,8 @@
 use compact_str::format_compact;
 use poplarvale_lib::load;
 use poplarvale_lib::routing::{
-    Carry, Event, FLOOR, KEPT, MARGIN, Notices, Report, SAMPLES, Stream, Tails, plan,
+    Event, LoadReport, MIGRATION_MARGIN, MIN_SAMPLES, MIN_TAIL, Migration, NOTICE_TTL, Notices,
+    RouteLatencies, Stream, plan_migration,
 };
 use poplarvale_lib::{
     Accepted, AttemptId, Code, Command, Customer, Ending, EndpointId, Input, Known, Lists, NotSent,
@@ -31,9 +32,9 @@
 }
 
 fn report(at: usize, now: Instant, export: f64) -> Input {
-    Input::Routing(Event::Load(Report {
+    Input::Routing(Event::Load(LoadReport {
         export,
-        ..Report::supposed(name(at), now)
+        ..LoadReport::assumed(name(at), now)
     }))
 }
 
@@ -89,7 +90,8 @@
     }
 }
 
-/// A prompt of 8,000 tokens: where it is cached is a second faster than elsewhere.
+/// A request with a prompt of 8,000 tokens: an endpoint that has it cached is a
+/// second faster than any other.
 fn long(id: RequestId, now: Instant) -> Order {
     let mut rng = fastrand::Rng::with_seed(1);
     Order {
@@ -116,7 +118,7 @@
     }
 }
 
-/// Starts one stream and lets it give some tokens.
+/// Starts a stream and lets it deliver some tokens.
 fn stream(world: &mut World, now: Instant, delivered: u32) -> Send {
     let sent = sends(&world.tick(now, vec![Input::Arrived(order(1, now, true))]));
     let progress = Input::Progress {
@@ -128,8 +130,9 @@
     sent[0].clone()
 }
 
-/// A host is reclaimed while a long answer runs there. The guest would see it
-/// stop; it goes on elsewhere, with its KV cache if the engines can carry it.
+/// A host is reclaimed while a long answer runs there. The customer would see it
+/// stop; it must continue on another endpoint, with its KV cache if both engines
+/// can transfer it.
 #[test]
 fn a_long_answer_moves_with_its_cache() {
     let now = Instant::now();
@@ -145,10 +148,10 @@
     assert!(!commands.contains(&Command::Cancel(first.attempt)));
 }
 
-/// The only other endpoint runs another version, whose cache may be laid out
-/// differently: fed with the old one it would answer nonsense.
+/// The only other endpoint runs another version, whose cache layout may differ:
+/// with the cache of the old version it would answer nonsense.
 #[test]
-fn a_cache_never_goes_into_another_version() {
+fn a_cache_is_never_imported_by_another_version() {
     let now = Instant::now();
     let mut world = world(now, 1);
     let first = stream(&mut world, now, 40);
@@ -161,8 +164,8 @@
     assert_eq!(sends(&commands)[0].delivered, 40);
 }
 
-/// An answer with few tokens to go is left alone; one that turns out too slow
-/// still leaves before the host is gone.
+/// An answer with few tokens left stays where it is; one that turns out too slow
+/// must still move before the host is gone.
 #[test]
 fn an_answer_that_ends_in_time_stays_until_it_is_late() {
     let start = Instant::now();
@@ -171,14 +174,14 @@
     let until = start + Duration::from_secs(5);
     let commands = world.tick(start, vec![leaving(&first.endpoint, until)]);
     assert!(sends(&commands).is_empty());
-    let late = start + Duration::from_secs(5).saturating_sub(MARGIN);
+    let late = start + Duration::from_secs(5).saturating_sub(MIGRATION_MARGIN);
     assert_eq!(sends(&world.tick(late, Vec::new()))[0].delivered, 270);
 }
 
-/// All hosts are reclaimed at once. An answer that has nowhere to go keeps
-/// running, and goes on when a replacement comes.
+/// All hosts are reclaimed at once. An answer without another endpoint keeps
+/// running, and continues when a replacement arrives.
 #[test]
-fn an_answer_without_another_endpoint_runs_on() {
+fn an_answer_without_another_endpoint_keeps_running() {
     let now = Instant::now();
     let mut world = world(now, 1);
     let first = stream(&mut world, now, 40);
@@ -199,8 +202,9 @@
     );
 }
 
-/// The list of hosts lags and names an endpoint alive that is gone, and a notice
-/// can come before the endpoint is known. Requests sent there would be refused.
+/// The list of hosts lags and names an endpoint as alive that is gone, and a
+/// notice can arrive before the endpoint is known. Requests sent to either would
+/// fail to connect.
 #[test]
 fn a_stale_list_does_not_bring_an_endpoint_back() {
     let now = Instant::now();
@@ -214,8 +218,9 @@
     assert_eq!(sent[0].endpoint, name(2));
 }
 
-/// The only endpoint's life is known to end soon. A booking sent there might be
-/// cut off with an unknown outcome; it waits, and in the end surely did not run.
+/// The only endpoint is known to end soon. A non-idempotent request sent there
+/// might be cut off with an unknown outcome; it waits, and fails in the end as
+/// one that certainly did not run.
 #[test]
 fn a_booking_waits_rather_than_run_into_a_known_end() {
     let now = Instant::now();
@@ -232,21 +237,21 @@
     assert!(end.iter().any(ran));
 }
 
-/// The own zone's endpoints are all gone. Requests go to the other zone's, and
-/// not all daemons' to the same one of them.
+/// The own zone has no endpoints left. Requests go to another zone, and those of
+/// all daemons must not go to the same endpoint there.
 #[test]
-fn other_zones_equal_endpoints_are_drawn_from() {
+fn equal_endpoints_of_other_zones_are_chosen_at_random() {
     let now = Instant::now();
     let mut world = world(now, ENDPOINTS);
     world.setup.zone = "empty".into();
-    let mut drawn = BTreeSet::new();
+    let mut chosen = BTreeSet::new();
     for id in 0..40 {
         let order = Order {
             blocks: Vec::new(),
             ..order(id, now, false)
         };
         let sent = sends(&world.tick(now, vec![Input::Arrived(order)]));
-        drawn.insert(sent[0].endpoint.clone());
+        chosen.insert(sent[0].endpoint.clone());
         let done = Input::Ended {
             attempt: sent[0].attempt,
             request: id,
@@ -254,41 +259,47 @@
         };
         world.tick(now, vec![done]);
     }
-    assert_eq!(drawn.len(), ENDPOINTS);
+    assert_eq!(chosen.len(), ENDPOINTS);
 }
 
 #[test]
-fn the_tail_is_measured_once_there_are_samples() {
+fn the_tail_latency_is_measured_from_enough_samples() {
     let now = Instant::now();
     let deadline = now + Duration::from_secs(30);
     let (service, route) = ("s".into(), "r".into());
-    let mut tails = Tails::default();
-    assert_eq!(tails.until(now, &service, &route, deadline), deadline);
-    for _ in 0..SAMPLES {
-        tails.note(&service, &route, Duration::from_millis(100));
+    let mut latencies = RouteLatencies::default();
+    assert_eq!(
+        latencies.needed_until(now, &service, &route, deadline),
+        deadline
+    );
+    for _ in 0..MIN_SAMPLES {
+        latencies.record(&service, &route, Duration::from_millis(100));
     }
-    assert_eq!(tails.until(now, &service, &route, deadline), now + FLOOR);
-    for _ in 0..SAMPLES / 20 {
-        tails.note(&service, &route, Duration::from_secs(4));
+    assert_eq!(
+        latencies.needed_until(now, &service, &route, deadline),
+        now + MIN_TAIL
+    );
+    for _ in 0..MIN_SAMPLES / 20 {
+        latencies.record(&service, &route, Duration::from_secs(4));
     }
-    let slow = tails.until(now, &service, &route, deadline) - now;
+    let slow = latencies.needed_until(now, &service, &route, deadline) - now;
     assert!(slow >= Duration::from_secs(8) && slow < Duration::from_secs(10));
 }
 
 #[test]
-fn a_notice_is_forgotten_after_its_time() {
+fn a_notice_expires_after_its_ttl() {
     let now = Instant::now();
     let mut notices = Notices::default();
-    notices.note(now, &name(0), now + Duration::from_secs(9));
-    notices.note(now, &name(0), now + Duration::from_secs(3));
+    notices.record(now, &name(0), now + Duration::from_secs(9));
+    notices.record(now, &name(0), now + Duration::from_secs(3));
     let until = now + Duration::from_secs(3);
-    assert_eq!(notices.until(now, &name(0)), Some(until));
-    assert_eq!(notices.until(until + KEPT, &name(0)), None);
+    assert_eq!(notices.gone_at(now, &name(0)), Some(until));
+    assert_eq!(notices.gone_at(until + NOTICE_TTL, &name(0)), None);
 }
 
-/// One step of a generated schedule; numbers pick among what exists.
+/// One step of a generated schedule; numbers select among what exists.
 #[derive(Clone, Debug)]
-enum Act {
+enum Action {
     Arrive(bool),
     Progress(usize, u32),
     Whole(usize),
@@ -301,36 +312,36 @@
     Report(usize, bool),
 }
 
-fn acts() -> impl Strategy<Value = Vec<Vec<Act>>> {
+fn actions() -> impl Strategy<Value = Vec<Vec<Action>>> {
     let at = 0..ENDPOINTS;
-    let act = prop_oneof![
-        6 => any::<bool>().prop_map(Act::Arrive),
-        4 => (0..50_usize, 1..60_u32).prop_map(|(r, t)| Act::Progress(r, t)),
-        2 => (0..50_usize).prop_map(Act::Whole),
-        1 => (0..50_usize).prop_map(Act::Unsent),
-        1 => (0..50_usize).prop_map(Act::Broken),
-        1 => (at.clone(), 0..12_u64).prop_map(|(e, s)| Act::Leaving(e, s)),
-        1 => at.clone().prop_map(Act::Gone),
-        1 => at.clone().prop_map(Act::Known),
-        1 => (at.clone(), 0..60_u64).prop_map(|(e, s)| Act::Ends(e, s)),
-        1 => (at, any::<bool>()).prop_map(|(e, x)| Act::Report(e, x)),
+    let action = prop_oneof![
+        6 => any::<bool>().prop_map(Action::Arrive),
+        4 => (0..50_usize, 1..60_u32).prop_map(|(r, t)| Action::Progress(r, t)),
+        2 => (0..50_usize).prop_map(Action::Whole),
+        1 => (0..50_usize).prop_map(Action::Unsent),
+        1 => (0..50_usize).prop_map(Action::Broken),
+        1 => (at.clone(), 0..12_u64).prop_map(|(e, s)| Action::Leaving(e, s)),
+        1 => at.clone().prop_map(Action::Gone),
+        1 => at.clone().prop_map(Action::Known),
+        1 => (at.clone(), 0..60_u64).prop_map(|(e, s)| Action::Ends(e, s)),
+        1 => (at, any::<bool>()).prop_map(|(e, x)| Action::Report(e, x)),
     ];
-    prop::collection::vec(prop::collection::vec(act, 0..4), 1..80)
+    prop::collection::vec(prop::collection::vec(action, 0..4), 1..80)
 }
 
-/// What a border would know, to judge the commands by.
+/// What a client of the world knows, to check its commands.
 #[derive(Default)]
-struct Border {
+struct Client {
     next: RequestId,
     live: BTreeMap<AttemptId, Send>,
-    once: BTreeSet<RequestId>,
+    non_idempotent: BTreeSet<RequestId>,
     sent: BTreeSet<RequestId>,
     delivered: BTreeMap<RequestId, u32>,
     noticed: BTreeSet<EndpointId>,
     ends: BTreeMap<EndpointId, Instant>,
 }
 
-impl Border {
+impl Client {
     fn pick(&self, at: usize) -> Option<Send> {
         self.live.values().nth(at % self.live.len().max(1)).cloned()
     }
@@ -348,16 +359,16 @@
         })
     }
 
-    fn input(&mut self, act: &Act, now: Instant) -> Option<Input> {
-        match *act {
-            Act::Arrive(repeatable) => {
+    fn input(&mut self, action: &Action, now: Instant) -> Option<Input> {
+        match *action {
+            Action::Arrive(repeatable) => {
                 self.next += 1;
                 if !repeatable {
-                    self.once.insert(self.next);
+                    self.non_idempotent.insert(self.next);
                 }
                 Some(Input::Arrived(order(self.next, now, repeatable)))
             }
-            Act::Progress(at, tokens) => {
+            Action::Progress(at, tokens) => {
                 let send = self.pick(at)?;
                 let delivered = self.delivered.entry(send.request).or_default();
                 *delivered += tokens;
@@ -367,19 +378,19 @@
                     delivered: *delivered,
                 })
             }
-            Act::Whole(at) => self.end(at, Outcome::Whole { status: 200 }),
-            Act::Unsent(at) => self.end(at, Outcome::Unsent(NotSent)),
-            Act::Broken(at) => self.end(at, Outcome::Broken { code: Code::Broken }),
-            Act::Leaving(at, seconds) => {
+            Action::Whole(at) => self.end(at, Outcome::Whole { status: 200 }),
+            Action::Unsent(at) => self.end(at, Outcome::Unsent(NotSent)),
+            Action::Broken(at) => self.end(at, Outcome::Broken { code: Code::Broken }),
+            Action::Leaving(at, seconds) => {
                 self.noticed.insert(name(at));
                 Some(leaving(&name(at), now + Duration::from_secs(seconds)))
             }
-            Act::Gone(at) => {
+            Action::Gone(at) => {
                 self.ends.remove(&name(at));
                 Some(Input::Gone(name(at)))
             }
-            Act::Known(at) => Some(known(at, "v1")),
-            Act::Ends(at, seconds) => {
+            Action::Known(at) => Some(known(at, "v1")),
+            Action::Ends(at, seconds) => {
                 let at_time = now + Duration::from_secs(seconds);
                 self.ends.insert(name(at), at_time);
                 Some(Input::Routing(Event::Ends {
@@ -387,19 +398,20 @@
                     at: at_time,
                 }))
             }
-            Act::Report(at, carries) => Some(report(at, now, if carries { 1e4 } else { 0.0 })),
+            Action::Report(at, carries) => Some(report(at, now, if carries { 1e4 } else { 0.0 })),
         }
     }
 
-    fn judge(&mut self, commands: Vec<Command>) -> Result<(), TestCaseError> {
+    fn check(&mut self, commands: Vec<Command>) -> Result<(), TestCaseError> {
         for command in commands {
             match command {
-                Command::Send(send) => self.judge_send(send)?,
+                Command::Send(send) => self.check_send(send)?,
                 Command::Move { .. } => {}
                 Command::Cancel(attempt) => {
                     let known = self.live.remove(&attempt);
-                    let once = known.is_some_and(|send| self.once.contains(&send.request));
-                    prop_assert!(!once, "booking stopped");
+                    let non_idempotent =
+                        known.is_some_and(|send| self.non_idempotent.contains(&send.request));
+                    prop_assert!(!non_idempotent, "non-idempotent request cancelled");
                 }
                 Command::Finish { request, .. } => {
                     self.live.retain(|_, send| send.request != request);
@@ -409,16 +421,25 @@
         Ok(())
     }
 
-    fn judge_send(&mut self, send: Send) -> Result<(), TestCaseError> {
-        prop_assert!(!self.noticed.contains(&send.endpoint), "work after notice");
+    fn check_send(&mut self, send: Send) -> Result<(), TestCaseError> {
+        prop_assert!(
+            !self.noticed.contains(&send.endpoint),
+            "sent to an endpoint after its notice"
+        );
         let delivered = self.delivered.get(&send.request).copied().unwrap_or(0);
-        prop_assert_eq!(send.delivered, delivered, "tokens lost or doubled");
-        if self.once.contains(&send.request) {
-            prop_assert!(self.sent.insert(send.request), "booking sent twice");
+        prop_assert_eq!(send.delivered, delivered, "tokens lost or duplicated");
+        if self.non_idempotent.contains(&send.request) {
+            prop_assert!(
+                self.sent.insert(send.request),
+                "non-idempotent request sent twice"
+            );
             prop_assert!(send.fresh);
             let ends = self.ends.get(&send.endpoint);
-            let lasts = ends.is_none_or(|&ends| ends > send.deadline);
-            prop_assert!(lasts, "booking runs into a known end");
+            let outlives = ends.is_none_or(|&ends| ends > send.deadline);
+            prop_assert!(
+                outlives,
+                "non-idempotent request sent to an endpoint that ends before its deadline"
+            );
         }
         if let Some(from) = send.cache_from {
             prop_assert!(self.live.remove(&from).is_some());
@@ -432,15 +453,15 @@
     #![proptest_config(testutils::fixed(256))]
 
     #[test]
-    fn notices_ends_and_tokens_are_kept_in_any_schedule(schedule in acts()) {
+    fn notices_ends_and_tokens_are_kept_in_any_schedule(schedule in actions()) {
         let start = Instant::now();
         let mut world = world(start, ENDPOINTS);
-        let mut border = Border::default();
-        for (step, acts) in schedule.iter().enumerate() {
+        let mut client = Client::default();
+        for (step, actions) in schedule.iter().enumerate() {
             // Eight seconds in all, so that no deadline passes.
             let now = start + Duration::from_millis(100 * step as u64);
-            let inputs = acts.iter().filter_map(|act| border.input(act, now)).collect();
-            border.judge(world.tick(now, inputs))?;
+            let inputs = actions.iter().filter_map(|action| client.input(action, now)).collect();
+            client.check(world.tick(now, inputs))?;
         }
     }
 
@@ -450,8 +471,8 @@
     ) {
         let start = Instant::now();
         let mut world = world(start, ENDPOINTS);
-        // The bound is one on the choice among all endpoints. Decisions under load
-        // would take those from it whose answers never end here.
+        // The bound applies to the choice among all endpoints. Load decisions
+        // would exclude those whose answers never end in this test.
         world.load.policy = load::Policy::plain();
         let mut live: Vec<Send> = Vec::new();
         for (at, end) in ends.into_iter().enumerate() {
@@ -484,23 +505,23 @@
         let streams: Vec<Stream> = streams
             .into_iter()
             .map(|(rest, cache, share, movable)| Stream {
-                rest: Duration::from_millis(rest),
-                cache,
-                again: (f64::from(cache) * share) as u32,
+                remaining: Duration::from_millis(rest),
+                cache_tokens: cache,
+                recompute: (f64::from(cache) * share) as u32,
                 movable,
             })
             .collect();
-        let room = export * left.saturating_sub(MARGIN).as_secs_f64();
+        let room = export * left.saturating_sub(MIGRATION_MARGIN).as_secs_f64();
         let mut out = 0.0;
-        for (stream, carry) in streams.iter().zip(plan(left, export, 0.0, &streams)) {
-            let in_time = stream.rest <= left.saturating_sub(MARGIN);
-            prop_assert_eq!(carry == Carry::Stay, in_time);
-            if carry == Carry::Move {
+        for (stream, action) in streams.iter().zip(plan_migration(left, export, 0.0, &streams)) {
+            let in_time = stream.remaining <= left.saturating_sub(MIGRATION_MARGIN);
+            prop_assert_eq!(action == Migration::Stay, in_time);
+            if action == Migration::Move {
                 prop_assert!(stream.movable);
-                out += f64::from(stream.cache);
+                out += f64::from(stream.cache_tokens);
             }
-            let fits = out + f64::from(stream.cache) <= room;
-            prop_assert!(carry != Carry::Move || out <= room || !fits);
+            let fits = out + f64::from(stream.cache_tokens) <= room;
+            prop_assert!(action != Migration::Move || out <= room || !fits);
         }
         prop_assert!(out <= room + 1e-6);
     }
--- a/lib/testutils/src/engine/routes.rs
+++ b/lib/testutils/src/engine/routes.rs
@@ -6,7 +6,7 @@
 use actix_web::{HttpRequest, HttpResponse, Responder, web};
 use actix_web_lab::sse;
 use poplarvale_lib::protos::platform::EngineLoad;
-use poplarvale_lib::routing::BLOCK;
+use poplarvale_lib::routing::BLOCK_TOKENS;
 use serde::Deserialize;
 use serde_json::{Value, json};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -135,7 +135,7 @@
         waiting: state.reported.waiting as u32,
         pending: state.reported.pending as u32,
         slots: pace.slots as u32,
-        prefill: rate(u64::from(BLOCK), pace.block_us),
+        prefill: rate(u64::from(BLOCK_TOKENS), pace.block_us),
         decode: rate(1, token_us),
         export: pace.export,
     }
--- a/lib/testutils/src/engine/stream.rs
+++ b/lib/testutils/src/engine/stream.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 use tokio::sync::mpsc::Sender;
 
-use poplarvale_lib::routing::BLOCK;
+use poplarvale_lib::routing::BLOCK_TOKENS;
 
 use super::state::Engine;
 use crate::words::word;
@@ -61,7 +61,7 @@
 
 /// Works on an attempt until it is done, cancelled or broken.
 pub(crate) async fn run(engine: Engine, job: Job, out: Sender<sse::Event>) {
-    let tokens = job.chain.len() as u64 * u64::from(BLOCK);
+    let tokens = job.chain.len() as u64 * u64::from(BLOCK_TOKENS);
     let place = engine.join(job.priority, tokens);
     let mut hold = Hold {
         engine: engine.clone(),
--- a/lib/testutils/src/replay.rs
+++ b/lib/testutils/src/replay.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use compact_str::{CompactString, format_compact};
-use poplarvale_lib::routing::{CacheEvent, Event, Policy, Report};
+use poplarvale_lib::routing::{CacheEvent, Event, LoadReport, Policy};
 use poplarvale_lib::{
     Accepted, Code, Command, Customer, Ending, Input, Known, Lists, Order, Outcome, Plan, Send,
     Service, ServiceKind, Setup, World, issuer,
@@ -409,7 +409,7 @@
         let at = self.time(self.now);
         for stand in self.stands.iter().filter(|stand| stand.gone.is_none()) {
             let speed = self.scene.speed;
-            let report = Report {
+            let report = LoadReport {
                 endpoint: stand.id.clone(),
                 at,
                 running: stand.engine.attempts().len() as u32,
