--- a/daemon/src/relay/attempt.rs
+++ b/daemon/src/relay/attempt.rs
@@ -84,7 +84,7 @@
     fn drop(&mut self) {
         if let Some(row) = self.state.board.borrow_mut().get_mut(&self.endpoint) {
             row.end(self.number);
-            row.evidence.nothing();
+            row.evidence.record_inconclusive();
         }
     }
 }
@@ -182,13 +182,13 @@
         Ended::Broken(fault) => failed(&booked, job, &endpoint, *fault, kept, first),
         Ended::Whole(head, _) if head.status >= FAILED => {
             booked.note(|row| {
-                row.evidence.bad(Std::now());
+                row.evidence.record_failure(Std::now());
             });
             keep(state, address, wire, &answer);
         }
         _ => {
             state.measure(|metrics| metrics.sent("answered"));
-            booked.note(|row| row.evidence.good());
+            booked.note(|row| row.evidence.record_success());
             keep(state, address, wire, &answer);
         }
     }
@@ -235,7 +235,7 @@
         Err(error) => {
             let mut board = state.board.borrow_mut();
             let row = board.get_mut(&choice.id);
-            let out = row.is_some_and(|row| row.evidence.unreached(Std::now()));
+            let out = row.is_some_and(|row| row.evidence.record_connect_failure(Std::now()));
             state.measure(|metrics| metrics.sent("not connected"));
             log::info!(
                 request = job.ask.id.as_str(), endpoint = choice.id.as_str(), left_out = out;
@@ -359,7 +359,7 @@
 ) {
     let state = &booked.state;
     let mut out = false;
-    booked.note(|row| out = row.evidence.bad(Std::now()));
+    booked.note(|row| out = row.evidence.record_failure(Std::now()));
     state.measure(|metrics| metrics.sent("failed"));
     log::info!(
         request = job.ask.id.as_str(), endpoint = endpoint.id.as_str(), kept, left_out = out,
--- a/daemon/src/relay/caller.rs
+++ b/daemon/src/relay/caller.rs
@@ -56,7 +56,7 @@
 ) -> bool {
     while buffer.is_empty() {
         let limit = limits(state).idle;
-        let until = state.life().idle_end(idle.into_std(), limit);
+        let until = state.life().idle_deadline(idle.into_std(), limit);
         tokio::select! {
             biased;
             more = timeout_at(until.into(), fill(read, buffer)) => match more {
@@ -141,7 +141,7 @@
             Err(HeadError::TooLarge) => return Some(Err(Code::LargeHead)),
             Err(HeadError::Malformed | HeadError::Framing) => return Some(Err(Code::BadBody)),
         }
-        let until = state.life().read_end(slow.into_std());
+        let until = state.life().read_deadline(slow.into_std());
         tokio::select! {
             biased;
             more = timeout_at(until.into(), fill(read, buffer)) => match more {
--- a/daemon/src/relay/duties.rs
+++ b/daemon/src/relay/duties.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use compact_str::{CompactString, format_compact};
 use poplarvale_lib::protos::relay::UsageRecord;
-use poplarvale_lib::relay::duty::Held;
+use poplarvale_lib::relay::duty::DutyLease;
 use poplarvale_lib::relay::fleet::{Orders, Wish};
 use poplarvale_lib::relay::rollout::Status;
 use poplarvale_lib::relay::usage::{Counts, Report, WindowId};
@@ -56,7 +56,7 @@
         }
         match acquire(&state, &mut store).await {
             Ok(Some(held)) => {
-                log::info!("duty: held with fence {}.", held.fence);
+                log::info!("duty: held with fence {}.", held.fencing_token);
                 hold(&state, &mut store, cloud.as_mut(), held).await;
                 log::info!("duty: no longer held.");
             }
@@ -96,7 +96,7 @@
 }
 
 /// Makes the leader's key; `None` if another daemon did.
-async fn acquire(state: &State, store: &mut Client) -> Result<Option<Held>, WriteError> {
+async fn acquire(state: &State, store: &mut Client) -> Result<Option<DutyLease>, WriteError> {
     let since = Instant::now();
     let life = state.site.bounds.lease;
     let lease = read_granted(&store.call(&grant(life), CALL).await?)?;
@@ -118,13 +118,13 @@
                 .map(|item| item.revision)
         }
     };
-    Ok(fence.map(|fence| Held::new(lease, fence, life, since)))
+    Ok(fence.map(|fence| DutyLease::new(lease, fence, life, since)))
 }
 
 /// What the holder remembers.
 #[derive(Debug)]
 struct Holder {
-    held: Held,
+    held: DutyLease,
     /// Era of the store in which the duties were taken up.
     era: Era,
     duty: Duty,
@@ -141,7 +141,7 @@
 }
 
 /// Does the duties until the lease ends or the daemon does.
-async fn hold(state: &State, store: &mut Client, mut cloud: Option<&mut Client>, held: Held) {
+async fn hold(state: &State, store: &mut Client, mut cloud: Option<&mut Client>, held: DutyLease) {
     let Some(mut holder) = begin(state, store, held).await else {
         return;
     };
@@ -150,7 +150,7 @@
         // A lease that is over by this daemon's reckoning may go on in the store, as
         // leases can stand still while it is away. Nobody else holds the duties then, and
         // waiting for its end left them undone for three seconds after each outage.
-        if holder.held.is_due(now) && !renew(store, &mut holder).await {
+        if holder.held.needs_renewal(now) && !renew(store, &mut holder).await {
             return;
         }
         if state.eras.newest() != holder.era {
@@ -178,13 +178,13 @@
 }
 
 /// Reads what the holder before left.
-async fn begin(state: &State, store: &mut Client, held: Held) -> Option<Holder> {
+async fn begin(state: &State, store: &mut Client, held: DutyLease) -> Option<Holder> {
     let duty = Duty {
         holder: state.site.name.clone(),
-        fence: held.fence,
+        fence: held.fencing_token,
     };
     loop {
-        if held.is_over(Instant::now()) {
+        if held.is_expired(Instant::now()) {
             return None;
         }
         let (record, saved) = match left_behind(store).await {
@@ -212,7 +212,7 @@
         let next = last.as_ref().map_or(first, |last| last.window + 1);
         return Some(Holder {
             held,
-            era: era_of(held.fence),
+            era: era_of(held.fencing_token),
             duty,
             revision,
             next,
@@ -245,7 +245,7 @@
 /// Renews the lease; `false` if it has ended.
 async fn renew(store: &mut Client, holder: &mut Holder) -> bool {
     let since = Instant::now();
-    match store.call(&keep_alive(holder.held.lease), CALL).await {
+    match store.call(&keep_alive(holder.held.id), CALL).await {
         Ok(reply) if reply.status == 200 => {
             holder.held.renewed(since);
             true
--- a/daemon/src/relay/run.rs
+++ b/daemon/src/relay/run.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use error_stack::{Report, ResultExt as _};
-use poplarvale_lib::relay::life::{Closing, Leaving, Life};
+use poplarvale_lib::relay::shutdown::{Closing, Draining, Phase};
 use poplarvale_lib::relay::site::Site;
 use tokio::net::{TcpListener, TcpSocket, TcpStream, UdpSocket};
 use tokio::signal::unix::{SignalKind, signal};
@@ -122,13 +122,13 @@
     /// waits until all answers are out or the process would be killed.
     pub async fn stop(&self) {
         let state = &self.state;
-        let leaving = Leaving::begin(Instant::now(), state.site.bounds.grace);
-        state.turn(Life::Leaving(leaving));
+        let leaving = Draining::begin(Instant::now(), state.site.bounds.grace);
+        state.turn(Phase::Draining(leaving));
         let active = state.active.get();
         log::info!("daemon: shutting down with {active} requests in progress.");
         until_quiet(state, &leaving).await;
         let closing = leaving.close(Instant::now());
-        state.turn(Life::Closing(closing));
+        state.turn(Phase::Closing(closing));
         let active = state.active.get();
         log::info!("daemon: begins nothing more, with {active} requests in progress.");
         until_closed(state, closing).await;
@@ -195,8 +195,8 @@
 /// Ends when those are accepted who were waiting when the daemon began to close.
 async fn until_accepted(state: &State) {
     state.closing().await;
-    if let Life::Closing(closing) = state.life() {
-        tokio::time::sleep_until(closing.accept.into()).await;
+    if let Phase::Closing(closing) = state.life() {
+        tokio::time::sleep_until(closing.accept_until.into()).await;
     }
 }
 
@@ -238,16 +238,16 @@
 
 /// Waits until the daemon may close. It closes in the same step in which it sees that
 /// nothing is in progress, so no request comes in between.
-async fn until_quiet(state: &State, leaving: &Leaving) {
+async fn until_quiet(state: &State, leaving: &Draining) {
     loop {
         let now = Instant::now();
         if leaving.may_close(state.active.get(), now) {
             return;
         }
-        let next = if now < leaving.quiet {
-            leaving.quiet
+        let next = if now < leaving.earliest_close {
+            leaving.earliest_close
         } else {
-            leaving.last
+            leaving.latest_close
         };
         tokio::select! {
             () = tokio::time::sleep_until(next.into()) => {}
@@ -258,10 +258,10 @@
 
 /// Waits until connections are closed and answers are out.
 async fn until_closed(state: &State, closing: Closing) {
-    tokio::time::sleep_until(closing.cross.into()).await;
-    while state.active.get() > 0 && Instant::now() < closing.last {
+    tokio::time::sleep_until(closing.read_until.into()).await;
+    while state.active.get() > 0 && Instant::now() < closing.write_until {
         tokio::select! {
-            () = tokio::time::sleep_until(closing.last.into()) => {}
+            () = tokio::time::sleep_until(closing.write_until.into()) => {}
             () = state.idle.notified() => {}
         }
     }
--- a/daemon/src/relay/serve.rs
+++ b/daemon/src/relay/serve.rs
@@ -100,7 +100,7 @@
     let team = team.map(|at| &catalog.teams[at]);
     let wait = ask.patience.unwrap_or(route.timeout).min(route.timeout);
     let deadline = (arrived + wait).into_std();
-    if !state.life().takes(deadline, Std::now()) {
+    if !state.life().serves(deadline, Std::now()) {
         let refused = Refusal::later(Code::Draining, SOON);
         return refuse(state, write, ask, refused, keep).await;
     }
--- a/daemon/src/relay/state.rs
+++ b/daemon/src/relay/state.rs
@@ -15,9 +15,9 @@
 use poplarvale_lib::relay::demand::Demand;
 use poplarvale_lib::relay::digest::{Peers, Place};
 use poplarvale_lib::relay::follow::Follow;
-use poplarvale_lib::relay::life::Life;
 use poplarvale_lib::relay::quota::{Quota, short};
 use poplarvale_lib::relay::rollout::Rollouts;
+use poplarvale_lib::relay::shutdown::Phase;
 use poplarvale_lib::relay::site::Site;
 use poplarvale_lib::relay::usage::{Usage, WindowId};
 use poplarvale_lib::{CustomerId, Incarnation};
@@ -69,7 +69,7 @@
     pub(crate) sampler: Sampler,
     /// Requests in progress, from their first byte.
     pub(crate) active: Cell<usize>,
-    life: Cell<Life>,
+    life: Cell<Phase>,
     /// Endpoints that were seen to leave and that the others are still to be told.
     pub(crate) left: RefCell<Vec<u32>>,
     /// Told when there is something to be told at once.
@@ -129,7 +129,7 @@
             metrics: Metrics::new(),
             sampler: Sampler::new(started),
             active: Cell::new(0),
-            life: Cell::new(Life::Serving),
+            life: Cell::new(Phase::Serving),
             left: RefCell::default(),
             news: Notify::new(),
             idle: Notify::new(),
@@ -140,12 +140,12 @@
         })
     }
 
-    pub(crate) fn life(&self) -> Life {
+    pub(crate) fn life(&self) -> Phase {
         self.life.get()
     }
 
     /// Goes on to the next phase of life and tells all connections.
-    pub(crate) fn turn(&self, life: Life) {
+    pub(crate) fn turn(&self, life: Phase) {
         self.life.set(life);
         self.turned.notify_waiters();
     }
--- a/daemon/src/relay/status.rs
+++ b/daemon/src/relay/status.rs
@@ -93,7 +93,7 @@
         "zone": row.listing.zone.as_str(),
         "address": row.listing.address.to_string(),
         "standing": standing,
-        "fit": row.evidence.is_fit(now),
+        "fit": row.evidence.allows_request(now),
         "requests": row.flights.len(),
         "others": row.others.requests,
         "backlog_tokens": row.backlog() as u64,
--- a/lib/src/relay/board.rs
+++ b/lib/src/relay/board.rs
@@ -12,13 +12,13 @@
 
 use compact_str::CompactString;
 
+use super::breaker::CircuitBreaker;
 use super::cache::Cache;
-use super::ended::Ended;
 use super::engine::{Pace, Speed};
-use super::evidence::Evidence;
 use super::limit::{Limit, Said, Sharers};
 use super::listing::Listing;
 use super::quota::short;
+use super::tombstones::Tombstones;
 use crate::{EndpointId, ServiceId, ZoneHash};
 
 /// How long an endpoint stays in use whose entry is missing after an outage of the
@@ -99,7 +99,7 @@
     /// Learned speed.
     pub speed: Speed,
     /// Evidence of failures.
-    pub evidence: Evidence,
+    pub evidence: CircuitBreaker,
     /// Beginnings of prompts that it holds.
     pub cache: Cache,
     /// Until when it is taken as full because it said so.
@@ -139,7 +139,7 @@
     /// Until when missing entries are doubtful, after an outage.
     settling: Option<Instant>,
     /// Those that left and have no row any more.
-    ended: Ended,
+    ended: Tombstones,
     /// Daemons that share the limits which endpoints name.
     sharers: Sharers,
 }
@@ -261,7 +261,7 @@
             Standing::Ready
         };
         match self.find(&listing.id) {
-            Err(_) if self.ended.is_newer_than(&listing) => Changed::Nothing,
+            Err(_) if self.ended.is_outdated(&listing) => Changed::Nothing,
             Err(at) => {
                 let row = Endpoint::new(listing, standing, &self.told);
                 self.rows.insert(at, row);
@@ -535,7 +535,7 @@
         }
         let is_over = |row: &Endpoint| row.standing == Standing::Leaving && row.flights.is_empty();
         for row in self.rows.iter().filter(|row| is_over(row)) {
-            self.ended.note(row.listing.clone(), now);
+            self.ended.add(row.listing.clone(), now);
         }
         self.rows.retain(|row| !is_over(row));
         self.ended.expire(now);
@@ -593,7 +593,7 @@
             flights: Vec::new(),
             others: sum(told, hash),
             speed: Speed::default(),
-            evidence: Evidence::default(),
+            evidence: CircuitBreaker::default(),
             cache: Cache::default(),
             full: None,
             limit: None,
@@ -602,7 +602,7 @@
 
     /// Whether it may get requests, whatever its load.
     pub fn is_usable(&self, now: Instant) -> bool {
-        self.standing.is_in_use(now) && self.evidence.is_fit(now)
+        self.standing.is_in_use(now) && self.evidence.allows_request(now)
     }
 
     /// Requests in progress, from all daemons.
@@ -631,7 +631,7 @@
 
     /// Notes a request that is sent.
     pub fn send(&mut self, flight: Flight) {
-        self.evidence.sent();
+        self.evidence.record_sent();
         if let Some(limit) = &mut self.limit {
             limit.take(flight.sent);
         }
--- a/lib/src/relay/duty.rs
+++ b/lib/src/relay/duty.rs
@@ -1,61 +1,62 @@
-//! Which daemon makes the calls that only one may make.
+//! The lease that decides which daemon makes the calls that only one daemon may make.
 //!
-//! The holder is whoever made the leader's key in the store, under a lease. It may
-//! be paused right after it looked at its lease; another one takes over when the
-//! lease ends, and the first must not act afterwards. So the lease is taken to run
-//! from before the call that made or renewed it, and nothing is sent unless a
-//! whole call's time is left on it.
+//! The duty holder is the daemon that created the leader's key in the store, under a lease. It
+//! may be paused right after it checked its lease; another daemon takes over when the lease
+//! expires, and the first must not act after that. So the lease counts from before the call
+//! that created or renewed it, and no call is sent unless enough of the lease is left for a
+//! whole call.
 
 use std::time::{Duration, Instant};
 
 /// Share of the lease that must be left for a call to be sent.
-const LEFT: f64 = 0.4;
+const MIN_LEFT_SHARE: f64 = 0.4;
 /// Share of the lease after which it is renewed.
-const RENEW: f64 = 0.3;
+const RENEW_SHARE: f64 = 0.3;
 
-/// A lease that is held.
+/// Lease of the duty holder.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Held {
-    /// The store's number for it.
-    pub lease: u64,
-    /// Revision at which the leader's key was made; fences former holders off.
-    pub fence: u64,
-    life: Duration,
+pub struct DutyLease {
+    /// Id of the lease in the store.
+    pub id: u64,
+    /// Fencing token: the revision at which the leader's key was created; it keeps former
+    /// holders from writing.
+    pub fencing_token: u64,
+    ttl: Duration,
     since: Instant,
 }
 
-impl Held {
-    /// A lease of `life` that was asked for at `since`.
-    pub fn new(lease: u64, fence: u64, life: Duration, since: Instant) -> Self {
+impl DutyLease {
+    /// Creates a lease with time to live `ttl` that was requested at `since`.
+    pub fn new(id: u64, fencing_token: u64, ttl: Duration, since: Instant) -> Self {
         Self {
-            lease,
-            fence,
-            life,
+            id,
+            fencing_token,
+            ttl,
             since,
         }
     }
 
     /// Whether a call may be sent now.
     pub fn may_act(&self, now: Instant) -> bool {
-        self.left(now) >= self.life.mul_f64(LEFT)
+        self.left(now) >= self.ttl.mul_f64(MIN_LEFT_SHARE)
     }
 
-    /// Whether it is time to renew.
-    pub fn is_due(&self, now: Instant) -> bool {
-        now.duration_since(self.since) >= self.life.mul_f64(RENEW)
+    /// Whether to renew the lease now.
+    pub fn needs_renewal(&self, now: Instant) -> bool {
+        now.duration_since(self.since) >= self.ttl.mul_f64(RENEW_SHARE)
     }
 
-    /// Whether it has ended, as far as this daemon can tell.
-    pub fn is_over(&self, now: Instant) -> bool {
+    /// Whether the lease has expired, as far as this daemon can tell.
+    pub fn is_expired(&self, now: Instant) -> bool {
         self.left(now).is_zero()
     }
 
-    /// Longest that a call sent now may take.
+    /// Longest time that a call sent now may take.
     pub fn left(&self, now: Instant) -> Duration {
-        self.life.saturating_sub(now.duration_since(self.since))
+        self.ttl.saturating_sub(now.duration_since(self.since))
     }
 
-    /// Notes a renewal that was asked for at `since`.
+    /// Records a renewal that was requested at `since`.
     pub fn renewed(&mut self, since: Instant) {
         self.since = since;
     }
--- a/lib/src/relay/ended.rs
+++ b/lib/src/relay/tombstones.rs
@@ -1,27 +1,27 @@
-//! Endpoints that left, remembered for a while after their row is gone.
+//! Tombstones: the last entries of endpoints that left, kept for a while after their rows are
+//! gone.
 //!
-//! A write to the registry that got no answer can be carried out seconds later, when
-//! the endpoint has written newer entries already, or has been removed. What it says
-//! then is out of date. Without this memory such an entry would bring an endpoint that
-//! has left back into use.
+//! A registry write that got no answer can be applied seconds later, when the endpoint has
+//! already written newer entries or was removed. Such an entry is out of date. Without the
+//! tombstone it would bring an endpoint that has left back into use.
 
 use std::time::{Duration, Instant};
 
 use super::listing::Listing;
 
-/// How long an endpoint that left is remembered; writes are held up for a few seconds.
-const REMEMBER: Duration = Duration::from_secs(20);
+/// How long a tombstone is kept; writes are delayed by a few seconds.
+const TOMBSTONE_TTL: Duration = Duration::from_secs(20);
 
 /// Last entries of endpoints that left, sorted by id.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub(crate) struct Ended {
+pub(crate) struct Tombstones {
     rows: Vec<(Listing, Instant)>,
 }
 
-impl Ended {
-    /// Remembers the last entry of an endpoint that left.
-    pub(crate) fn note(&mut self, last: Listing, now: Instant) {
-        let until = now + REMEMBER;
+impl Tombstones {
+    /// Keeps the last entry of an endpoint that left.
+    pub(crate) fn add(&mut self, last: Listing, now: Instant) {
+        let until = now + TOMBSTONE_TTL;
         match self.find(&last.id) {
             Ok(at) => self.rows[at] = (last, until),
             Err(at) => self.rows.insert(at, (last, until)),
@@ -29,7 +29,7 @@
     }
 
     /// Whether an entry is older than the last one of an endpoint that left.
-    pub(crate) fn is_newer_than(&self, entry: &Listing) -> bool {
+    pub(crate) fn is_outdated(&self, entry: &Listing) -> bool {
         let last = self.last(&entry.id);
         last.is_some_and(|last| entry.is_older_than(last))
     }
@@ -39,7 +39,7 @@
         self.find(id).ok().map(|at| &self.rows[at].0)
     }
 
-    /// Forgets those whose time is over.
+    /// Removes the tombstones whose time is over.
     pub(crate) fn expire(&mut self, now: Instant) {
         self.rows.retain(|(_, until)| now < *until);
     }
--- a/lib/tests/test_relay_board.rs
+++ b/lib/tests/test_relay_board.rs
@@ -99,7 +99,7 @@
     board.put(listing("a"));
     let row = board.get_mut("a").expect("it is there");
     for _ in 0..8 {
-        row.evidence.bad(now);
+        row.evidence.record_failure(now);
     }
     assert!(!usable(&board, "a", now));
     let born = Listing {
--- a/lib/tests/test_relay_place.rs
+++ b/lib/tests/test_relay_place.rs
@@ -4,8 +4,8 @@
 
 use poplarvale_lib::relay::ask::Prompt;
 use poplarvale_lib::relay::board::{Board, Flight, Others, Teller};
+use poplarvale_lib::relay::breaker::CircuitBreaker;
 use poplarvale_lib::relay::catalog::{Engine, Service};
-use poplarvale_lib::relay::evidence::Evidence;
 use poplarvale_lib::relay::listing::Listing;
 use poplarvale_lib::relay::place::{Choice, NoPlace, Wanted, book, choose};
 use poplarvale_lib::relay::quota::short;
@@ -196,17 +196,17 @@
 #[test]
 fn a_failing_endpoint_is_left_out_and_tried_with_one_request() {
     let now = Instant::now();
-    let mut evidence = Evidence::default();
+    let mut evidence = CircuitBreaker::default();
     for _ in 0..6 {
-        evidence.bad(now);
+        evidence.record_failure(now);
     }
-    assert!(!evidence.is_fit(now));
+    assert!(!evidence.allows_request(now));
     let later = now + Duration::from_secs(1);
-    assert!(evidence.is_fit(later));
-    evidence.sent();
-    assert!(!evidence.is_fit(later));
-    evidence.good();
-    assert!(evidence.is_fit(later));
+    assert!(evidence.allows_request(later));
+    evidence.record_sent();
+    assert!(!evidence.allows_request(later));
+    evidence.record_success();
+    assert!(evidence.allows_request(later));
 }
 
 /// Some services fail 14 of 100 requests by themselves. Leaving their endpoints out
@@ -214,14 +214,14 @@
 #[test]
 fn a_few_failures_leave_no_endpoint_out() {
     let now = Instant::now();
-    let mut evidence = Evidence::default();
+    let mut evidence = CircuitBreaker::default();
     for at in 0..700 {
         if at % 7 == 0 {
-            evidence.bad(now);
+            evidence.record_failure(now);
         } else {
-            evidence.good();
+            evidence.record_success();
         }
-        assert!(evidence.is_fit(now));
+        assert!(evidence.allows_request(now));
     }
 }
 
--- a/lib/tests/test_relay_shared.rs
+++ b/lib/tests/test_relay_shared.rs
@@ -5,7 +5,7 @@
 use poplarvale_lib::relay::budget::Budget;
 use poplarvale_lib::relay::catalog::{Team, Unit};
 use poplarvale_lib::relay::clock::Clock;
-use poplarvale_lib::relay::duty::Held;
+use poplarvale_lib::relay::duty::DutyLease;
 use poplarvale_lib::relay::quota::{Quota, Told, Tolerance, Use, short};
 use poplarvale_lib::relay::usage::Usage;
 use proptest::prelude::*;
@@ -528,10 +528,10 @@
 fn a_holder_that_was_paused_does_not_act() {
     let now = Instant::now();
     let life = Duration::from_secs(3);
-    let held = Held::new(1, 2, life, now);
+    let held = DutyLease::new(1, 2, life, now);
     assert!(held.may_act(now));
     assert!(!held.may_act(now + life));
-    assert!(held.is_over(now + life));
+    assert!(held.is_expired(now + life));
     assert!(!held.may_act(now + life * 2 / 3));
 }
 
