--- a/daemon/src/relay/attempt.rs
+++ b/daemon/src/relay/attempt.rs
@@ -10,8 +10,8 @@
 use poplarvale_lib::relay::ask::Ask;
 use poplarvale_lib::relay::board::{Endpoint, Standing};
 use poplarvale_lib::relay::catalog::{CatalogVersion, Route, Service, Team};
-use poplarvale_lib::relay::crash::SETTLED;
-use poplarvale_lib::relay::limit::Said;
+use poplarvale_lib::relay::crash::SAFE_AFTER;
+use poplarvale_lib::relay::limit::AnnouncedLimit;
 use poplarvale_lib::relay::listing::Listing;
 use poplarvale_lib::relay::place::{self, Choice, Wanted};
 use poplarvale_lib::relay::rollout::Versions;
@@ -208,7 +208,7 @@
             return;
         }
     };
-    let said = Said { rate, heard: now };
+    let said = AnnouncedLimit { rate, at: now };
     if state.board.borrow_mut().named(&endpoint.id, said) {
         log::info!(now:? = rate; "limit: endpoint {} names another.", endpoint.id);
         state.news.notify_one();
@@ -219,7 +219,7 @@
 fn is_after_limit(state: &State, endpoint: &Listing, sent: Std) -> bool {
     let board = state.board.borrow();
     let limit = board.get(&endpoint.id).and_then(|row| row.limit.as_ref());
-    limit.is_some_and(|limit| sent > limit.heard())
+    limit.is_some_and(|limit| sent > limit.announced_at())
 }
 
 /// A connection to the chosen endpoint, and whether it was used before; `None` if
@@ -249,7 +249,7 @@
 /// Whether an endpoint may have ended because of a request that broke off there; `first` is
 /// when the first event of its stream came.
 fn may_have_ended(state: &State, endpoint: &Listing, fault: Fault, first: Option<Std>) -> bool {
-    let is_settled = first.is_some_and(|first| first.elapsed() >= SETTLED);
+    let is_settled = first.is_some_and(|first| first.elapsed() >= SAFE_AFTER);
     let board = state.board.borrow();
     let row = board.get(&endpoint.id);
     // One that leaves ends in any case.
--- a/daemon/src/relay/crash.rs
+++ b/daemon/src/relay/crash.rs
@@ -13,7 +13,8 @@
 use poplarvale_lib::http1::Request;
 use poplarvale_lib::protos::relay::digest;
 use poplarvale_lib::relay::crash::{
-    ContentHash, Crash, ENOUGH, KEPT, LifeHash, Noted, content, life,
+    CRASH_TTL, Crash, CrashUpdate, Fingerprint, IncarnationHash, QUARANTINE_CRASHES, fingerprint,
+    incarnation_hash,
 };
 use poplarvale_lib::relay::listing::Listing;
 use poplarvale_platform::{Txn, grant, read_granted, read_txn, txn};
@@ -27,7 +28,7 @@
 /// Beginning of the keys of quarantined requests.
 pub(crate) const CRASHES: &str = "poplarvale/crashes/";
 /// Ends under a request from which on the other daemons are told at once.
-const URGENT: usize = ENOUGH - 1;
+const URGENT: usize = QUARANTINE_CRASHES - 1;
 /// Longest time for one call of the store.
 const CALL: Duration = Duration::from_millis(900);
 /// Pause after a request could not be kept.
@@ -42,7 +43,7 @@
     host: &'r str,
     request: &'r Request,
     body: &'r [u8],
-    hash: OnceCell<ContentHash>,
+    hash: OnceCell<Fingerprint>,
 }
 
 impl<'r> Content<'r> {
@@ -56,11 +57,11 @@
         }
     }
 
-    pub(crate) fn hash(&self) -> ContentHash {
+    pub(crate) fn hash(&self) -> Fingerprint {
         let (method, target) = (&self.request.method, &self.request.target);
         *self
             .hash
-            .get_or_init(|| content(self.team, self.host, method, target, self.body))
+            .get_or_init(|| fingerprint(self.team, self.host, method, target, self.body))
     }
 }
 
@@ -70,19 +71,19 @@
     if crashes.is_empty() {
         return None;
     }
-    crashes.held(content.hash(), Instant::now())
+    crashes.quarantine_left(content.hash(), Instant::now())
 }
 
 /// An endpoint that is being looked at, and the requests that broke off there.
 #[derive(Debug)]
 pub(crate) struct Suspicion {
-    life: LifeHash,
-    contents: Vec<ContentHash>,
+    life: IncarnationHash,
+    contents: Vec<Fingerprint>,
 }
 
 /// Looks whether an endpoint ended under a request that broke off there.
-pub(crate) fn suspect(state: &Rc<State>, endpoint: &Listing, content: ContentHash) {
-    let life = life(endpoint);
+pub(crate) fn suspect(state: &Rc<State>, endpoint: &Listing, content: Fingerprint) {
+    let life = incarnation_hash(endpoint);
     let mut suspicions = state.suspicions.borrow_mut();
     if let Some(row) = suspicions.iter_mut().find(|row| row.life == life) {
         row.contents.push(content);
@@ -96,7 +97,7 @@
 }
 
 /// Connects to an endpoint, and notes its end if it refuses.
-async fn look(state: Rc<State>, endpoint: Listing, life: LifeHash) {
+async fn look(state: Rc<State>, endpoint: Listing, life: IncarnationHash) {
     let connected = upstream::connect(endpoint.address).await;
     let contents = take(&state, life);
     match connected {
@@ -110,7 +111,7 @@
                 let noted = state
                     .crashes
                     .borrow_mut()
-                    .note(content, life, Instant::now());
+                    .record(content, life, Instant::now());
                 take_noted(&state, content, noted, &endpoint.id);
             }
         }
@@ -122,17 +123,17 @@
 }
 
 /// Requests that broke off at an endpoint whose fate is known now.
-fn take(state: &State, life: LifeHash) -> Vec<ContentHash> {
+fn take(state: &State, life: IncarnationHash) -> Vec<Fingerprint> {
     let mut suspicions = state.suspicions.borrow_mut();
     let at = suspicions.iter().position(|row| row.life == life);
     at.map_or_else(Vec::new, |at| suspicions.swap_remove(at).contents)
 }
 
 /// Tells what was noted of a request, and has it told to the other daemons and kept.
-fn take_noted(state: &State, content: ContentHash, noted: Noted, source: &str) {
+fn take_noted(state: &State, content: Fingerprint, noted: CrashUpdate, source: &str) {
     match noted {
-        Noted::Nothing => return,
-        Noted::Suspected(lives) => {
+        CrashUpdate::Unchanged => return,
+        CrashUpdate::Suspected(lives) => {
             log::info!(
                 content:% = format_args!("{content:016x}"), lives;
                 "crash: request suspected, {source} tells."
@@ -141,7 +142,7 @@
                 return;
             }
         }
-        Noted::Quarantined => {
+        CrashUpdate::Quarantined => {
             log::warn!(
                 content:% = format_args!("{content:016x}");
                 "crash: request quarantined, {source} tells."
@@ -156,15 +157,15 @@
 /// Takes in what another daemon tells of a request.
 pub(crate) fn hear(state: &State, name: &str, told: digest::Crash) {
     let crash = read(told);
-    let noted = state.crashes.borrow_mut().hear(&crash, Instant::now());
-    if noted == Noted::Quarantined {
-        take_noted(state, crash.content, noted, name);
+    let noted = state.crashes.borrow_mut().merge(&crash, Instant::now());
+    if noted == CrashUpdate::Quarantined {
+        take_noted(state, crash.fingerprint, noted, name);
     }
 }
 
 /// Takes in that another daemon has seen a request served.
-pub(crate) fn hear_cleared(state: &State, name: &str, content: ContentHash) {
-    if state.crashes.borrow_mut().hear_cleared(content) {
+pub(crate) fn hear_cleared(state: &State, name: &str, content: Fingerprint) {
+    if state.crashes.borrow_mut().merge_cleared(content) {
         log::info!(
             content:% = format_args!("{content:016x}");
             "crash: request cleared, {name} tells."
@@ -181,7 +182,7 @@
 }
 
 /// Notes that an endpoint served a request.
-pub(crate) fn clear(state: &State, content: ContentHash) {
+pub(crate) fn clear(state: &State, content: Fingerprint) {
     if state.crashes.borrow_mut().clear(content, Instant::now()) {
         log::info!(
             content:% = format_args!("{content:016x}");
@@ -193,16 +194,16 @@
 
 pub(crate) fn tell(crash: Crash) -> digest::Crash {
     digest::Crash {
-        content: crash.content,
-        lives: crash.lives,
+        content: crash.fingerprint,
+        lives: crash.incarnations,
         left_ms: u32::try_from(crash.left.as_millis()).unwrap_or(u32::MAX),
     }
 }
 
 fn read(told: digest::Crash) -> Crash {
     Crash {
-        content: told.content,
-        lives: told.lives,
+        fingerprint: told.content,
+        incarnations: told.lives,
         left: Duration::from_millis(told.left_ms.into()),
     }
 }
@@ -213,7 +214,7 @@
     let mut store = Client::of_store(&state);
     loop {
         state.quarantined.notified().await;
-        let unsaved = state.crashes.borrow_mut().unsaved(Instant::now());
+        let unsaved = state.crashes.borrow_mut().take_unsaved(Instant::now());
         for crash in unsaved {
             keep(&mut store, crash).await;
         }
@@ -221,7 +222,7 @@
 }
 
 async fn keep(store: &mut Client, crash: Crash) {
-    let content = crash.content;
+    let content = crash.fingerprint;
     let value = tell(crash).encode_to_vec();
     for _ in 0..TRIES {
         match write(store, content, &value).await {
@@ -235,8 +236,8 @@
 
 /// Makes the key of a request, which goes with its lease. One that is there already holds
 /// the same.
-async fn write(store: &mut Client, content: ContentHash, value: &[u8]) -> Result<(), WriteError> {
-    let lease = read_granted(&store.call(&grant(KEPT), CALL).await?)?;
+async fn write(store: &mut Client, content: Fingerprint, value: &[u8]) -> Result<(), WriteError> {
+    let lease = read_granted(&store.call(&grant(CRASH_TTL), CALL).await?)?;
     let key = format_compact!("{CRASHES}{content:016x}");
     let call = txn(&Txn {
         expect: vec![(key.clone(), 0)],
--- a/daemon/src/relay/peers.rs
+++ b/daemon/src/relay/peers.rs
@@ -11,7 +11,7 @@
 use poplarvale_lib::relay::contact::Span;
 use poplarvale_lib::relay::demand::Work;
 use poplarvale_lib::relay::digest::{Peer, Place, Turn, Turns};
-use poplarvale_lib::relay::limit::{Said, Sharers};
+use poplarvale_lib::relay::limit::{AnnouncedLimit, Sharers};
 use poplarvale_lib::relay::quota::{Told, Use, ZoneSummary, ZoneUse};
 use poplarvale_lib::relay::rollout::evidence::{Key, Side, Sides};
 use poplarvale_lib::relay::rollout::{Order, Outcome, Word};
@@ -221,11 +221,11 @@
         uptime_ms: state.started.elapsed().as_millis() as u64,
         moves: state.rollouts.borrow().tell().map(tell_move).collect(),
         crashes: crashes
-            .tell(whole, now)
+            .report(whole, now)
             .into_iter()
             .map(crash::tell)
             .collect(),
-        cleared: crashes.tell_cleared(now),
+        cleared: crashes.report_cleared(now),
         fixed: usage.tell_fixed(now).map(|report| UsageRecord {
             number: report.window,
             counts: report.counts.to_string(),
@@ -243,8 +243,8 @@
     }
 }
 
-fn tell_limit((endpoint, said): (u32, Said), now: Instant) -> digest::EndpointLimit {
-    let age = now.saturating_duration_since(said.heard).as_millis();
+fn tell_limit((endpoint, said): (u32, AnnouncedLimit), now: Instant) -> digest::EndpointLimit {
+    let age = now.saturating_duration_since(said.at).as_millis();
     digest::EndpointLimit {
         endpoint,
         rate: said.rate.map(|rate| rate as f32),
@@ -262,7 +262,7 @@
         log::warn!("limit: what {name} tells of an endpoint is no rate.");
         return;
     }
-    let said = Said { rate, heard };
+    let said = AnnouncedLimit { rate, at: heard };
     if state.board.borrow_mut().hear_named(told.endpoint, said) {
         log::info!(endpoint = told.endpoint, now:? = rate; "limit: an endpoint names another, {name} tells.");
     }
--- a/daemon/src/relay/watch.rs
+++ b/daemon/src/relay/watch.rs
@@ -99,7 +99,7 @@
                 if matches!(error, WatchError::Store(StoreError::Returned)) {
                     log::info!("store: it came back from an older copy, everything is read anew.");
                     state.follow.borrow_mut().lost();
-                    state.crashes.borrow_mut().lost_saved();
+                    state.crashes.borrow_mut().mark_unsaved();
                     state.quarantined.notify_one();
                     continue;
                 }
--- a/lib/src/relay/board.rs
+++ b/lib/src/relay/board.rs
@@ -15,7 +15,7 @@
 use super::breaker::CircuitBreaker;
 use super::cache::Cache;
 use super::engine::{Pace, Speed};
-use super::limit::{Limit, Said, Sharers};
+use super::limit::{AnnouncedLimit, Limit, Sharers};
 use super::listing::Listing;
 use super::quota::short;
 use super::tombstones::Tombstones;
@@ -443,7 +443,7 @@
 
     /// Takes in what an endpoint said to this daemon of its limit; tells whether it said
     /// something else before.
-    pub fn named(&mut self, id: &str, said: Said) -> bool {
+    pub fn named(&mut self, id: &str, said: AnnouncedLimit) -> bool {
         let Ok(at) = self.find(id) else {
             return false;
         };
@@ -452,11 +452,11 @@
     }
 
     /// Takes in what another daemon tells of an endpoint's limit.
-    pub fn hear_named(&mut self, endpoint: u32, said: Said) -> bool {
+    pub fn hear_named(&mut self, endpoint: u32, said: AnnouncedLimit) -> bool {
         self.hear_limit(endpoint, said, false)
     }
 
-    fn hear_limit(&mut self, endpoint: u32, said: Said, is_own: bool) -> bool {
+    fn hear_limit(&mut self, endpoint: u32, said: AnnouncedLimit, is_own: bool) -> bool {
         let mut rows = self.rows.iter_mut();
         let Some(row) = rows.find(|row| row.hash == endpoint) else {
             return false;
@@ -466,7 +466,7 @@
         if held.is_none() && said.rate.is_none() {
             return false;
         }
-        if let Some(limit) = Limit::hear(held, endpoint, said, is_own, &self.sharers) {
+        if let Some(limit) = Limit::merge(held, endpoint, said, is_own, &self.sharers) {
             row.limit = Some(limit);
         }
         before != row.limit.as_ref().and_then(Limit::rate)
@@ -474,8 +474,8 @@
 
     /// What this daemon tells the others of limits that endpoints named to it, by hash of
     /// their ids.
-    pub fn tell_limits(&self, now: Instant) -> Vec<(u32, Said)> {
-        let told = |row: &Endpoint| Some((row.hash, row.limit.as_ref()?.tell(now)?));
+    pub fn tell_limits(&self, now: Instant) -> Vec<(u32, AnnouncedLimit)> {
+        let told = |row: &Endpoint| Some((row.hash, row.limit.as_ref()?.report(now)?));
         self.rows.iter().filter_map(told).collect()
     }
 
@@ -486,7 +486,7 @@
         }
         for row in &mut self.rows {
             if let Some(limit) = &mut row.limit {
-                limit.divide(row.hash, &sharers, now);
+                limit.update_share(row.hash, &sharers, now);
             }
         }
         self.sharers = sharers;
--- a/lib/src/relay/crash.rs
+++ b/lib/src/relay/crash.rs
@@ -1,17 +1,18 @@
-//! Requests that crash the endpoints that run them.
+//! Quarantine of requests that crash the endpoints that run them.
 //!
-//! Load: one request whose content makes every endpoint that begins it end, asked again and
-//! again under new ids, through any daemon. Each crash takes the other requests of that
-//! endpoint with it and leaves fewer endpoints for those who come back. One daemon sees a
-//! part of the crashes only, and each sees many requests break together.
+//! A request whose content crashes every endpoint that starts it is retried again and again
+//! under new ids and through any daemon. Each crash also breaks the other requests of that
+//! endpoint and leaves fewer endpoints for the retries. One daemon observes only a part of the
+//! crashes, and each daemon sees many requests break off at the same time.
 //!
-//! So requests are known by their content, and a daemon that sees an endpoint end under one
-//! notes which life of which endpoint it was. Daemons tell one another what they noted; the
-//! lives are a set, so words that are lost, late or repeated do no harm. Under
-//! [`ENOUGH`] different lives a request is quarantined: no daemon sends it on.
+//! So requests are identified by a fingerprint of their content. A daemon that observes an
+//! endpoint crash while it ran a request records which incarnation of which endpoint that was,
+//! and the daemons exchange these records. The incarnations form a set, so lost, late or
+//! repeated digests do no harm. Once [`QUARANTINE_CRASHES`] different incarnations have crashed
+//! under a request, it is quarantined: no daemon sends it any more.
 //!
-//! Requests that were merely beside it are told apart in two ways. One that had run for
-//! [`SETTLED`] did not end its endpoint, and one that is served anywhere is cleared
+//! Two rules protect requests that merely ran on a crashing endpoint. A request that had run
+//! for [`SAFE_AFTER`] did not cause the crash, and one that is served anywhere is cleared
 //! everywhere.
 
 use std::cmp::Reverse;
@@ -21,104 +22,111 @@
 
 use super::listing::Listing;
 
-/// Hash of what a request asks for, whichever attempt of whichever caller brings it.
-pub type ContentHash = u64;
-/// Hash of one life of an endpoint.
-pub type LifeHash = u32;
+/// Hash of what a request asks for, the same for each attempt by any caller.
+pub type Fingerprint = u64;
+/// Hash of one incarnation of an endpoint.
+pub type IncarnationHash = u32;
 
-/// Endpoints that end under a request before it is quarantined. Two endpoints may end under
-/// a request by chance when many end together.
-pub const ENOUGH: usize = 3;
-/// Time after its first event from which on a request did not end its endpoint.
-pub const SETTLED: Duration = Duration::from_secs(1);
-/// How long a request stays quarantined, and how long an endpoint's end is held against one.
-pub const KEPT: Duration = Duration::from_mins(10);
-/// How long a change is told to the other daemons. Short cuts end sooner.
-const TOLD: Duration = Duration::from_secs(5);
-/// Most requests that are remembered, so that a wave of crashes costs little memory.
-const MOST: usize = 1024;
-/// Most requests that are told in one digest; twenty bytes each.
-const MOST_TOLD: usize = 48;
+/// Number of endpoint incarnations that crash under a request before it is quarantined. Two can
+/// crash under the same request by chance when many endpoints crash together.
+pub const QUARANTINE_CRASHES: usize = 3;
+/// Time after its first event from which on a request is not blamed for a crash.
+pub const SAFE_AFTER: Duration = Duration::from_secs(1);
+/// How long a request stays quarantined, and how long a crash counts against it.
+pub const CRASH_TTL: Duration = Duration::from_mins(10);
+/// How long digests contain a change; short network partitions end sooner.
+const REPORT_TIME: Duration = Duration::from_secs(5);
+/// Most requests that are tracked, so that a wave of crashes uses little memory.
+const MAX_TRACKED: usize = 1024;
+/// Most requests in one digest, at twenty bytes each.
+const MAX_REPORTED: usize = 48;
 
-/// Hash of a request's team, host, method, target and body.
+/// Fingerprint of a request: the hash of its team, host, method, target and body.
 ///
-/// Each attempt of a caller has an id of its own, so ids do not tell that a request comes
-/// again. Other fields may differ between attempts.
-pub fn content(team: &str, host: &str, method: &[u8], target: &[u8], body: &[u8]) -> ContentHash {
+/// Each attempt of a caller has its own id, so the id does not show that a request is a retry.
+/// Other header fields may differ between attempts.
+pub fn fingerprint(
+    team: &str,
+    host: &str,
+    method: &[u8],
+    target: &[u8],
+    body: &[u8],
+) -> Fingerprint {
     let mut hash = Xxh3Default::new();
     for part in [team.as_bytes(), host.as_bytes(), method, target, body] {
-        // The length keeps parts apart that are the same when joined.
+        // The length distinguishes parts that are equal when joined.
         hash.update(&(part.len() as u64).to_le_bytes());
         hash.update(part);
     }
     hash.digest()
 }
 
-/// Hash of the life of an endpoint that an entry of the registry belongs to. An endpoint may
-/// start again under its id.
-pub fn life(listing: &Listing) -> LifeHash {
+/// Hash of the endpoint incarnation that a registry entry belongs to. An endpoint may start
+/// again under the same id.
+pub fn incarnation_hash(listing: &Listing) -> IncarnationHash {
     let born = listing.born.unwrap_or_default();
-    xxh3_64_with_seed(listing.id.as_bytes(), born) as LifeHash
+    xxh3_64_with_seed(listing.id.as_bytes(), born) as IncarnationHash
 }
 
-/// Endpoints that ended under a request, as daemons tell it to one another.
+/// Crashes under one request, as daemons exchange them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Crash {
-    /// The request.
-    pub content: ContentHash,
-    /// Lives that ended under it.
-    pub lives: Vec<LifeHash>,
-    /// How long it is still remembered.
+    /// Fingerprint of the request.
+    pub fingerprint: Fingerprint,
+    /// Endpoint incarnations that crashed under it.
+    pub incarnations: Vec<IncarnationHash>,
+    /// How long the crashes still count.
     pub left: Duration,
 }
 
-/// What a note or word changed.
+/// What a crash or a report changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Noted {
+pub enum CrashUpdate {
     /// Nothing.
-    Nothing,
-    /// So many endpoints have ended under the request; it is still served.
+    Unchanged,
+    /// This many endpoints have crashed under the request, which is still served.
     Suspected(usize),
-    /// It is quarantined from now on.
+    /// The request is quarantined from now on.
     Quarantined,
 }
 
-/// A request under which endpoints ended.
+/// Request under which endpoints crashed.
 #[derive(Clone, Debug)]
-struct Row {
-    content: ContentHash,
-    /// Lives that ended under it, sorted, [`ENOUGH`] at most.
-    lives: Vec<LifeHash>,
-    /// Whether this daemon itself saw one of them end.
-    is_own: bool,
-    /// Until when it is remembered.
-    until: Instant,
-    /// Until when the last change is told.
-    told: Instant,
-    /// Whether it was handed out to be kept in the store.
+struct Suspect {
+    fingerprint: Fingerprint,
+    /// Incarnations that crashed under it, sorted, at most [`QUARANTINE_CRASHES`].
+    incarnations: Vec<IncarnationHash>,
+    /// Whether this daemon itself observed one of the crashes.
+    is_local: bool,
+    /// When the request is forgotten.
+    expires: Instant,
+    /// Until when digests contain the last change.
+    report_until: Instant,
+    /// Whether it was handed out to be written to the store.
     is_saved: bool,
 }
 
-impl Row {
+impl Suspect {
     fn is_quarantined(&self) -> bool {
-        self.lives.len() >= ENOUGH
+        self.incarnations.len() >= QUARANTINE_CRASHES
     }
 
     fn crash(&self, now: Instant) -> Crash {
         Crash {
-            content: self.content,
-            lives: self.lives.clone(),
-            left: self.until.saturating_duration_since(now),
+            fingerprint: self.fingerprint,
+            incarnations: self.incarnations.clone(),
+            left: self.expires.saturating_duration_since(now),
         }
     }
 }
 
-/// Requests under which endpoints ended, sorted by content.
+/// Requests under which endpoints crashed, sorted by fingerprint.
 #[derive(Clone, Debug, Default)]
 pub struct Crashes {
-    rows: Vec<Row>,
-    /// Requests that were suspected and then served, and until when that is told; sorted.
-    cleared: Vec<(ContentHash, Instant)>,
+    rows: Vec<Suspect>,
+    /// Requests that were suspected and then served, and until when digests contain that;
+    /// sorted.
+    cleared: Vec<(Fingerprint, Instant)>,
 }
 
 impl Crashes {
@@ -128,139 +136,150 @@
     }
 
     /// Requests that are quarantined.
-    pub fn quarantined(&self) -> impl Iterator<Item = ContentHash> {
+    pub fn quarantined(&self) -> impl Iterator<Item = Fingerprint> {
         let rows = self.rows.iter().filter(|row| row.is_quarantined());
-        rows.map(|row| row.content)
+        rows.map(|row| row.fingerprint)
     }
 
     /// How long a request is still quarantined; `None` if it may be sent.
-    pub fn held(&self, content: ContentHash, now: Instant) -> Option<Duration> {
-        let at = self.find(content).ok()?;
+    pub fn quarantine_left(&self, fingerprint: Fingerprint, now: Instant) -> Option<Duration> {
+        let at = self.find(fingerprint).ok()?;
         let row = &self.rows[at];
-        let left = row.until.saturating_duration_since(now);
+        let left = row.expires.saturating_duration_since(now);
         (row.is_quarantined() && !left.is_zero()).then_some(left)
     }
 
-    /// Notes that a life ended under a request which this daemon had sent there.
-    pub fn note(&mut self, content: ContentHash, life: LifeHash, now: Instant) -> Noted {
-        let seen = Crash {
-            content,
-            lives: vec![life],
-            left: KEPT,
+    /// Records that an endpoint incarnation crashed while it ran a request from this daemon.
+    pub fn record(
+        &mut self,
+        fingerprint: Fingerprint,
+        incarnation: IncarnationHash,
+        now: Instant,
+    ) -> CrashUpdate {
+        let crash = Crash {
+            fingerprint,
+            incarnations: vec![incarnation],
+            left: CRASH_TTL,
         };
-        self.merge(&seen, true, now)
+        self.apply(&crash, true, now)
     }
 
-    /// Takes in what another daemon or the store tells.
-    pub fn hear(&mut self, crash: &Crash, now: Instant) -> Noted {
-        if self.find_cleared(crash.content).is_ok() {
-            return Noted::Nothing;
+    /// Merges a report of another daemon or of the store.
+    pub fn merge(&mut self, crash: &Crash, now: Instant) -> CrashUpdate {
+        if self.find_cleared(crash.fingerprint).is_ok() {
+            return CrashUpdate::Unchanged;
         }
-        self.merge(crash, false, now)
+        self.apply(crash, false, now)
     }
 
-    fn merge(&mut self, crash: &Crash, is_own: bool, now: Instant) -> Noted {
-        let left = crash.left.min(KEPT);
-        if crash.lives.is_empty() || left.is_zero() {
-            return Noted::Nothing;
+    fn apply(&mut self, crash: &Crash, is_local: bool, now: Instant) -> CrashUpdate {
+        let left = crash.left.min(CRASH_TTL);
+        if crash.incarnations.is_empty() || left.is_zero() {
+            return CrashUpdate::Unchanged;
         }
-        let at = match self.find(crash.content) {
+        let at = match self.find(crash.fingerprint) {
             Ok(at) => at,
-            Err(_) => self.insert(crash.content, now),
+            Err(_) => self.insert(crash.fingerprint, now),
         };
         let row = &mut self.rows[at];
-        row.is_own |= is_own;
-        let (before, was_quarantined) = (row.lives.len(), row.is_quarantined());
-        for life in &crash.lives {
-            if let Err(at) = row.lives.binary_search(life)
-                && row.lives.len() < ENOUGH
+        row.is_local |= is_local;
+        let (before, was_quarantined) = (row.incarnations.len(), row.is_quarantined());
+        for incarnation in &crash.incarnations {
+            if let Err(at) = row.incarnations.binary_search(incarnation)
+                && row.incarnations.len() < QUARANTINE_CRASHES
             {
-                row.lives.insert(at, *life);
+                row.incarnations.insert(at, *incarnation);
             }
         }
-        if row.lives.len() == before {
-            return Noted::Nothing;
+        if row.incarnations.len() == before {
+            return CrashUpdate::Unchanged;
         }
-        row.until = row.until.max(now + left);
-        row.told = now + TOLD;
-        match row.lives.len() {
-            _ if was_quarantined => Noted::Nothing,
-            ENOUGH.. => Noted::Quarantined,
-            lives => Noted::Suspected(lives),
+        row.expires = row.expires.max(now + left);
+        row.report_until = now + REPORT_TIME;
+        match row.incarnations.len() {
+            _ if was_quarantined => CrashUpdate::Unchanged,
+            QUARANTINE_CRASHES.. => CrashUpdate::Quarantined,
+            incarnations => CrashUpdate::Suspected(incarnations),
         }
     }
 
-    /// Adds a row without lives. If there are too many, the one that matters least goes.
-    fn insert(&mut self, content: ContentHash, now: Instant) -> usize {
-        if self.rows.len() >= MOST {
-            let least = |row: &&Row| (row.lives.len(), row.until);
-            let least = self.rows.iter().min_by_key(least).map(|row| row.content);
-            self.rows.retain(|row| Some(row.content) != least);
+    /// Adds a row without incarnations. If there are too many rows, the one with the fewest
+    /// crashes is dropped, and of several the one that expires first.
+    fn insert(&mut self, fingerprint: Fingerprint, now: Instant) -> usize {
+        if self.rows.len() >= MAX_TRACKED {
+            let least = |row: &&Suspect| (row.incarnations.len(), row.expires);
+            let least = self
+                .rows
+                .iter()
+                .min_by_key(least)
+                .map(|row| row.fingerprint);
+            self.rows.retain(|row| Some(row.fingerprint) != least);
         }
-        let row = Row {
-            content,
-            lives: Vec::new(),
-            is_own: false,
-            until: now,
-            told: now,
+        let row = Suspect {
+            fingerprint,
+            incarnations: Vec::new(),
+            is_local: false,
+            expires: now,
+            report_until: now,
             is_saved: false,
         };
-        let at = self.find(content).unwrap_or_else(|at| at);
+        let at = self.find(fingerprint).unwrap_or_else(|at| at);
         self.rows.insert(at, row);
         at
     }
 
-    /// Notes that a request was served by an endpoint; tells whether it was suspected.
-    pub fn clear(&mut self, content: ContentHash, now: Instant) -> bool {
-        let was_suspected = self.forget(content);
+    /// Records that an endpoint served a request; returns whether the request was suspected.
+    pub fn clear(&mut self, fingerprint: Fingerprint, now: Instant) -> bool {
+        let was_suspected = self.remove(fingerprint);
         if was_suspected {
-            match self.find_cleared(content) {
-                Ok(at) => self.cleared[at].1 = now + TOLD,
-                Err(at) => self.cleared.insert(at, (content, now + TOLD)),
+            match self.find_cleared(fingerprint) {
+                Ok(at) => self.cleared[at].1 = now + REPORT_TIME,
+                Err(at) => self.cleared.insert(at, (fingerprint, now + REPORT_TIME)),
             }
         }
         was_suspected
     }
 
-    /// Takes in that another daemon has seen a request served.
-    pub fn hear_cleared(&mut self, content: ContentHash) -> bool {
-        self.forget(content)
+    /// Applies that another daemon has seen a request served; returns whether it was suspected
+    /// here.
+    pub fn merge_cleared(&mut self, fingerprint: Fingerprint) -> bool {
+        self.remove(fingerprint)
     }
 
-    fn forget(&mut self, content: ContentHash) -> bool {
-        let found = self.find(content);
+    fn remove(&mut self, fingerprint: Fingerprint) -> bool {
+        let found = self.find(fingerprint);
         if let Ok(at) = found {
             self.rows.remove(at);
         }
         found.is_ok()
     }
 
-    /// What this daemon tells: what changed lately, and in a whole digest also all that are
-    /// quarantined, those first.
+    /// Crashes for this daemon's digest: the latest changes, and in a whole digest also all
+    /// quarantined requests, which come first.
     ///
-    /// Suspects are told by the daemons that saw an end themselves; told on by all, each
-    /// wave of crashes would be told by hundreds of daemons.
-    pub fn tell(&self, whole: bool, now: Instant) -> Vec<Crash> {
-        let is_told = |row: &&Row| {
-            let is_new = now < row.told && (row.is_own || row.is_quarantined());
+    /// Only daemons that observed a crash themselves report a suspected request. If all passed
+    /// it on, hundreds of daemons would report each wave of crashes.
+    pub fn report(&self, whole: bool, now: Instant) -> Vec<Crash> {
+        let is_reported = |row: &&Suspect| {
+            let is_new = now < row.report_until && (row.is_local || row.is_quarantined());
             is_new || (whole && row.is_quarantined())
         };
-        let mut rows: Vec<&Row> = self.rows.iter().filter(is_told).collect();
-        rows.sort_by_key(|row| Reverse((row.lives.len(), row.told)));
-        rows.truncate(MOST_TOLD);
+        let mut rows: Vec<&Suspect> = self.rows.iter().filter(is_reported).collect();
+        rows.sort_by_key(|row| Reverse((row.incarnations.len(), row.report_until)));
+        rows.truncate(MAX_REPORTED);
         rows.into_iter().map(|row| row.crash(now)).collect()
     }
 
-    /// Requests of which this daemon tells that they were served.
-    pub fn tell_cleared(&self, now: Instant) -> Vec<ContentHash> {
+    /// Requests that were served, for this daemon's digest.
+    pub fn report_cleared(&self, now: Instant) -> Vec<Fingerprint> {
         let rows = self.cleared.iter().filter(|row| now < row.1);
-        rows.take(MOST_TOLD).map(|row| row.0).collect()
+        rows.take(MAX_REPORTED).map(|row| row.0).collect()
     }
 
-    /// Requests that are quarantined by what this daemon saw and that it has not handed out
-    /// yet to be kept in the store.
-    pub fn unsaved(&mut self, now: Instant) -> Vec<Crash> {
-        let is_due = |row: &&mut Row| row.is_own && row.is_quarantined() && !row.is_saved;
+    /// Quarantined requests that this daemon observed crashing an endpoint and has not yet
+    /// handed out to be written to the store.
+    pub fn take_unsaved(&mut self, now: Instant) -> Vec<Crash> {
+        let is_due = |row: &&mut Suspect| row.is_local && row.is_quarantined() && !row.is_saved;
         let rows = self.rows.iter_mut().filter(is_due);
         rows.map(|row| {
             row.is_saved = true;
@@ -269,24 +288,25 @@
         .collect()
     }
 
-    /// Notes that what was kept in the store may be gone.
-    pub fn lost_saved(&mut self) {
+    /// Marks all requests as not written to the store, since the store may have lost them.
+    pub fn mark_unsaved(&mut self) {
         for row in &mut self.rows {
             row.is_saved = false;
         }
     }
 
-    /// Forgets those whose time is over.
+    /// Forgets the requests whose time is over.
     pub fn expire(&mut self, now: Instant) {
-        self.rows.retain(|row| now < row.until);
+        self.rows.retain(|row| now < row.expires);
         self.cleared.retain(|row| now < row.1);
     }
 
-    fn find(&self, content: ContentHash) -> Result<usize, usize> {
-        self.rows.binary_search_by_key(&content, |row| row.content)
+    fn find(&self, fingerprint: Fingerprint) -> Result<usize, usize> {
+        self.rows
+            .binary_search_by_key(&fingerprint, |row| row.fingerprint)
     }
 
-    fn find_cleared(&self, content: ContentHash) -> Result<usize, usize> {
-        self.cleared.binary_search_by_key(&content, |row| row.0)
+    fn find_cleared(&self, fingerprint: Fingerprint) -> Result<usize, usize> {
+        self.cleared.binary_search_by_key(&fingerprint, |row| row.0)
     }
 }
--- a/lib/src/relay/limit.rs
+++ b/lib/src/relay/limit.rs
@@ -1,39 +1,41 @@
-//! Limits that endpoints in need name, kept by all daemons together.
+//! Rate limits that overloaded endpoints announce, divided among the daemons.
 //!
-//! Load: an endpoint that can take a request a second, before many daemons that each have
-//! more for it. Each that hears the limit and keeps it by itself sends as much as all of them
-//! may. Equal shares among hundreds of daemons would be a request in minutes, and what gathers
-//! in all of them comes out at once.
+//! Consider an endpoint that can take one request a second, and many daemons that each have
+//! more requests for it. If each daemon that learns of the limit kept to it independently, each
+//! would send as much as all of them together may. Equal shares among hundreds of daemons would
+//! be one request every few minutes each, and the tokens that accumulate at all of them could
+//! be spent at once.
 //!
-//! So a few daemons share what an endpoint takes, chosen without talk by rendezvous hashing
-//! over those that are heard, and the others send it nothing. They are so many that even if
-//! all send at once what they have gathered, that is little beside the limit. Daemons tell one
-//! another what endpoints name, newest first, so that those learn of it that do not send there
-//! any more.
+//! So a few daemons share the limit of an endpoint, and the others send it nothing. The sharers
+//! are chosen without coordination, by rendezvous hashing over the daemons that were received
+//! from lately. They are few enough that even if all of them spend their accumulated tokens at
+//! once, that is little compared with the limit. Daemons also report to each other what
+//! endpoints announced, and the newest report wins, so that those that no longer send to an
+//! endpoint learn of a change.
 //!
-//! A limit has no end of its own: only an answer without one tells that the need is over.
+//! A limit does not expire: only an answer without one shows that the overload is over.
 
 use std::net::Ipv4Addr;
 use std::time::{Duration, Instant};
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Daemons that share a limit beside one for each request a second.
-const SPARE: usize = 3;
-/// Least rate that is shared, in requests a second. An endpoint that takes nothing would
-/// never be heard to take more again.
-const LEAST: f64 = 0.25;
-/// Depth of a share, in seconds of its rate; at least one request.
-const DEPTH: f64 = 0.25;
-/// How long it is told that an endpoint names no limit any more.
-const TOLD: Duration = Duration::from_secs(10);
-
-/// The daemons that share limits, as this one knows them.
+/// Number of daemons that share a limit, in addition to one for each request a second.
+const EXTRA_SHARERS: usize = 3;
+/// Least rate that is shared, in requests a second. Without it, an endpoint that takes nothing
+/// would get no request, and its answer could never show that it takes more again.
+const MIN_RATE: f64 = 0.25;
+/// Burst of a share, in seconds of its rate; at least one request.
+const BURST_S: f64 = 0.25;
+/// How long a daemon reports that an endpoint announces no limit any more.
+const WITHDRAWAL_TIME: Duration = Duration::from_secs(10);
+
+/// Daemons that may share limits, as this one knows them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Sharers {
     /// This daemon.
     pub me: Ipv4Addr,
-    /// Those that it heard lately.
+    /// Other daemons that this one received digests from lately.
     pub others: Vec<Ipv4Addr>,
 }
 
@@ -47,17 +49,17 @@
 }
 
 impl Sharers {
-    /// Requests a second that this daemon may send to an endpoint which takes `rate`.
+    /// Requests a second that this daemon may send to an endpoint that takes `rate` in all.
     fn share(&self, endpoint: u32, rate: f64) -> f64 {
-        let rate = rate.max(LEAST);
-        let most = (rate as usize).saturating_add(SPARE);
+        let rate = rate.max(MIN_RATE);
+        let most = (rate as usize).saturating_add(EXTRA_SHARERS);
         let count = most.min(self.others.len() + 1);
         let rank = |daemon: &Ipv4Addr| {
             let seed = u64::from(endpoint);
             (xxh3_64_with_seed(&daemon.octets(), seed), *daemon)
         };
-        let mine = rank(&self.me);
-        let before = self.others.iter().filter(|other| rank(other) < mine);
+        let own_rank = rank(&self.me);
+        let before = self.others.iter().filter(|other| rank(other) < own_rank);
         if before.count() < count {
             rate / count as f64
         } else {
@@ -66,94 +68,97 @@
     }
 }
 
-/// What an endpoint said of its limit, as daemons tell it to one another.
+/// Limit that an endpoint announced, as daemons report it to each other.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Said {
-    /// Requests a second that it takes from all daemons together; `None` if it has no need.
+pub struct AnnouncedLimit {
+    /// Requests a second that it takes from all daemons together; `None` if it announces no
+    /// limit.
     pub rate: Option<f64>,
-    /// When it said so.
-    pub heard: Instant,
+    /// When the endpoint announced it.
+    pub at: Instant,
 }
 
-/// A daemon's part of what an endpoint takes.
+/// This daemon's share of an endpoint's limit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limit {
-    said: Said,
-    /// Whether the endpoint said it to this daemon.
-    is_own: bool,
+    announced: AnnouncedLimit,
+    /// Whether the endpoint announced it to this daemon.
+    is_direct: bool,
     /// Requests a second that this daemon may send.
     share: f64,
-    /// Requests that it may send, as of `filled`.
+    /// Tokens, one for each request that it may send, as of `filled_at`.
     tokens: f64,
-    filled: Instant,
+    filled_at: Instant,
 }
 
 impl Limit {
-    /// Takes in what an endpoint said; `held` is what was known of it. Gives `None` if that
-    /// is newer.
+    /// Merges an announcement of an endpoint with what is known of its limit. Returns `None` if
+    /// the known one is at least as new.
     #[must_use]
-    pub fn hear(
-        held: Option<&Self>,
+    pub fn merge(
+        known: Option<&Self>,
         endpoint: u32,
-        said: Said,
-        is_own: bool,
+        announced: AnnouncedLimit,
+        is_direct: bool,
         sharers: &Sharers,
     ) -> Option<Self> {
-        if held.is_some_and(|held| held.said.heard >= said.heard) {
+        if known.is_some_and(|known| known.announced.at >= announced.at) {
             return None;
         }
-        let mut limit = match held {
-            Some(held) if held.said.rate.is_some() => Self {
-                said,
-                is_own,
-                ..held.clone()
+        let mut limit = match known {
+            Some(known) if known.announced.rate.is_some() => Self {
+                announced,
+                is_direct,
+                ..known.clone()
             },
-            // What was sent before it was known is not known either: nothing is in hand.
+            // What this daemon sent before it learned of the limit is unknown, so it starts
+            // without tokens.
             _ => Self {
-                said,
-                is_own,
+                announced,
+                is_direct,
                 share: 0.0,
                 tokens: 0.0,
-                filled: said.heard,
+                filled_at: announced.at,
             },
         };
-        limit.divide(endpoint, sharers, said.heard.max(limit.filled));
+        limit.update_share(endpoint, sharers, announced.at.max(limit.filled_at));
         Some(limit)
     }
 
-    /// Takes in which daemons share it now.
-    pub fn divide(&mut self, endpoint: u32, sharers: &Sharers, now: Instant) {
-        // What has gathered so far did so by the former share.
+    /// Recomputes this daemon's share for a new set of sharers.
+    pub fn update_share(&mut self, endpoint: u32, sharers: &Sharers, now: Instant) {
+        // The tokens accumulated so far were earned at the former share.
         self.tokens = self.tokens(now);
-        self.filled = now;
+        self.filled_at = now;
         self.share = self
-            .said
+            .announced
             .rate
             .map_or(0.0, |rate| sharers.share(endpoint, rate));
     }
 
-    /// Requests a second that the endpoint takes from all daemons together.
+    /// Requests a second that the endpoint takes from all daemons together; `None` without a
+    /// limit.
     pub fn rate(&self) -> Option<f64> {
-        self.said.rate
+        self.announced.rate
     }
 
-    /// When the endpoint said so.
-    pub fn heard(&self) -> Instant {
-        self.said.heard
+    /// When the endpoint announced the limit.
+    pub fn announced_at(&self) -> Instant {
+        self.announced.at
     }
 
-    /// What this daemon tells the others of it, if there is something to tell.
-    pub fn tell(&self, now: Instant) -> Option<Said> {
-        let is_new = now.saturating_duration_since(self.said.heard) < TOLD;
-        (self.is_own && (self.said.rate.is_some() || is_new)).then_some(self.said)
+    /// What this daemon reports of the limit to the others; `None` if nothing.
+    pub fn report(&self, now: Instant) -> Option<AnnouncedLimit> {
+        let is_new = now.saturating_duration_since(self.announced.at) < WITHDRAWAL_TIME;
+        (self.is_direct && (self.announced.rate.is_some() || is_new)).then_some(self.announced)
     }
 
     /// Whether this daemon may send a request now.
     ///
     /// # Errors
-    /// The time until it may, by its present share.
+    /// Returns the time until it may, at its present share.
     pub fn check(&self, now: Instant) -> Result<(), Duration> {
-        if self.said.rate.is_none() {
+        if self.announced.rate.is_none() {
             return Ok(());
         }
         let missing = 1.0 - self.tokens(now);
@@ -163,15 +168,15 @@
         Err(Duration::try_from_secs_f64(missing / self.share).unwrap_or(Duration::MAX))
     }
 
-    /// Counts a request that is sent.
+    /// Takes a token for a request that is sent.
     pub fn take(&mut self, now: Instant) {
         self.tokens = (self.tokens(now) - 1.0).max(0.0);
-        self.filled = now;
+        self.filled_at = now;
     }
 
     fn tokens(&self, now: Instant) -> f64 {
-        let since = now.saturating_duration_since(self.filled).as_secs_f64();
-        let depth = (self.share * DEPTH).max(1.0);
-        (self.tokens + since * self.share).min(depth)
+        let since = now.saturating_duration_since(self.filled_at).as_secs_f64();
+        let burst = (self.share * BURST_S).max(1.0);
+        (self.tokens + since * self.share).min(burst)
     }
 }
--- a/lib/tests/test_relay_crash.rs
+++ b/lib/tests/test_relay_crash.rs
@@ -1,8 +1,10 @@
-//! Requests that crash endpoints, as daemons know them together.
+//! Quarantine of requests that crash endpoints, over several daemons.
 
 use std::time::{Duration, Instant};
 
-use poplarvale_lib::relay::crash::{Crashes, ENOUGH, KEPT, Noted, content};
+use poplarvale_lib::relay::crash::{
+    CRASH_TTL, CrashUpdate, Crashes, QUARANTINE_CRASHES, fingerprint,
+};
 use proptest::prelude::*;
 
 const FATAL: u64 = 7;
@@ -10,78 +12,78 @@
 /// Time between two digests.
 const PERIOD: Duration = Duration::from_millis(250);
 
-/// Passes what one daemon tells on to another.
+/// Sends one daemon's digest to another.
 fn digest(from: &Crashes, to: &mut Crashes, whole: bool, now: Instant) {
-    for crash in from.tell(whole, now) {
-        to.hear(&crash, now);
+    for crash in from.report(whole, now) {
+        to.merge(&crash, now);
     }
-    for content in from.tell_cleared(now) {
-        to.hear_cleared(content);
+    for fingerprint in from.report_cleared(now) {
+        to.merge_cleared(fingerprint);
     }
 }
 
-/// A request ends endpoints through daemons of which none sees enough of it alone.
+/// Each daemon sees a request crash fewer endpoints than a quarantine needs.
 #[test]
 fn ends_seen_by_different_daemons_count_together() {
     let now = Instant::now();
-    let mut daemons = vec![Crashes::default(); ENOUGH];
-    for (life, daemon) in (1..).zip(&mut daemons) {
-        daemon.note(FATAL, life, now);
+    let mut daemons = vec![Crashes::default(); QUARANTINE_CRASHES];
+    for (incarnation, daemon) in (1..).zip(&mut daemons) {
+        daemon.record(FATAL, incarnation, now);
     }
-    let (last, others) = daemons.split_last_mut().expect("there are some");
+    let (last, others) = daemons.split_last_mut().expect("there are several daemons");
     for other in others.iter() {
         digest(other, last, false, now);
     }
-    assert_eq!(last.held(FATAL, now), Some(KEPT));
-    assert_eq!(last.held(OTHER, now), None);
+    assert_eq!(last.quarantine_left(FATAL, now), Some(CRASH_TTL));
+    assert_eq!(last.quarantine_left(OTHER, now), None);
     digest(last, &mut others[0], false, now);
-    assert!(others[0].held(FATAL, now).is_some());
+    assert!(others[0].quarantine_left(FATAL, now).is_some());
 }
 
-/// One endpoint's end breaks several sendings of a request, and each daemon tells of it again
-/// and again.
+/// One crash breaks off several attempts of a request, and each daemon reports it again and
+/// again.
 #[test]
-fn one_end_counts_once() {
+fn one_crash_counts_once() {
     let now = Instant::now();
     let (mut one, mut other) = (Crashes::default(), Crashes::default());
-    for _ in 0..ENOUGH {
-        one.note(FATAL, 1, now);
-        other.note(FATAL, 1, now);
+    for _ in 0..QUARANTINE_CRASHES {
+        one.record(FATAL, 1, now);
+        other.record(FATAL, 1, now);
         digest(&one, &mut other, true, now);
     }
-    assert_eq!(other.held(FATAL, now), None);
+    assert_eq!(other.quarantine_left(FATAL, now), None);
 }
 
-/// A popular request was at three endpoints that ended by themselves; it is served elsewhere
-/// and must not be refused for it.
+/// A popular request was running on three endpoints when they crashed for another reason. It is
+/// served elsewhere and must not be rejected.
 #[test]
 fn a_request_that_is_served_is_cleared_everywhere() {
     let now = Instant::now();
     let (mut one, mut other) = (Crashes::default(), Crashes::default());
-    for life in 0..ENOUGH as u32 {
-        one.note(FATAL, life, now);
+    for incarnation in 0..QUARANTINE_CRASHES as u32 {
+        one.record(FATAL, incarnation, now);
     }
     digest(&one, &mut other, false, now);
-    assert!(other.held(FATAL, now).is_some());
+    assert!(other.quarantine_left(FATAL, now).is_some());
     assert!(other.clear(FATAL, now));
-    // A word that was on its way does not bring it back.
+    // A digest that was in transit does not bring it back.
     digest(&one, &mut other, false, now);
     digest(&other, &mut one, false, now);
-    assert_eq!(one.held(FATAL, now), None);
-    assert_eq!(other.held(FATAL, now), None);
+    assert_eq!(one.quarantine_left(FATAL, now), None);
+    assert_eq!(other.quarantine_left(FATAL, now), None);
 }
 
-/// Daemons tell one another of a quarantined request for as long as they know it; it must
-/// not outlive its time by that.
+/// Daemons report a quarantined request for as long as they know it. That must not extend its
+/// quarantine.
 #[test]
-fn a_quarantine_ends_though_daemons_tell_it_on() {
+fn a_quarantine_ends_although_daemons_report_it() {
     let start = Instant::now();
     let (mut one, mut other) = (Crashes::default(), Crashes::default());
-    for life in 0..ENOUGH as u32 {
-        one.note(FATAL, life, start);
+    for incarnation in 0..QUARANTINE_CRASHES as u32 {
+        one.record(FATAL, incarnation, start);
     }
     let mut now = start;
-    while now < start + KEPT + PERIOD {
+    while now < start + CRASH_TTL + PERIOD {
         now += PERIOD;
         digest(&one, &mut other, true, now);
         digest(&other, &mut one, true, now);
@@ -91,67 +93,68 @@
     assert!(one.is_empty() && other.is_empty());
 }
 
-/// A wave of crashes makes many requests suspicious at once. What is known of the one that
-/// is quarantined must not be lost to them, nor fill the digests.
+/// A wave of crashes makes many requests suspected at once. They must not displace the record
+/// of the quarantined one, nor fill the digests.
 #[test]
 fn a_wave_of_suspects_displaces_no_quarantine() {
     let now = Instant::now();
     let mut crashes = Crashes::default();
-    for life in 0..ENOUGH as u32 {
-        crashes.note(FATAL, life, now);
+    for incarnation in 0..QUARANTINE_CRASHES as u32 {
+        crashes.record(FATAL, incarnation, now);
     }
-    for content in 1000..20_000 {
-        crashes.note(content, 99, now + PERIOD);
+    for fingerprint in 1000..20_000 {
+        crashes.record(fingerprint, 99, now + PERIOD);
     }
-    assert!(crashes.held(FATAL, now + PERIOD).is_some());
-    let told = crashes.tell(false, now + PERIOD);
-    assert_eq!(told[0].content, FATAL);
-    assert!(told.len() < 100);
+    assert!(crashes.quarantine_left(FATAL, now + PERIOD).is_some());
+    let report = crashes.report(false, now + PERIOD);
+    assert_eq!(report[0].fingerprint, FATAL);
+    assert!(report.len() < 100);
 }
 
-/// A word without lives, or whose time is over, names no request.
+/// A report without incarnations, or whose time is over, suspects no request.
 #[test]
-fn empty_words_change_nothing() {
+fn empty_reports_change_nothing() {
     let now = Instant::now();
     let mut crashes = Crashes::default();
-    crashes.note(OTHER, 1, now);
-    let mut crash = crashes.tell(false, now).remove(0);
+    crashes.record(OTHER, 1, now);
+    let mut crash = crashes.report(false, now).remove(0);
     let mut other = Crashes::default();
     crash.left = Duration::ZERO;
-    assert_eq!(other.hear(&crash, now), Noted::Nothing);
-    crash.left = KEPT;
-    crash.lives.clear();
-    assert_eq!(other.hear(&crash, now), Noted::Nothing);
+    assert_eq!(other.merge(&crash, now), CrashUpdate::Unchanged);
+    crash.left = CRASH_TTL;
+    crash.incarnations.clear();
+    assert_eq!(other.merge(&crash, now), CrashUpdate::Unchanged);
     assert!(other.is_empty());
 }
 
-/// Parts that are the same when joined are different requests.
+/// Requests whose parts are equal when joined are different.
 #[test]
-fn the_content_tells_requests_apart() {
-    let all = [
-        content("club", "a.example", b"GET", b"/a", b""),
-        content("club", "a.example", b"GET", b"/", b"a"),
-        content("clu", "ba.example", b"GET", b"/a", b""),
-        content("club", "a.example", b"POST", b"/a", b""),
+fn fingerprints_distinguish_requests() {
+    let fingerprints = [
+        fingerprint("club", "a.example", b"GET", b"/a", b""),
+        fingerprint("club", "a.example", b"GET", b"/", b"a"),
+        fingerprint("clu", "ba.example", b"GET", b"/a", b""),
+        fingerprint("club", "a.example", b"POST", b"/a", b""),
     ];
-    for (at, one) in all.iter().enumerate() {
-        assert!(!all[at + 1..].contains(one));
+    for (at, one) in fingerprints.iter().enumerate() {
+        assert!(!fingerprints[at + 1..].contains(one));
     }
 }
 
 proptest! {
-    /// Whatever words are lost, late or repeated: once each daemon has heard each other one,
-    /// all hold the same requests back, and just those under which enough endpoints ended.
+    /// Whichever digests are lost, late or repeated: once each daemon has received one from
+    /// each other, all quarantine the same requests, and just those under which enough
+    /// endpoints crashed.
     #[test]
     fn daemons_agree_after_lost_and_repeated_words(
-        ends in prop::collection::vec((0_usize..4, 0_u64..5, 0_u32..8), 0..30),
-        words in prop::collection::vec((0_usize..4, 0_usize..4), 0..30),
+        crashed in prop::collection::vec((0_usize..4, 0_u64..5, 0_u32..8), 0..30),
+        digests in prop::collection::vec((0_usize..4, 0_usize..4), 0..30),
     ) {
         let now = Instant::now();
         let mut daemons = vec![Crashes::default(); 4];
-        for (at, (daemon, content, life)) in ends.iter().enumerate() {
-            daemons[*daemon].note(*content, *life, now);
-            if let Some((from, to)) = words.get(at) {
+        for (at, (daemon, fingerprint, incarnation)) in crashed.iter().enumerate() {
+            daemons[*daemon].record(*fingerprint, *incarnation, now);
+            if let Some((from, to)) = digests.get(at) {
                 let from = daemons[*from].clone();
                 digest(&from, &mut daemons[*to], true, now);
             }
@@ -162,12 +165,12 @@
                 digest(&from, &mut daemons[to], true, now);
             }
         }
-        for content in 0..5 {
-            let mut lives: Vec<u32> = ends.iter().filter(|end| end.1 == content).map(|end| end.2).collect();
-            lives.sort_unstable();
-            lives.dedup();
+        for fingerprint in 0..5 {
+            let mut incarnations: Vec<u32> = crashed.iter().filter(|crash| crash.1 == fingerprint).map(|crash| crash.2).collect();
+            incarnations.sort_unstable();
+            incarnations.dedup();
             for daemon in &daemons {
-                prop_assert_eq!(daemon.held(content, now).is_some(), lives.len() >= ENOUGH);
+                prop_assert_eq!(daemon.quarantine_left(fingerprint, now).is_some(), incarnations.len() >= QUARANTINE_CRASHES);
             }
         }
     }
--- a/lib/tests/test_relay_limit.rs
+++ b/lib/tests/test_relay_limit.rs
@@ -1,24 +1,25 @@
-//! Limits that endpoints name, kept by many daemons without talk.
+//! Rate limits that endpoints announce, kept by many daemons without coordination.
 
 use std::net::Ipv4Addr;
 use std::time::{Duration, Instant};
 
-use poplarvale_lib::relay::limit::{Limit, Said, Sharers};
+use poplarvale_lib::relay::limit::{AnnouncedLimit, Limit, Sharers};
 use proptest::prelude::*;
 
 const ENDPOINT: u32 = 77;
 const STEP: Duration = Duration::from_millis(10);
-/// Span in which requests are counted.
+/// Span over which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
-/// Time after which all daemons know the limit, and time that they are watched.
-const KNOWN: Duration = Duration::from_secs(3);
-const LONG: Duration = Duration::from_secs(24);
+/// Time after which all daemons know the limit.
+const KNOWN_AFTER: Duration = Duration::from_secs(3);
+/// Time for which the daemons run.
+const RUN_TIME: Duration = Duration::from_secs(24);
 
 fn address(number: usize) -> Ipv4Addr {
     Ipv4Addr::from(0x0a01_0000 + number as u32)
 }
 
-/// What a daemon knows of the others: all but those that `misses` names.
+/// Sharers as one daemon knows them: all daemons but those for which `misses` holds.
 fn sharers(number: usize, daemons: usize, misses: impl Fn(usize) -> bool) -> Sharers {
     let others = (0..daemons).filter(|other| *other != number && !misses(*other));
     Sharers {
@@ -27,22 +28,23 @@
     }
 }
 
-fn named(rate: f64, heard: Instant) -> Said {
-    Said {
+fn announce(rate: f64, at: Instant) -> AnnouncedLimit {
+    AnnouncedLimit {
         rate: Some(rate),
-        heard,
+        at,
     }
 }
 
-fn first(said: Said, sharers: &Sharers) -> Limit {
-    Limit::hear(None, ENDPOINT, said, true, sharers).expect("nothing was known")
+fn first(announced: AnnouncedLimit, sharers: &Sharers) -> Limit {
+    Limit::merge(None, ENDPOINT, announced, true, sharers).expect("nothing was known")
 }
 
-/// Daemons that all have more than they may send; gives the times of what they send.
+/// Runs daemons that all have more requests than they may send; returns the times of those that
+/// they send.
 fn flood(daemons: &mut [Limit], start: Instant) -> Vec<Instant> {
     let mut sent = Vec::new();
     let mut now = start;
-    while now < start + LONG {
+    while now < start + RUN_TIME {
         for limit in daemons.iter_mut() {
             while limit.check(now).is_ok() {
                 limit.take(now);
@@ -54,12 +56,12 @@
     sent
 }
 
-/// Most within a window, of what came after all daemons know.
-fn most(sent: &[Instant], start: Instant) -> usize {
+/// Most requests within a window, among those after all daemons know the limit.
+fn most_in_window(sent: &[Instant], start: Instant) -> usize {
     let late: Vec<Instant> = sent
         .iter()
         .copied()
-        .filter(|at| *at >= start + KNOWN)
+        .filter(|at| *at >= start + KNOWN_AFTER)
         .collect();
     let within = |first: &Instant| {
         late.iter()
@@ -69,7 +71,7 @@
     late.iter().map(within).max().unwrap_or(0)
 }
 
-fn allowed(rate: f64) -> f64 {
+fn max_in_window(rate: f64) -> f64 {
     rate * WINDOW.as_secs_f64() * 1.5 + 5.0
 }
 
@@ -77,107 +79,109 @@
     #![proptest_config(ProptestConfig::with_cases(48))]
 
     /// Whatever the limit and the number of daemons, no window has more than one and a half
-    /// times the limit and a few, and most of the limit is used.
+    /// times the limit and a few requests, and most of the limit is used.
     #[test]
     fn any_number_of_daemons_keeps_any_limit(daemons in 1_usize..400, rate in 0.0_f64..40.0) {
         let start = Instant::now();
         let mut limits: Vec<Limit> = (0..daemons)
-            .map(|number| first(named(rate, start), &sharers(number, daemons, |_| false)))
+            .map(|number| first(announce(rate, start), &sharers(number, daemons, |_| false)))
             .collect();
         let sent = flood(&mut limits, start);
-        let most = most(&sent, start) as f64;
-        prop_assert!(most <= allowed(rate), "{most} of {} with {rate}", allowed(rate));
-        let used = sent.len() as f64 / LONG.as_secs_f64();
+        let most = most_in_window(&sent, start) as f64;
+        prop_assert!(most <= max_in_window(rate), "{most} of {} with {rate}", max_in_window(rate));
+        let used = sent.len() as f64 / RUN_TIME.as_secs_f64();
         prop_assert!(used >= rate * 0.75 - 0.2, "{used} used of {rate}");
     }
 
-    /// Daemons that do not hear some of the others choose a few sharers more.
+    /// Daemons that do not receive from some of the others choose a few more sharers.
     #[test]
     fn daemons_that_miss_a_few_others_keep_the_limit(daemons in 2_usize..400, rate in 0.2_f64..20.0, lost in 0_usize..20) {
         let start = Instant::now();
         let misses = |number: usize, other: usize| (number * 31 + other * 17) % 20 == lost;
         let mut limits: Vec<Limit> = (0..daemons)
-            .map(|number| first(named(rate, start), &sharers(number, daemons, |other| misses(number, other))))
+            .map(|number| first(announce(rate, start), &sharers(number, daemons, |other| misses(number, other))))
             .collect();
         let sent = flood(&mut limits, start);
-        let most = most(&sent, start) as f64;
-        prop_assert!(most <= allowed(rate), "{most} of {} with {rate}", allowed(rate));
+        let most = most_in_window(&sent, start) as f64;
+        prop_assert!(most <= max_in_window(rate), "{most} of {} with {rate}", max_in_window(rate));
     }
 }
 
-/// A word that was long on its way must not bring back what an endpoint has taken back since.
+/// An announcement that was delayed must not restore a limit that the endpoint has lifted
+/// since.
 #[test]
-fn the_newest_word_of_a_limit_holds() {
+fn the_newest_announcement_of_a_limit_wins() {
     let start = Instant::now();
-    let alone = sharers(0, 1, |_| false);
-    let limit = first(named(1.0, start), &alone);
-    let later = Said {
+    let single = sharers(0, 1, |_| false);
+    let limit = first(announce(1.0, start), &single);
+    let later = AnnouncedLimit {
         rate: None,
-        heard: start + STEP,
+        at: start + STEP,
     };
-    let limit = Limit::hear(Some(&limit), ENDPOINT, later, false, &alone).expect("it is newer");
+    let limit = Limit::merge(Some(&limit), ENDPOINT, later, false, &single).expect("it is newer");
     assert_eq!(limit.rate(), None);
     assert!(limit.check(start + STEP).is_ok());
-    let late = named(1.0, start);
+    let late = announce(1.0, start);
     assert_eq!(
-        Limit::hear(Some(&limit), ENDPOINT, late, true, &alone),
+        Limit::merge(Some(&limit), ENDPOINT, late, true, &single),
         None
     );
 }
 
-/// A daemon tells on only what an endpoint said to itself; told on by all, an old word would
-/// never end.
+/// A daemon reports only what an endpoint announced to itself. If all daemons passed it on, an
+/// old announcement would never disappear.
 #[test]
-fn what_was_told_is_not_told_on() {
+fn received_announcements_are_not_passed_on() {
     let start = Instant::now();
-    let alone = sharers(0, 1, |_| false);
-    let own = first(named(1.0, start), &alone);
-    assert_eq!(own.tell(start + LONG), Some(named(1.0, start)));
-    let told = Limit::hear(None, ENDPOINT, named(1.0, start), false, &alone);
-    assert_eq!(told.expect("nothing was known").tell(start), None);
+    let single = sharers(0, 1, |_| false);
+    let own = first(announce(1.0, start), &single);
+    assert_eq!(own.report(start + RUN_TIME), Some(announce(1.0, start)));
+    let received = Limit::merge(None, ENDPOINT, announce(1.0, start), false, &single);
+    assert_eq!(received.expect("nothing was known").report(start), None);
 }
 
-/// A daemon has sent nothing for long when an endpoint begins to name a limit, and has not
-/// gathered anything meanwhile.
+/// A daemon has sent nothing for a long time when an endpoint starts to announce a limit, and
+/// must not have accumulated tokens in that time.
 #[test]
-fn nothing_is_in_hand_when_a_limit_begins() {
+fn a_new_limit_starts_without_tokens() {
     let start = Instant::now();
-    let alone = sharers(0, 1, |_| false);
-    let limit = first(named(1.0, start), &alone);
-    let over = Said {
+    let single = sharers(0, 1, |_| false);
+    let limit = first(announce(1.0, start), &single);
+    let over = AnnouncedLimit {
         rate: None,
-        heard: start + LONG,
+        at: start + RUN_TIME,
     };
-    let limit = Limit::hear(Some(&limit), ENDPOINT, over, true, &alone).expect("newer");
-    let again = named(1.0, start + LONG * 2);
-    let limit = Limit::hear(Some(&limit), ENDPOINT, again, true, &alone).expect("newer");
-    assert!(limit.check(start + LONG * 2).is_err());
+    let limit = Limit::merge(Some(&limit), ENDPOINT, over, true, &single).expect("it is newer");
+    let again = announce(1.0, start + RUN_TIME * 2);
+    let limit = Limit::merge(Some(&limit), ENDPOINT, again, true, &single).expect("it is newer");
+    assert!(limit.check(start + RUN_TIME * 2).is_err());
 }
 
-/// An endpoint that takes nothing is asked now and then, or its end of need is never heard.
+/// An endpoint that takes nothing still gets a request now and then. Otherwise the end of its
+/// overload would never be noticed.
 #[test]
 fn an_endpoint_that_takes_nothing_is_tried_again() {
     let start = Instant::now();
     let mut limits: Vec<Limit> = (0..7)
-        .map(|number| first(named(0.0, start), &sharers(number, 7, |_| false)))
+        .map(|number| first(announce(0.0, start), &sharers(number, 7, |_| false)))
         .collect();
     let sent = flood(&mut limits, start).len();
     assert!((1..=6).contains(&sent), "{sent}");
 }
 
-/// A daemon that shares nothing of a limit does so when those that do are gone.
+/// A daemon without a share of a limit gets one when those that have one are gone.
 #[test]
 fn sharers_that_are_gone_are_replaced() {
     let start = Instant::now();
     let mut limits: Vec<Limit> = (0..50)
-        .map(|number| first(named(1.0, start), &sharers(number, 50, |_| false)))
+        .map(|number| first(announce(1.0, start), &sharers(number, 50, |_| false)))
         .collect();
     let shares =
-        |limit: &Limit| limit.check(start).expect_err("nothing is in hand") < Duration::MAX;
+        |limit: &Limit| limit.check(start).expect_err("there are no tokens yet") < Duration::MAX;
     let gone: Vec<usize> = (0..50).filter(|number| shares(&limits[*number])).collect();
     assert!((1..=5).contains(&gone.len()));
     for (number, limit) in limits.iter_mut().enumerate() {
-        limit.divide(
+        limit.update_share(
             ENDPOINT,
             &sharers(number, 50, |other| gone.contains(&other)),
             start,
@@ -187,36 +191,37 @@
     assert_eq!(next.count(), gone.len());
 }
 
-/// Daemons restart one after the other, and others share the limit in their place: these have
-/// not gathered anything while they had no share.
+/// Daemons restart one after the other, and others share the limit in their place. These must
+/// not have accumulated tokens while they had no share.
 #[test]
-fn a_new_sharer_has_nothing_in_hand() {
+fn a_new_sharer_starts_without_tokens() {
     let start = Instant::now();
     let mut limits: Vec<Limit> = (0..50)
-        .map(|number| first(named(1.0, start), &sharers(number, 50, |_| false)))
+        .map(|number| first(announce(1.0, start), &sharers(number, 50, |_| false)))
         .collect();
-    let later = start + LONG;
+    let later = start + RUN_TIME;
     let without: Vec<usize> = (0..50)
         .filter(|number| limits[*number].check(later).is_err())
         .collect();
     assert!(without.len() >= 45);
     for number in without {
-        limits[number].divide(ENDPOINT, &sharers(number, 1, |_| false), later);
+        limits[number].update_share(ENDPOINT, &sharers(number, 1, |_| false), later);
         assert!(limits[number].check(later).is_err(), "{number}");
         assert!(limits[number].check(later + WINDOW).is_ok(), "{number}");
     }
 }
 
-/// Each answer names the limit again; what a daemon has gathered meanwhile is not lost by it.
+/// Each answer announces the limit again, which must not discard a daemon's accumulated tokens.
 #[test]
-fn a_limit_that_is_named_again_is_still_used() {
+fn a_limit_that_is_announced_again_keeps_its_tokens() {
     let start = Instant::now();
-    let alone = sharers(0, 1, |_| false);
-    let mut limit = first(named(1.0, start), &alone);
+    let single = sharers(0, 1, |_| false);
+    let mut limit = first(announce(1.0, start), &single);
     let (mut now, mut sent) = (start, 0);
-    while now < start + LONG {
+    while now < start + RUN_TIME {
         now += STEP;
-        limit = Limit::hear(Some(&limit), ENDPOINT, named(1.0, now), true, &alone).expect("newer");
+        limit = Limit::merge(Some(&limit), ENDPOINT, announce(1.0, now), true, &single)
+            .expect("it is newer");
         if limit.check(now).is_ok() {
             limit.take(now);
             sent += 1;
