--- a/daemon/src/relay/attempt.rs
+++ b/daemon/src/relay/attempt.rs
@@ -338,7 +338,7 @@
     let (service, route) = (&job.service.name, &job.route.name);
     let sample = Sample { good, took };
     let mut rollouts = state.rollouts.borrow_mut();
-    if rollouts.note(service, route, version, sample, state.true_ms()) {
+    if rollouts.record(service, route, version, sample, state.true_ms()) {
         log::warn!(
             request = job.ask.id.as_str(), route = route.as_str(), good,
             took_ms = took.as_millis() as u64;
--- a/daemon/src/relay/dispatch.rs
+++ b/daemon/src/relay/dispatch.rs
@@ -241,7 +241,7 @@
         now: Std::now(),
     };
     let chosen = choose(&board, &wanted);
-    match job.versions.otherwise() {
+    match job.versions.fallback() {
         Some(versions) if chosen.is_err() => choose(
             &board,
             &Wanted {
--- a/daemon/src/relay/duties.rs
+++ b/daemon/src/relay/duties.rs
@@ -319,7 +319,10 @@
         let board = state.board.borrow();
         board.of_other_versions(service, target).1
     };
-    let due = state.rollouts.borrow_mut().due(state.true_ms(), busy);
+    let due = state
+        .rollouts
+        .borrow_mut()
+        .due_statuses(state.true_ms(), busy);
     for status in due {
         if !holder.held.may_act(Instant::now()) {
             return;
@@ -329,7 +332,7 @@
             Ok(Some(revision)) => {
                 log::info!("rollout: {service} told as {outcome:?}.");
                 let mut rollouts = state.rollouts.borrow_mut();
-                rollouts.status(service, &status.target, outcome, revision);
+                rollouts.apply_status(service, &status.target, outcome, revision);
             }
             Ok(None) => log::info!("rollout: {service} not told, the duty is another's."),
             Err(error) => log::info!("rollout: {service} not told, {error}."),
--- a/daemon/src/relay/peers.rs
+++ b/daemon/src/relay/peers.rs
@@ -13,8 +13,8 @@
 use poplarvale_lib::relay::digest::{Peer, Place, Turn, Turns};
 use poplarvale_lib::relay::limit::{AnnouncedLimit, Sharers};
 use poplarvale_lib::relay::quota::{Told, Use, ZoneSummary, ZoneUse};
-use poplarvale_lib::relay::rollout::evidence::{Key, Side, Sides};
-use poplarvale_lib::relay::rollout::{Order, Outcome, Word};
+use poplarvale_lib::relay::rollout::evidence::{Comparison, Key, VersionCounts};
+use poplarvale_lib::relay::rollout::{MoveReport, Order, Outcome};
 use poplarvale_lib::relay::usage::{Report, Usage, WindowId};
 use prost::Message as _;
 use tokio::net::UdpSocket;
@@ -219,7 +219,7 @@
         services: services.collect(),
         left: left.to_vec(),
         uptime_ms: state.started.elapsed().as_millis() as u64,
-        moves: state.rollouts.borrow().tell().map(tell_move).collect(),
+        moves: state.rollouts.borrow().reports().map(tell_move).collect(),
         crashes: crashes
             .report(whole, now)
             .into_iter()
@@ -301,13 +301,13 @@
     })
 }
 
-fn tell_move(word: Word) -> digest::Move {
-    let side = |side: Side| digest::Side {
-        all: side.all,
-        bad: side.bad,
-        time: side.time as f32,
+fn tell_move(word: MoveReport) -> digest::Move {
+    let side = |side: VersionCounts| digest::Side {
+        all: side.requests,
+        bad: side.failures,
+        time: side.time_s as f32,
     };
-    let seen = |((route, slot), sides): (Key, Sides)| digest::Seen {
+    let seen = |((route, slot), sides): (Key, Comparison)| digest::Seen {
         route,
         slot,
         old: Some(side(sides.old)),
@@ -325,16 +325,16 @@
         begin_ms: word.begin,
         finish_ms: word.finish,
         outcome: outcome.into(),
-        seen: word.sides.into_iter().map(seen).collect(),
+        seen: word.comparisons.into_iter().map(seen).collect(),
     }
 }
 
-fn hear_move(told: digest::Move) -> Word {
+fn hear_move(told: digest::Move) -> MoveReport {
     let side = |side: Option<digest::Side>| {
-        side.map_or(Side::default(), |side| Side {
-            all: side.all,
-            bad: side.bad,
-            time: f64::from(side.time),
+        side.map_or(VersionCounts::default(), |side| VersionCounts {
+            requests: side.all,
+            failures: side.bad,
+            time_s: f64::from(side.time),
         })
     };
     let outcome = match told.outcome() {
@@ -343,13 +343,13 @@
         digest::Outcome::RolledBack => Outcome::RolledBack,
     };
     let seen = |seen: digest::Seen| {
-        let sides = Sides {
+        let sides = Comparison {
             old: side(seen.old),
             new: side(seen.new),
         };
         ((seen.route, seen.slot), sides)
     };
-    Word {
+    MoveReport {
         order: Order {
             service: told.service.into(),
             target: told.target.into(),
@@ -358,7 +358,7 @@
         begin: told.begin_ms,
         finish: told.finish_ms,
         outcome,
-        sides: told.seen.into_iter().map(seen).collect(),
+        comparisons: told.seen.into_iter().map(seen).collect(),
     }
 }
 
@@ -470,7 +470,7 @@
     state.demand.borrow_mut().hear(&name, work.collect(), now);
     for told in digest.moves {
         let heard = hear_move(told);
-        if state.rollouts.borrow_mut().hear(&name, &heard) {
+        if state.rollouts.borrow_mut().merge(&name, &heard) {
             let order = &heard.order;
             log::info!(
                 "rollout: {} to version {} has ended, {name} tells.",
--- a/daemon/src/relay/serve.rs
+++ b/daemon/src/relay/serve.rs
@@ -149,7 +149,7 @@
         board.of_other_versions(service, version).0
     };
     let mut rollouts = state.rollouts.borrow_mut();
-    rollouts.versions(service, olds, state.true_ms())
+    rollouts.choose_versions(service, olds, state.true_ms())
 }
 
 /// Route and team of a request.
--- a/daemon/src/relay/watch.rs
+++ b/daemon/src/relay/watch.rs
@@ -338,7 +338,7 @@
         revision: item.revision,
     };
     let (service, target) = (order.service.clone(), order.target.clone());
-    if state.rollouts.borrow_mut().order(order, now, finish) {
+    if state.rollouts.borrow_mut().add_order(order, now, finish) {
         log::info!("rollout: {service} is to go to version {target} within {life:?}.");
     }
 }
@@ -350,7 +350,7 @@
     match read_status(&item.value) {
         Ok((target, outcome)) => {
             let mut rollouts = state.rollouts.borrow_mut();
-            rollouts.status(service, &target, outcome, item.revision);
+            rollouts.apply_status(service, &target, outcome, item.revision);
         }
         Err(error) => log::warn!("rollout: state of {service} skipped, {error}."),
     }
--- a/lib/src/relay/rollout.rs
+++ b/lib/src/relay/rollout.rs
@@ -1,71 +1,72 @@
 //! Moves a service's requests to a new version of its endpoints by a given time.
 //!
-//! Load: a version that fails or slows down at once, later, when it is loaded, or
-//! on one route only. Sending it an even share from the start would hand its
-//! faults to half of all callers before anybody saw them. Here each daemon sends a
-//! few of its own requests in a hundred there first, and only to as many endpoints
-//! as that share loads like the old ones; so the bound on what a bad version gets
-//! holds in every partition without a word between daemons. What all of them saw
-//! is added up (see [`evidence`]); a verdict against the version is final and
-//! spreads with the daemons' digests.
+//! A new version may fail or slow down at once, after a while, under load, or on one route
+//! only. An even share of the requests from the start would expose half of all callers to its
+//! faults before anybody noticed. So each daemon sends the new version a few percent of its own
+//! requests first, and limits them to as many endpoints as that share loads like the old ones.
+//! Since each daemon keeps to the share independently, the bound on what a bad version receives
+//! holds in every partition, without coordination. The daemons add up what all of them observed
+//! (see [`evidence`]). A verdict against the version is final and spreads with the daemons'
+//! digests.
 //!
-//! A good version gets all requests well before the deadline, since the old
-//! endpoints are stopped without draining once the move is reported as completed:
-//! what they still work on would break off.
+//! A good version gets all requests well before the deadline: the old endpoints are stopped
+//! without draining once the move is reported as completed, which would cut off the requests
+//! that they still work on.
 
 pub mod evidence;
 
-use evidence::{Counts, Key, SLOTS, Sample, Sides};
+use evidence::{Comparison, Key, Observations, SLOTS, Sample};
 
 use super::quota::short;
 use crate::{ServiceId, VersionId, era_of};
 
-/// Unix milliseconds by the clocks of all daemons.
-pub type TrueMs = u64;
+/// Unix time in milliseconds, by the clock that all daemons agree on.
+pub type UnixMs = u64;
 
-/// Parts of the move's time from which the new version gets these multiples of the
-/// share that a bad one may get over the whole move; without end from the last on.
-/// A fault that shows at once meets half of that share for a third of the time, and
-/// one that shows under load finds two thirds of it left. The last part leaves the
-/// old endpoints a quarter of the time to finish what they work on.
+/// Stages of a move: the fraction of the move's time from which each applies, and the share of
+/// requests that the new version gets, as a multiple of the share that a bad version may get
+/// over the whole move. The last stage is unlimited. A fault that shows at once meets half of
+/// that share for a third of the time, and one that shows under load still finds two thirds of
+/// it unused. The last stage leaves the old endpoints a quarter of the time to finish what they
+/// work on.
 const STAGES: [(f64, f64); 4] = [(0.0, 0.0), (0.04, 0.5), (0.4, 1.5), (0.6, f64::INFINITY)];
-/// Part of the time from which the move may be reported as completed once the old
-/// endpoints are empty, and from which it is whatever they still do: the report
-/// takes a call or two.
-const EMPTIED: f64 = 0.85;
-const CLOSING: f64 = 0.94;
-/// Share of a service's endpoints that the new version may use while it is tried,
-/// for each part of the requests that it gets: one and a half times the load of an
-/// old one shows faults under load while few callers can meet them.
-const PRESSED: f64 = 1.5;
+/// Fraction of the move's time after which the move is reported as completed as soon as the old
+/// endpoints are empty.
+const EARLIEST_COMPLETION: f64 = 0.85;
+/// Fraction of the move's time after which it is reported as completed whatever the old endpoints
+/// still do; the report takes a call or two.
+const LATEST_COMPLETION: f64 = 0.94;
+/// Load of each endpoint of the new version during the trial, as a multiple of the load of an
+/// old one. The extra load shows faults that appear under load while few callers can meet them.
+const TRIAL_LOAD: f64 = 1.5;
 
-/// How a move stands.
+/// State of a move.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Outcome {
-    /// Under way.
+    /// In progress.
     #[default]
     Running,
     /// All requests go to the new version.
     Completed,
-    /// The new version was bad and gets nothing.
+    /// The new version was found to be bad and gets no requests.
     RolledBack,
 }
 
-/// What operators ordered.
+/// A version move that operators ordered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
     /// The service.
     pub service: ServiceId,
-    /// Version that its requests are to go to.
+    /// Version that the service's requests are to go to.
     pub target: VersionId,
-    /// Revision of the order in the store; tells two orders apart.
+    /// Revision of the order in the store; distinguishes two orders.
     pub revision: u64,
 }
 
 impl Order {
-    /// Whether another order of this service is this one, read again after the store came
-    /// back from an older copy and gave revisions out again.
-    fn is_same_in_another_era(&self, other: &Self) -> bool {
+    /// Whether the other order of this service is the same one, read again after the store came
+    /// back from an older copy and assigned revisions anew.
+    fn is_same_in_other_era(&self, other: &Self) -> bool {
         self.target == other.target && era_of(self.revision) != era_of(other.revision)
     }
 }
@@ -76,9 +77,9 @@
     /// Any.
     #[default]
     Any,
-    /// This one only, and only these many of its endpoints if a number is given.
+    /// Only this version and, if a number is given, only that many of its endpoints.
     Only(VersionId, Option<u32>),
-    /// Any but this one.
+    /// Any except this one.
     Not(VersionId),
 }
 
@@ -92,9 +93,9 @@
         }
     }
 
-    /// Where a request goes that finds no place at these versions; `None` if nowhere:
-    /// what is kept from a version must not reach it by a detour.
-    pub fn otherwise(&self) -> Option<Self> {
+    /// Versions for a request that found no endpoint at these; `None` if there are none. A
+    /// request that is kept away from a version must not reach it through a fallback.
+    pub fn fallback(&self) -> Option<Self> {
         match self {
             Self::Any | Self::Not(_) => None,
             Self::Only(target, Some(_)) => Some(Self::Not(target.clone())),
@@ -103,162 +104,163 @@
     }
 }
 
-/// A move as daemons tell it to one another.
+/// Report on a move, as daemons exchange it in their digests.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Word {
+pub struct MoveReport {
     /// The order.
     pub order: Order,
-    /// When it began and is due.
-    pub begin: TrueMs,
-    /// When it is due.
-    pub finish: TrueMs,
-    /// How the teller takes it to stand.
+    /// When the move began.
+    pub begin: UnixMs,
+    /// When the move is due.
+    pub finish: UnixMs,
+    /// State of the move, as the reporting daemon knows it.
     pub outcome: Outcome,
-    /// What the teller itself saw lately.
-    pub sides: Vec<(Key, Sides)>,
+    /// What the reporting daemon itself observed lately.
+    pub comparisons: Vec<(Key, Comparison)>,
 }
 
 /// One move.
 #[derive(Clone, Debug)]
 struct Move {
     order: Order,
-    begin: TrueMs,
-    finish: TrueMs,
+    begin: UnixMs,
+    finish: UnixMs,
     outcome: Outcome,
-    /// Outcome that the store holds; `None` if it holds none for this order.
-    reported: Option<Outcome>,
-    /// Share that holds now, the requests since it does, and those of them that went
-    /// to the new version. Counted from the order on, a larger share would begin with
-    /// a row of requests that all go there.
+    /// State that the store holds for this order; `None` if it holds none.
+    stored: Option<Outcome>,
+    /// Share of requests for the new version that applies now, the requests since it applies,
+    /// and those of them that went to the new version. If they were counted from the order on,
+    /// each larger share would begin with a run of requests that all go to the new version.
     share: f64,
     requests: u64,
     moved: u64,
-    counts: Counts,
+    observations: Observations,
 }
 
-/// All moves that were ordered, sorted by service; the last of each service.
+/// The last move of each service, sorted by service.
 #[derive(Clone, Debug)]
 pub struct Rollouts {
     /// Share of a service's requests that a bad version may get.
     exposure: f64,
-    rows: Vec<Move>,
+    moves: Vec<Move>,
 }
 
-/// What is to be written to the store.
+/// State of a move that is to be written to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
     /// The service.
     pub service: ServiceId,
     /// Version of the order.
     pub target: VersionId,
-    /// How the move stands.
+    /// State of the move.
     pub outcome: Outcome,
 }
 
 impl Rollouts {
-    /// No moves; a bad version may get the share `exposure` of all requests.
+    /// Creates a set without moves; a bad version may get the share `exposure` of all requests.
     pub fn new(exposure: f64) -> Self {
         Self {
             exposure,
-            rows: Vec::new(),
+            moves: Vec::new(),
         }
     }
 
-    /// Takes an order in that is to be done by `finish`; one that is known already,
-    /// or older than the one known, changes nothing.
-    pub fn order(&mut self, order: Order, now: TrueMs, finish: TrueMs) -> bool {
+    /// Starts the move of an order that is due at `finish`, and returns whether it is new. An
+    /// order that is known already, or older than the known one, changes nothing.
+    pub fn add_order(&mut self, order: Order, now: UnixMs, finish: UnixMs) -> bool {
         match self.find(&order.service) {
-            Ok(at) if self.rows[at].order.revision >= order.revision => false,
-            Ok(at) if self.rows[at].order.is_same_in_another_era(&order) => {
-                let row = &mut self.rows[at];
+            Ok(at) if self.moves[at].order.revision >= order.revision => false,
+            Ok(at) if self.moves[at].order.is_same_in_other_era(&order) => {
+                let row = &mut self.moves[at];
                 row.order = order;
-                // What was written of its state may be gone.
-                row.reported = None;
+                // The state may have been lost from the store, so it is written again.
+                row.stored = None;
                 false
             }
             Ok(at) => {
-                self.rows[at] = Move::new(order, now, finish);
+                self.moves[at] = Move::new(order, now, finish);
                 true
             }
             Err(at) => {
-                self.rows.insert(at, Move::new(order, now, finish));
+                self.moves.insert(at, Move::new(order, now, finish));
                 true
             }
         }
     }
 
-    /// Takes in what the store holds of a move's state, written at `revision`. A
-    /// state that is older than the order belongs to the move before.
-    pub fn status(&mut self, service: &str, target: &str, outcome: Outcome, revision: u64) {
+    /// Applies the state of a move that the store holds, written at `revision`. A state that is
+    /// older than the order belongs to the previous move.
+    pub fn apply_status(&mut self, service: &str, target: &str, outcome: Outcome, revision: u64) {
         let Ok(at) = self.find(service) else {
             return;
         };
-        let row = &mut self.rows[at];
+        let row = &mut self.moves[at];
         if row.order.target == target && row.order.revision < revision {
-            row.reported = Some(outcome);
+            row.stored = Some(outcome);
             if outcome == Outcome::Completed {
-                // The old endpoints are stopped: there is nothing to go back to.
+                // The old endpoints have been stopped, so rolling back is no longer possible.
                 row.outcome = outcome;
             }
-            row.settle(outcome);
+            row.apply_outcome(outcome);
         }
     }
 
-    /// Takes another daemon's word in; tells whether it ended the move.
-    pub fn hear(&mut self, name: &str, word: &Word) -> bool {
-        self.order(word.order.clone(), word.begin, word.finish);
-        let Ok(at) = self.find(&word.order.service) else {
+    /// Merges another daemon's report; returns whether it ended the move.
+    pub fn merge(&mut self, name: &str, report: &MoveReport) -> bool {
+        self.add_order(report.order.clone(), report.begin, report.finish);
+        let Ok(at) = self.find(&report.order.service) else {
             return false;
         };
-        let row = &mut self.rows[at];
-        if row.order != word.order {
+        let row = &mut self.moves[at];
+        if row.order != report.order {
             return false;
         }
-        // A daemon that started later took the order for new.
-        row.begin = row.begin.min(word.begin);
-        row.finish = row.finish.min(word.finish);
-        row.counts.hear(name, &word.sides);
+        // A daemon that started later took the order for a new one.
+        row.begin = row.begin.min(report.begin);
+        row.finish = row.finish.min(report.finish);
+        row.observations.merge(name, &report.comparisons);
         let before = row.outcome;
-        row.settle(word.outcome);
-        row.judge();
+        row.apply_outcome(report.outcome);
+        row.apply_verdict();
         before != row.outcome
     }
 
-    /// What this daemon tells of the moves.
-    pub fn tell(&self) -> impl Iterator<Item = Word> {
-        self.rows.iter().map(|row| Word {
+    /// Reports on all moves for this daemon's digest.
+    pub fn reports(&self) -> impl Iterator<Item = MoveReport> {
+        self.moves.iter().map(|row| MoveReport {
             order: row.order.clone(),
             begin: row.begin,
             finish: row.finish,
             outcome: row.outcome,
-            sides: row.counts.tell(),
+            comparisons: row.observations.report(),
         })
     }
 
-    /// Which versions a new request of a service may go to; counts the request.
-    /// `olds` tells how many of its endpoints have another version than the given one.
-    pub fn versions(
+    /// Chooses the versions that a new request of a service may go to, and counts the request.
+    /// `old_endpoints` returns how many of the service's endpoints have another version than the
+    /// given one.
+    pub fn choose_versions(
         &mut self,
         service: &str,
-        olds: impl FnOnce(&str) -> u32,
-        now: TrueMs,
+        old_endpoints: impl FnOnce(&str) -> u32,
+        now: UnixMs,
     ) -> Versions {
         let Ok(at) = self.find(service) else {
             return Versions::Any;
         };
-        let row = &mut self.rows[at];
+        let row = &mut self.moves[at];
         let target = row.order.target.clone();
         match row.outcome {
             Outcome::Completed => return Versions::Only(target, None),
             Outcome::RolledBack => return Versions::Not(target),
             Outcome::Running => {}
         }
-        let olds = olds(&target);
-        if olds == 0 {
-            // Nothing is left to compare with or to fall back to.
+        let old_endpoints = old_endpoints(&target);
+        if old_endpoints == 0 {
+            // There is no endpoint left to compare with or to fall back to.
             return Versions::Any;
         }
-        let share = (row.multiple(now) * self.exposure).min(1.0);
+        let share = (row.exposure_multiple(now) * self.exposure).min(1.0);
         if share > row.share {
             (row.share, row.requests, row.moved) = (share, 0, 0);
         }
@@ -271,48 +273,50 @@
             return Versions::Not(target);
         }
         row.moved += 1;
-        let pressed = (f64::from(olds) * share / PRESSED).ceil().max(1.0);
-        Versions::Only(target, Some(pressed as u32))
+        let endpoints = (f64::from(old_endpoints) * share / TRIAL_LOAD)
+            .ceil()
+            .max(1.0);
+        Versions::Only(target, Some(endpoints as u32))
     }
 
-    /// Takes in how a request of a route went at an endpoint of a version; tells
-    /// whether that ended the move.
-    pub fn note(
+    /// Records the result of a request on a route at an endpoint of a version; returns whether
+    /// it ended the move.
+    pub fn record(
         &mut self,
         service: &str,
         route: &str,
         version: &str,
         sample: Sample,
-        now: TrueMs,
+        now: UnixMs,
     ) -> bool {
         let Ok(at) = self.find(service) else {
             return false;
         };
-        let row = &mut self.rows[at];
+        let row = &mut self.moves[at];
         if row.outcome != Outcome::Running {
             return false;
         }
         let new = version == row.order.target;
-        let slot = (row.part(now) * f64::from(SLOTS)) as u32;
-        row.counts
-            .note((short(route), slot.min(SLOTS - 1)), new, sample);
-        row.judge();
+        let slot = (row.elapsed(now) * f64::from(SLOTS)) as u32;
+        row.observations
+            .record((short(route), slot.min(SLOTS - 1)), new, sample);
+        row.apply_verdict();
         row.outcome != Outcome::Running
     }
 
-    /// What the holder of the duties has to write now; `busy` tells how many requests
-    /// a service's endpoints of other versions than the given one work on.
-    pub fn due(&mut self, now: TrueMs, busy: impl Fn(&str, &str) -> u32) -> Vec<Status> {
+    /// Returns the states that the duty holder has to write to the store now. `busy` returns
+    /// how many requests a service's endpoints of other versions than the given one work on.
+    pub fn due_statuses(&mut self, now: UnixMs, busy: impl Fn(&str, &str) -> u32) -> Vec<Status> {
         let mut due = Vec::new();
-        for row in &mut self.rows {
-            let part = row.part(now);
-            if row.outcome == Outcome::Running && part >= EMPTIED {
+        for row in &mut self.moves {
+            let elapsed = row.elapsed(now);
+            if row.outcome == Outcome::Running && elapsed >= EARLIEST_COMPLETION {
                 let empty = busy(&row.order.service, &row.order.target) == 0;
-                if empty || part >= CLOSING {
+                if empty || elapsed >= LATEST_COMPLETION {
                     row.outcome = Outcome::Completed;
                 }
             }
-            if row.reported != Some(row.outcome) {
+            if row.stored != Some(row.outcome) {
                 due.push(Status {
                     service: row.order.service.clone(),
                     target: row.order.target.clone(),
@@ -325,56 +329,56 @@
 
     /// Whether any move was ordered.
     pub fn is_empty(&self) -> bool {
-        self.rows.is_empty()
+        self.moves.is_empty()
     }
 
     fn find(&self, service: &str) -> Result<usize, usize> {
-        self.rows
+        self.moves
             .binary_search_by(|row| row.order.service.as_str().cmp(service))
     }
 }
 
 impl Move {
-    fn new(order: Order, begin: TrueMs, finish: TrueMs) -> Self {
+    fn new(order: Order, begin: UnixMs, finish: UnixMs) -> Self {
         Self {
             order,
             begin,
             finish,
             outcome: Outcome::Running,
-            reported: None,
+            stored: None,
             share: 0.0,
             requests: 0,
             moved: 0,
-            counts: Counts::default(),
+            observations: Observations::default(),
         }
     }
 
-    /// Part of the move's time that is over.
-    fn part(&self, now: TrueMs) -> f64 {
+    /// Fraction of the move's time that has passed.
+    fn elapsed(&self, now: UnixMs) -> f64 {
         let whole = self.finish.saturating_sub(self.begin).max(1);
         now.saturating_sub(self.begin) as f64 / whole as f64
     }
 
-    /// The stage's multiple of the share that a bad version may get.
-    fn multiple(&self, now: TrueMs) -> f64 {
-        let part = self.part(now);
-        let stage = STAGES.iter().rev().find(|(from, _)| part >= *from);
+    /// Multiple of the share that a bad version may get, in the present stage.
+    fn exposure_multiple(&self, now: UnixMs) -> f64 {
+        let elapsed = self.elapsed(now);
+        let stage = STAGES.iter().rev().find(|(from, _)| elapsed >= *from);
         stage.map_or(0.0, |(_, multiple)| *multiple)
     }
 
-    /// A verdict against the version holds whatever else is heard: of two daemons one
-    /// of which saw the version fail, the other did not see it yet. Only a completed
-    /// move that the store holds cannot be taken back any more.
-    fn settle(&mut self, outcome: Outcome) {
+    /// Applies a state that the store or another daemon reports. A verdict against the version
+    /// is final: when daemons disagree, the others have not seen the failures yet. Only a
+    /// completed move that the store holds cannot be rolled back any more.
+    fn apply_outcome(&mut self, outcome: Outcome) {
         let is_final =
-            self.outcome == Outcome::RolledBack || self.reported == Some(Outcome::Completed);
+            self.outcome == Outcome::RolledBack || self.stored == Some(Outcome::Completed);
         if !is_final && outcome != Outcome::Running {
             self.outcome = outcome;
         }
     }
 
-    fn judge(&mut self) {
-        if self.outcome == Outcome::Running && self.counts.is_bad() {
+    fn apply_verdict(&mut self) {
+        if self.outcome == Outcome::Running && self.observations.is_bad() {
             self.outcome = Outcome::RolledBack;
         }
     }
--- a/lib/tests/test_relay_rollout.rs
+++ b/lib/tests/test_relay_rollout.rs
@@ -1,5 +1,5 @@
-//! Version moves on virtual time: several daemons, each with its own requests, that
-//! tell one another every quarter of a second.
+//! Version moves on virtual time: several daemons with requests of their own, which exchange
+//! digests every quarter of a second.
 
 use std::time::Duration;
 
@@ -7,20 +7,20 @@
 use poplarvale_lib::relay::rollout::{Order, Outcome, Rollouts, Versions};
 use poplarvale_lib::revision_in;
 
-const BEGIN: u64 = 1_000_000;
-/// Shortest time that operators give a move.
-const LIFE: u64 = 12_000;
+const BEGIN_MS: u64 = 1_000_000;
+/// Shortest time that operators allow for a move, in milliseconds.
+const DURATION_MS: u64 = 12_000;
 const DAEMONS: usize = 9;
 /// Old endpoints of the service.
-const OLDS: u32 = 9;
+const OLD_ENDPOINTS: u32 = 9;
 
-/// How a version's requests of a route go at a moment, in milliseconds since the
-/// order.
+/// Behaviour of a version on a route, a number of milliseconds after the order: the share of
+/// requests that fail, and the time of an answer in milliseconds.
 type Behaviour = fn(route: &str, at: u64) -> (f64, u64);
 
-/// What became of a move.
+/// Result of a simulated move.
 #[derive(Debug, PartialEq)]
-struct End {
+struct MoveResult {
     requests: u32,
     /// Requests that the new version got while the move was under way.
     moved: u32,
@@ -37,66 +37,72 @@
     }
 }
 
-/// Plays a move: each daemon gets a request of one of two routes every 30 ms.
-fn play(seed: u64, cut: bool, new: Behaviour) -> End {
+/// Simulates a move: each daemon gets a request of one of two routes every 30 ms.
+fn simulate(seed: u64, is_partitioned: bool, new: Behaviour) -> MoveResult {
     let mut random = fastrand::Rng::with_seed(seed);
     let mut daemons: Vec<Rollouts> = (0..DAEMONS).map(|_| Rollouts::new(0.1)).collect();
     for daemon in &mut daemons {
-        daemon.order(order(), BEGIN, BEGIN + LIFE);
+        daemon.add_order(order(), BEGIN_MS, BEGIN_MS + DURATION_MS);
     }
-    let mut end = End {
+    let mut result = MoveResult {
         requests: 0,
         moved: 0,
         late: 0,
         outcomes: Vec::new(),
     };
     let (mut failures, mut fiftieth) = (0, u64::MAX);
-    for at in (0..LIFE).step_by(10) {
-        let now = BEGIN + at;
+    for at in (0..DURATION_MS).step_by(10) {
+        let now = BEGIN_MS + at;
         for (number, daemon) in daemons.iter_mut().enumerate() {
             if !(at / 10 + number as u64).is_multiple_of(3) {
                 continue;
             }
-            end.requests += 1;
+            result.requests += 1;
             let route = if random.bool() { "booking" } else { "lookup" };
-            let versions = daemon.versions("pool", |_| OLDS, now);
-            let moves = matches!(&versions, Versions::Only(..));
-            // The old version's lookups fail one time in seven by themselves.
-            let usual = if route == "lookup" { 0.14 } else { 0.0 };
-            let (share, millis) = if moves { new(route, at) } else { (usual, 30) };
+            let versions = daemon.choose_versions("pool", |_| OLD_ENDPOINTS, now);
+            let is_new = matches!(&versions, Versions::Only(..));
+            // One in seven lookups of the old version always fails.
+            let baseline = if route == "lookup" { 0.14 } else { 0.0 };
+            let (share, millis) = if is_new {
+                new(route, at)
+            } else {
+                (baseline, 30)
+            };
             let good = random.f64() >= share;
-            if moves {
-                end.moved += 1;
-                end.late += u32::from(at > fiftieth.saturating_add(1000));
+            if is_new {
+                result.moved += 1;
+                result.late += u32::from(at > fiftieth.saturating_add(1000));
                 failures += u32::from(!good);
                 if failures == 50 && fiftieth == u64::MAX {
                     fiftieth = at;
                 }
             }
             let took = Duration::from_millis(millis).mul_f64(0.7 + 0.6 * random.f64());
-            let version = if moves { "v2" } else { "v1" };
-            daemon.note("pool", route, version, Sample { good, took }, now);
+            let version = if is_new { "v2" } else { "v1" };
+            daemon.record("pool", route, version, Sample { good, took }, now);
         }
-        if at.is_multiple_of(250) && !cut {
-            tell_all(&mut daemons);
+        if at.is_multiple_of(250) && !is_partitioned {
+            exchange_digests(&mut daemons);
         }
-        daemons[0].due(now, |_, _| 0);
+        daemons[0].due_statuses(now, |_, _| 0);
     }
-    tell_all(&mut daemons);
+    exchange_digests(&mut daemons);
     for daemon in &mut daemons {
-        let word = daemon.tell().next();
-        end.outcomes.push(word.expect("it has a move").outcome);
+        let report = daemon.reports().next();
+        result
+            .outcomes
+            .push(report.expect("a move was ordered").outcome);
     }
-    end
+    result
 }
 
-fn tell_all(daemons: &mut [Rollouts]) {
+fn exchange_digests(daemons: &mut [Rollouts]) {
     for from in 0..daemons.len() {
-        let words: Vec<_> = daemons[from].tell().collect();
+        let reports: Vec<_> = daemons[from].reports().collect();
         for (to, daemon) in daemons.iter_mut().enumerate() {
             if to != from {
-                for word in &words {
-                    daemon.hear(&format!("d{from}"), word);
+                for report in &reports {
+                    daemon.merge(&format!("d{from}"), report);
                 }
             }
         }
@@ -107,85 +113,100 @@
     (if route == "lookup" { 0.14 } else { 0.0 }, 33)
 }
 
-/// A version as good as the old one, whose failures on one route are its usual
-/// ones. Operators asked for it by a time, and it must be there by then.
+/// A good version whose failures on one route are those of the old one. Operators ordered the
+/// move for a given time, and it must be complete by then.
 #[test]
 fn a_good_version_is_completed_in_time() {
     for seed in 0..60 {
-        let end = play(seed, false, good);
-        assert_eq!(end.outcomes, [Outcome::Completed; DAEMONS], "seed {seed}");
+        let result = simulate(seed, false, good);
+        assert_eq!(
+            result.outcomes,
+            [Outcome::Completed; DAEMONS],
+            "seed {seed}"
+        );
     }
 }
 
-fn assert_taken_back(new: Behaviour) {
+fn assert_rolled_back(new: Behaviour) {
     for seed in 0..60 {
-        let end = play(seed, false, new);
-        assert_eq!(end.outcomes, [Outcome::RolledBack; DAEMONS], "seed {seed}");
-        let most = end.requests / 10 + 50;
+        let result = simulate(seed, false, new);
+        assert_eq!(
+            result.outcomes,
+            [Outcome::RolledBack; DAEMONS],
+            "seed {seed}"
+        );
+        let most = result.requests / 10 + 50;
         assert!(
-            end.moved <= most,
+            result.moved <= most,
             "seed {seed}: {} of {}",
-            end.moved,
-            end.requests
+            result.moved,
+            result.requests
         );
-        assert_eq!(end.late, 0, "seed {seed}");
+        assert_eq!(result.late, 0, "seed {seed}");
     }
 }
 
-/// A version fails two in five from its first request on. Callers notice failed
-/// bookings; only a few may meet it.
+/// A version fails two requests in five from its first one on. Callers notice failed bookings,
+/// so only a few may reach it.
 #[test]
 fn a_version_that_fails_is_taken_back() {
-    assert_taken_back(|_, _| (0.4, 30));
+    assert_rolled_back(|_, _| (0.4, 30));
 }
 
-/// A version answers as it should and takes four times as long.
+/// A version answers correctly but takes four times as long.
 #[test]
 fn a_version_that_is_slow_is_taken_back() {
-    assert_taken_back(|route, _| (good(route, 0).0, 120));
+    assert_rolled_back(|route, _| (good(route, 0).0, 120));
 }
 
-/// A version fails on one route only, which the good answers of the other hide.
+/// A version fails on one route only, and the good answers of the other route hide that.
 #[test]
 fn a_version_that_fails_on_one_route_is_taken_back() {
-    assert_taken_back(|route, _| (if route == "booking" { 0.35 } else { 0.14 }, 30));
+    assert_rolled_back(|route, _| (if route == "booking" { 0.35 } else { 0.14 }, 30));
 }
 
-/// A version is well while it is tried and fails as soon as it has all requests.
+/// A version works during the trial and fails as soon as it has all requests.
 #[test]
 fn a_version_that_fails_late_is_taken_back() {
-    assert_taken_back(|route, at| {
-        let usual = good(route, at).0;
-        (if at > LIFE * 6 / 10 { 0.6 } else { usual }, 30)
+    assert_rolled_back(|route, at| {
+        let baseline = good(route, at).0;
+        (
+            if at > DURATION_MS * 6 / 10 {
+                0.6
+            } else {
+                baseline
+            },
+            30,
+        )
     });
 }
 
-/// Daemons hear nothing of one another. Each keeps to the share by itself, so the
+/// The daemons receive nothing from each other. Each keeps to the share independently, so the
 /// bound holds whatever the verdict.
 #[test]
 fn a_partition_does_not_raise_what_a_tried_version_gets() {
     for seed in 0..20 {
-        let end = play(seed, true, |_, at| {
-            (if at < LIFE * 6 / 10 { 0.5 } else { 0.9 }, 30)
+        let result = simulate(seed, true, |_, at| {
+            (if at < DURATION_MS * 6 / 10 { 0.5 } else { 0.9 }, 30)
         });
-        assert!(end.moved <= end.requests / 10 + 50, "{end:?}");
+        assert!(result.moved <= result.requests / 10 + 50, "{result:?}");
     }
 }
 
-/// A daemon starts while a move is nearly over and reads the order as if it were
-/// new. It would send requests to endpoints that are about to be stopped, or to a
-/// version that was found to be bad.
+/// A daemon starts when a move is nearly complete and takes the order for a new one. It would
+/// send requests to endpoints that are about to be stopped, or to a version that was found to
+/// be bad.
 #[test]
 fn a_daemon_that_starts_late_follows_the_others() {
     let mut old = Rollouts::new(0.1);
-    old.order(order(), BEGIN, BEGIN + LIFE);
-    let now = BEGIN + LIFE * 7 / 10;
+    old.add_order(order(), BEGIN_MS, BEGIN_MS + DURATION_MS);
+    let now = BEGIN_MS + DURATION_MS * 7 / 10;
     let mut fresh = Rollouts::new(0.1);
-    fresh.order(order(), now, now + LIFE);
-    let word = old.tell().next().expect("it has a move");
-    fresh.hear("d0", &word);
+    fresh.add_order(order(), now, now + DURATION_MS);
+    let report = old.reports().next().expect("a move was ordered");
+    fresh.merge("d0", &report);
     assert_eq!(
-        fresh.versions("pool", |_| OLDS, now),
+        fresh.choose_versions("pool", |_| OLD_ENDPOINTS, now),
         Versions::Only("v2".into(), None)
     );
     for _ in 0..10 {
@@ -193,79 +214,87 @@
             good: false,
             took: Duration::ZERO,
         };
-        old.note("pool", "booking", "v2", sample, now);
+        old.record("pool", "booking", "v2", sample, now);
     }
-    let word = old.tell().next().expect("it has a move");
-    assert!(fresh.hear("d0", &word));
+    let report = old.reports().next().expect("a move was ordered");
+    assert!(fresh.merge("d0", &report));
     assert_eq!(
-        fresh.versions("pool", |_| OLDS, now),
+        fresh.choose_versions("pool", |_| OLD_ENDPOINTS, now),
         Versions::Not("v2".into())
     );
 }
 
-/// The store still holds the state of the move before when operators order the same
-/// version again. It must not end the new move.
+/// The store still holds the state of the previous move when operators order the same version
+/// again. It must not end the new move.
 #[test]
-fn the_state_of_an_older_move_ends_no_new_one() {
+fn the_state_of_an_older_move_does_not_end_a_new_one() {
     let mut rollouts = Rollouts::new(0.1);
-    rollouts.order(order(), BEGIN, BEGIN + LIFE);
-    rollouts.status("pool", "v2", Outcome::RolledBack, 6);
+    rollouts.add_order(order(), BEGIN_MS, BEGIN_MS + DURATION_MS);
+    rollouts.apply_status("pool", "v2", Outcome::RolledBack, 6);
     assert_eq!(
-        rollouts.tell().next().map(|word| word.outcome),
+        rollouts.reports().next().map(|report| report.outcome),
         Some(Outcome::Running)
     );
-    rollouts.status("pool", "v2", Outcome::RolledBack, 8);
+    rollouts.apply_status("pool", "v2", Outcome::RolledBack, 8);
     assert_eq!(
-        rollouts.versions("pool", |_| OLDS, BEGIN),
+        rollouts.choose_versions("pool", |_| OLD_ENDPOINTS, BEGIN_MS),
         Versions::Not("v2".into())
     );
 }
 
-/// The last daemon to see a fault tells it after the move was written as completed. The
-/// old endpoints are stopped by then; going back would leave callers with none.
+/// The last daemon to see a fault reports it after the store has the move as completed. The old
+/// endpoints have been stopped by then, so rolling back would leave callers with none.
 #[test]
-fn a_completed_move_is_not_taken_back() {
+fn a_completed_move_is_not_rolled_back() {
     let mut late = Rollouts::new(0.1);
-    late.order(order(), BEGIN, BEGIN + LIFE);
+    late.add_order(order(), BEGIN_MS, BEGIN_MS + DURATION_MS);
     for _ in 0..10 {
         let sample = Sample {
             good: false,
             took: Duration::ZERO,
         };
-        late.note("pool", "booking", "v2", sample, BEGIN + LIFE / 2);
+        late.record("pool", "booking", "v2", sample, BEGIN_MS + DURATION_MS / 2);
     }
-    let word = late.tell().next().expect("it has a move");
-    assert_eq!(word.outcome, Outcome::RolledBack);
+    let report = late.reports().next().expect("a move was ordered");
+    assert_eq!(report.outcome, Outcome::RolledBack);
     let mut other = Rollouts::new(0.1);
-    other.order(order(), BEGIN, BEGIN + LIFE);
-    other.status("pool", "v2", Outcome::Completed, 8);
-    assert!(!other.hear("d1", &word));
-    late.status("pool", "v2", Outcome::Completed, 8);
+    other.add_order(order(), BEGIN_MS, BEGIN_MS + DURATION_MS);
+    other.apply_status("pool", "v2", Outcome::Completed, 8);
+    assert!(!other.merge("d1", &report));
+    late.apply_status("pool", "v2", Outcome::Completed, 8);
     for daemon in [&mut other, &mut late] {
-        let versions = daemon.versions("pool", |_| OLDS, BEGIN + LIFE);
+        let versions = daemon.choose_versions("pool", |_| OLD_ENDPOINTS, BEGIN_MS + DURATION_MS);
         assert_eq!(versions, Versions::Only("v2".into(), None));
-        assert!(daemon.due(BEGIN + LIFE, |_, _| 0).is_empty());
+        assert!(
+            daemon
+                .due_statuses(BEGIN_MS + DURATION_MS, |_, _| 0)
+                .is_empty()
+        );
     }
 }
 
-/// The store comes back from an older copy and gives revisions out again: an order that is
-/// read once more is no new move, and what became of it is written again.
+/// The store comes back from an older copy and assigns revisions anew. An order that is read
+/// again is not a new move, and its state is written again.
 #[test]
 fn a_move_that_is_read_again_in_a_new_era_is_the_same() {
     let mut rollouts = Rollouts::new(0.1);
-    rollouts.order(order(), BEGIN, BEGIN + LIFE);
-    rollouts.status("pool", "v2", Outcome::RolledBack, 8);
+    rollouts.add_order(order(), BEGIN_MS, BEGIN_MS + DURATION_MS);
+    rollouts.apply_status("pool", "v2", Outcome::RolledBack, 8);
     let again = Order {
         revision: revision_in(1, 5),
         ..order()
     };
-    assert!(!rollouts.order(again, BEGIN + LIFE / 2, BEGIN + LIFE * 2));
-    let now = BEGIN + LIFE / 2;
+    assert!(!rollouts.add_order(
+        again,
+        BEGIN_MS + DURATION_MS / 2,
+        BEGIN_MS + DURATION_MS * 2
+    ));
+    let now = BEGIN_MS + DURATION_MS / 2;
     assert_eq!(
-        rollouts.versions("pool", |_| OLDS, now),
+        rollouts.choose_versions("pool", |_| OLD_ENDPOINTS, now),
         Versions::Not("v2".into())
     );
-    let due = rollouts.due(now, |_, _| 0);
+    let due = rollouts.due_statuses(now, |_, _| 0);
     assert_eq!(due.len(), 1);
     assert_eq!(due[0].outcome, Outcome::RolledBack);
     let other = Order {
@@ -273,5 +302,5 @@
         revision: revision_in(1, 9),
         ..order()
     };
-    assert!(rollouts.order(other, now, now + LIFE));
+    assert!(rollouts.add_order(other, now, now + DURATION_MS));
 }
