--- a/lib/src/load/fair.rs
+++ b/lib/src/load/fair_queue.rs
@@ -1,18 +1,18 @@
-//! Whose request goes next when not all can.
+//! Fair queue: the order in which waiting requests are sent.
 //!
-//! Answers a few customers that take most of the load, and long work among
-//! short. First in, first out gives each customer what it asks for: one that
-//! floods takes nearly all, and a quiet customer's tag waits behind a thousand
-//! season plans. One would notice quiet customers timing out while the flooding
-//! one is served. Three rules prevent it:
+//! Answers a few customers that make most of the load, and long work among short.
+//! First in, first out gives each customer as much as it asks for: a customer
+//! that floods takes nearly all, and a quiet customer's short request waits
+//! behind thousands of long ones. It would show as quiet customers timing out
+//! while the flooding one is served. Three rules prevent it:
 //!
-//! 1. Across priorities: each higher priority gets [`STEP`] times the work of
-//!    the next lower one while both wait. So a lower priority never waits
-//!    without bound: with `A` units ahead in its own priority, a request is
-//!    sent before the endpoints have done `A * (W / w)` units, where `w` is the
-//!    weight of its priority and `W` the sum of all weights.
-//! 2. Across customers of one priority: deficit round robin by work, so a
-//!    customer gains nothing by many requests or by long ones.
+//! 1. Between priorities: each priority gets [`PRIORITY_RATIO`] times the work of
+//!    the next lower one while both wait. So a lower priority never waits without
+//!    bound: with `A` units ahead in its own priority, a request is sent before
+//!    the endpoints have done `A * (W / w)` units, where `w` is the weight of its
+//!    priority and `W` the sum of all weights.
+//! 2. Between customers of one priority: deficit round robin by work, so a
+//!    customer gains nothing by sending many requests or long ones.
 //! 3. Within a customer: earliest deadline first.
 
 use std::collections::VecDeque;
@@ -22,22 +22,22 @@
 use crate::lists::MOST_PRIORITY;
 use crate::table::Row;
 
-/// Work of a priority against the next lower one while both wait. Eight gives
-/// the highest of two 89% and still empties the lower one's queue.
-pub const STEP: f64 = 8.0;
-/// Work that a customer may send per round: about one short chat answer. Less
-/// only means more rounds; more lets a customer's short requests bunch up.
+/// Work of a priority relative to the next lower one while both wait. Eight gives
+/// the higher of two 89% and still empties the lower one's queue.
+pub const PRIORITY_RATIO: f64 = 8.0;
+/// Units of work that a customer may send per round: about one short chat answer.
+/// Less only means more rounds; more lets a customer's short requests bunch up.
 const QUANTUM: f64 = 256.0;
 
-/// A request that waits.
+/// A waiting request.
 #[proc_macros::row]
 #[derive(Copy)]
 pub struct Entry {
-    /// Request.
+    /// Id of the request.
     pub id: RequestId,
-    /// When its answer must be complete.
+    /// Time by which its answer must be complete.
     pub deadline: Instant,
-    /// Units of work that are left of it.
+    /// Units of work that remain.
     pub work: f64,
 }
 
@@ -47,19 +47,19 @@
     }
 }
 
-/// An entry taken from its place, with what is needed to put it back.
+/// An entry popped from the queue, with what is needed to put it back.
 #[proc_macros::row]
-pub struct Taken {
-    /// Priority it stood in.
+pub struct Dequeued {
+    /// Priority that it waited in.
     pub priority: u8,
-    /// Customer it is of.
+    /// Customer that sent it.
     pub customer: CustomerId,
     /// The entry.
     pub entry: Entry,
 }
 
-/// Entries of one customer, the earliest deadline first. New ones mostly belong
-/// at the back and the front leaves, so the sorted rows stand in a ring.
+/// Entries of one customer, sorted by deadline. New ones mostly belong at the
+/// back and entries leave at the front, so a ring buffer holds them.
 #[proc_macros::row]
 struct Flow {
     customer: CustomerId,
@@ -81,14 +81,14 @@
         }
     }
 
-    /// Work that is due no later than a deadline.
-    fn due(&self, deadline: Instant) -> f64 {
+    /// Work that is due no later than `deadline`.
+    fn work_due(&self, deadline: Instant) -> f64 {
         let until = self.entries.partition_point(|e| e.deadline <= deadline);
         self.entries.range(..until).map(|e| e.work).sum()
     }
 
-    /// Rounds until its first entry may go.
-    fn rounds(&self) -> f64 {
+    /// Rounds until its first entry may be sent.
+    fn rounds_needed(&self) -> f64 {
         let first = self.entries.front().map_or(0.0, |e| e.work);
         ((first - self.deficit) / QUANTUM).ceil().max(0.0)
     }
@@ -97,13 +97,15 @@
 /// Flows of one priority.
 #[proc_macros::row]
 #[derive(Default)]
-struct Class {
+struct PriorityClass {
     flows: Vec<Flow>,
-    turn: usize,
-    served: f64,
+    /// Flow whose turn it is.
+    cursor: usize,
+    /// Work sent so far, divided by the weight of the priority.
+    virtual_time: f64,
 }
 
-impl Class {
+impl PriorityClass {
     fn position(&self, customer: &CustomerId) -> Result<usize, usize> {
         self.flows.binary_search_by(|f| f.customer.cmp(customer))
     }
@@ -117,8 +119,8 @@
                 entries: VecDeque::new(),
             };
             self.flows.insert(at, flow);
-            if at <= self.turn && self.flows.len() > 1 {
-                self.turn += 1;
+            if at <= self.cursor && self.flows.len() > 1 {
+                self.cursor += 1;
             }
             at
         });
@@ -129,148 +131,155 @@
         self.flows.iter().map(|f| f.work).sum()
     }
 
-    /// Takes the next entry by deficit round robin.
+    /// Pops the next entry by deficit round robin.
     fn pop(&mut self) -> Option<(CustomerId, Entry)> {
         if self.flows.is_empty() {
             return None;
         }
         let mut visits = 0;
         loop {
-            let flow = &self.flows[self.turn];
-            if flow.rounds() <= 0.0 {
-                return self.take(self.turn);
+            let flow = &self.flows[self.cursor];
+            if flow.rounds_needed() <= 0.0 {
+                return self.pop_at(self.cursor);
             }
             visits += 1;
             if visits % self.flows.len() == 0 {
-                self.skip_rounds();
+                self.credit_rounds();
             }
-            self.turn = (self.turn + 1) % self.flows.len();
-            self.flows[self.turn].deficit += QUANTUM;
+            self.cursor = (self.cursor + 1) % self.flows.len();
+            self.flows[self.cursor].deficit += QUANTUM;
         }
     }
 
-    /// Gives all flows the rounds in which none could send, at one go: a long
-    /// request would otherwise cost thousands of empty rounds.
-    fn skip_rounds(&mut self) {
-        let least = self.flows.iter().map(Flow::rounds).fold(f64::MAX, f64::min);
-        let rounds = (least - 1.0).max(0.0);
+    /// Credits all flows at once with the rounds in which none could send: a long
+    /// request would otherwise take thousands of empty rounds.
+    fn credit_rounds(&mut self) {
+        let least = self
+            .flows
+            .iter()
+            .map(Flow::rounds_needed)
+            .fold(f64::MAX, f64::min);
+        let skipped = (least - 1.0).max(0.0);
         for flow in &mut self.flows {
-            flow.deficit += rounds * QUANTUM;
+            flow.deficit += skipped * QUANTUM;
         }
     }
 
-    fn take(&mut self, at: usize) -> Option<(CustomerId, Entry)> {
+    fn pop_at(&mut self, at: usize) -> Option<(CustomerId, Entry)> {
         let flow = &mut self.flows[at];
         let entry = flow.entries.pop_front()?;
         flow.deficit -= entry.work;
         flow.work -= entry.work;
         let customer = flow.customer.clone();
-        self.drop_empty(at);
+        self.remove_if_empty(at);
         Some((customer, entry))
     }
 
-    /// A flow that is empty loses its deficit: credit saved up while idle would
-    /// let a customer come back with a burst that shuts the others out.
-    fn drop_empty(&mut self, at: usize) {
+    /// Removes a flow that is empty, and with it its deficit: credit saved up
+    /// while idle would let a customer return with a burst that starves the
+    /// others.
+    fn remove_if_empty(&mut self, at: usize) {
         if !self.flows[at].entries.is_empty() {
             return;
         }
         self.flows.remove(at);
-        if at < self.turn {
-            self.turn -= 1;
+        if at < self.cursor {
+            self.cursor -= 1;
         }
-        if self.turn >= self.flows.len() {
-            self.turn = 0;
+        if self.cursor >= self.flows.len() {
+            self.cursor = 0;
         }
-        if let Some(flow) = self.flows.get_mut(self.turn)
-            && at == self.turn
+        if let Some(flow) = self.flows.get_mut(self.cursor)
+            && at == self.cursor
         {
             flow.deficit += QUANTUM;
         }
     }
 }
 
-const CLASSES: usize = MOST_PRIORITY as usize + 1;
+const CLASS_COUNT: usize = MOST_PRIORITY as usize + 1;
 
 /// Waiting requests of one service.
 #[proc_macros::row]
-pub struct Lane {
+pub struct FairQueue {
     service: ServiceId,
-    classes: [Class; CLASSES],
-    clock: f64,
+    classes: [PriorityClass; CLASS_COUNT],
+    /// Virtual time of the priority that was served last, before that request.
+    virtual_time: f64,
     len: u32,
 }
 
 fn weight(priority: usize) -> f64 {
-    STEP.powi(i32::try_from(priority).unwrap_or(0))
+    PRIORITY_RATIO.powi(i32::try_from(priority).unwrap_or(0))
 }
 
-impl Lane {
-    /// Nothing waits.
+impl FairQueue {
+    /// Creates an empty queue.
     pub fn new(service: ServiceId) -> Self {
         Self {
             service,
-            classes: std::array::from_fn(|_| Class::default()),
-            clock: 0.0,
+            classes: std::array::from_fn(|_| PriorityClass::default()),
+            virtual_time: 0.0,
             len: 0,
         }
     }
 
-    /// Number of requests that wait.
+    /// Number of waiting requests.
     pub fn len(&self) -> u32 {
         self.len
     }
 
-    /// Whether none waits.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
     /// Units of work that wait.
     pub fn work(&self) -> f64 {
-        self.classes.iter().map(Class::work).sum()
+        self.classes.iter().map(PriorityClass::work).sum()
     }
 
-    /// Puts a request in.
+    /// Adds a request.
     pub fn push(&mut self, priority: u8, customer: &CustomerId, entry: Entry) {
-        let clock = self.clock;
+        let virtual_time = self.virtual_time;
         let class = &mut self.classes[usize::from(priority.min(MOST_PRIORITY))];
         if class.flows.is_empty() {
-            // A priority that was idle starts level with the others.
-            class.served = class.served.max(clock);
+            // A priority that was idle gets no credit for that time.
+            class.virtual_time = class.virtual_time.max(virtual_time);
         }
         class.flow(customer).push(entry);
         self.len += 1;
     }
 
-    /// Takes the request out that goes next.
-    pub fn pop(&mut self) -> Option<Taken> {
+    /// Removes the request that is sent next.
+    pub fn pop(&mut self) -> Option<Dequeued> {
         let waiting = self.classes.iter_mut().enumerate();
         let (priority, class) = waiting
             .filter(|(_, class)| !class.flows.is_empty())
-            .min_by(|(_, a), (_, b)| a.served.total_cmp(&b.served))?;
-        self.clock = class.served;
+            .min_by(|(_, a), (_, b)| a.virtual_time.total_cmp(&b.virtual_time))?;
+        self.virtual_time = class.virtual_time;
         let (customer, entry) = class.pop()?;
-        class.served += entry.work / weight(priority);
+        class.virtual_time += entry.work / weight(priority);
         self.len -= 1;
-        Some(Taken {
+        Some(Dequeued {
             priority: priority as u8,
             customer,
             entry,
         })
     }
 
-    /// Puts a request back that was taken out and not sent, as if never taken.
-    pub fn restore(&mut self, taken: &Taken) {
-        let class = &mut self.classes[usize::from(taken.priority)];
-        class.served -= taken.entry.work / weight(usize::from(taken.priority));
-        let flow = class.flow(&taken.customer);
-        flow.deficit += taken.entry.work;
-        flow.push(taken.entry);
+    /// Puts back a request that was popped and not sent, as if it had not been
+    /// popped.
+    pub fn restore(&mut self, dequeued: &Dequeued) {
+        let class = &mut self.classes[usize::from(dequeued.priority)];
+        class.virtual_time -= dequeued.entry.work / weight(usize::from(dequeued.priority));
+        let flow = class.flow(&dequeued.customer);
+        flow.deficit += dequeued.entry.work;
+        flow.push(dequeued.entry);
         self.len += 1;
     }
 
-    /// Takes a request out that no longer waits; false if it was not there.
+    /// Removes a request; false if it was not in the queue.
     pub fn remove(&mut self, customer: &CustomerId, entry: &Entry) -> bool {
         for class in &mut self.classes {
             let Ok(at) = class.position(customer) else {
@@ -282,14 +291,14 @@
             };
             let old = flow.entries.remove(place);
             flow.work -= old.map_or(0.0, |old| old.work);
-            class.drop_empty(at);
+            class.remove_if_empty(at);
             self.len -= 1;
             return true;
         }
         false
     }
 
-    /// Whether a request waits here.
+    /// Whether a request is in the queue.
     pub fn contains(&self, customer: &CustomerId, entry: &Entry) -> bool {
         let mut classes = self.classes.iter();
         classes.any(|class| {
@@ -298,8 +307,8 @@
         })
     }
 
-    /// Keeps the requests for which `keep` holds.
-    pub fn keep(&mut self, keep: impl Fn(&Entry) -> bool) {
+    /// Removes the requests for which `keep` is false.
+    pub fn retain_entries(&mut self, keep: impl Fn(&Entry) -> bool) {
         let gone = self.iter().filter(|(_, entry)| !keep(entry));
         let gone: Vec<(CustomerId, Entry)> = gone.map(|(c, e)| (c.clone(), *e)).collect();
         for (customer, entry) in gone {
@@ -307,19 +316,19 @@
         }
     }
 
-    /// Units of work that would be sent before a request that came now: the
-    /// customer's own that is due sooner, as much again of each other customer,
-    /// and of each other priority what its weight earns meanwhile.
-    pub fn ahead(&self, priority: u8, customer: &CustomerId, entry: &Entry) -> f64 {
+    /// Units of work that would be sent before a request that arrived now: the
+    /// customer's own work that is due sooner, as much of each other customer of
+    /// the priority, and of each other priority what its weight earns meanwhile.
+    pub fn work_ahead(&self, priority: u8, customer: &CustomerId, entry: &Entry) -> f64 {
         let priority = usize::from(priority.min(MOST_PRIORITY));
         let class = &self.classes[priority];
         let own = class
             .position(customer)
-            .map_or(0.0, |at| class.flows[at].due(entry.deadline));
+            .map_or(0.0, |at| class.flows[at].work_due(entry.deadline));
         let mine = own + entry.work;
         let others = class.flows.iter().filter(|f| f.customer != *customer);
-        let beside: f64 = others.map(|f| f.work.min(mine)).sum();
-        let until = beside + mine;
+        let others_work: f64 = others.map(|f| f.work.min(mine)).sum();
+        let until = others_work + mine;
         let rest = self.classes.iter().enumerate();
         let rest: f64 = rest
             .filter(|(other, _)| *other != priority)
@@ -328,17 +337,17 @@
                 class.work().min(earned)
             })
             .sum();
-        own + beside + rest
+        own + others_work + rest
     }
 
-    /// Every request that waits, with its customer.
+    /// All waiting requests with their customers.
     pub fn iter(&self) -> impl Iterator<Item = (&CustomerId, &Entry)> {
         let flows = self.classes.iter().flat_map(|class| &class.flows);
         flows.flat_map(|flow| flow.entries.iter().map(move |e| (&flow.customer, e)))
     }
 }
 
-impl Row for Lane {
+impl Row for FairQueue {
     type Id = ServiceId;
     fn id(&self) -> &ServiceId {
         &self.service
--- a/lib/src/moves/border.rs
+++ b/lib/src/moves/codec.rs
@@ -1,31 +1,32 @@
-//! Between the stored form of a move and the one with its life cycle.
+//! Conversion of move records between the types of the life cycle and the stored
+//! form.
 
 use compact_str::CompactString;
 
 use crate::ids::{from_hex, hex};
-use crate::moves::life::{
-    Asked, Cancelled, Done, Move, Record, Staged, TakenBack, Terms, Watching,
+use crate::moves::lifecycle::{
+    Asked, Cancelled, Done, Move, Record, RolledBack, Staged, Terms, Watching,
 };
-use crate::moves::share::ONE;
-use crate::moves::stages::{LAST, Scale};
+use crate::moves::share::FULL_SHARE;
+use crate::moves::stages::{LAST_STAGE, Scale};
 use crate::protos::moves::{VersionMove, version_move::State};
 
-/// Why a stored record could not be read.
+/// Why a stored record is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
-    /// Id is not 32 hexadecimal digits.
+    /// The id is not 32 hexadecimal digits.
     #[error("the move's id is {0:?}, not 32 hexadecimal digits")]
     Id(CompactString),
-    /// State that this version doesn't know.
+    /// The state is not known to this daemon.
     #[error("the move's state is {0}, which is not known")]
     State(i32),
-    /// Stage that this version doesn't know.
-    #[error("the move's stage is {0}; the last one is {LAST}")]
+    /// The stage is not known to this daemon.
+    #[error("the move's stage is {0}; the last one is {LAST_STAGE}")]
     Stage(u32),
 }
 
 impl Record {
-    /// Form that is stored.
+    /// Converts to the stored form.
     pub fn to_stored(&self) -> VersionMove {
         let terms = self.terms();
         let (state, reason) = match self {
@@ -33,7 +34,7 @@
             Self::Staged(_) => (State::Staged, ""),
             Self::Watching(_) => (State::Watching, ""),
             Self::Done(_) => (State::Done, ""),
-            Self::TakenBack(m) => (State::TakenBack, m.state.reason.as_str()),
+            Self::RolledBack(m) => (State::TakenBack, m.state.reason.as_str()),
             Self::Cancelled(m) => (State::Cancelled, m.state.reason.as_str()),
         };
         let due = match self {
@@ -46,7 +47,7 @@
             from: terms.from.to_string(),
             to: terms.to.to_string(),
             endpoints: terms.scale.endpoints,
-            repeatable: terms.scale.repeatable,
+            repeatable: terms.scale.idempotent,
             finish_ms: terms.finish,
             state: state.into(),
             stage: self.stage().unwrap_or_default().into(),
@@ -59,7 +60,7 @@
     /// Reads the stored form.
     ///
     /// # Errors
-    /// Says which field a newer or broken writer left unreadable.
+    /// Names the field that a newer or broken writer left unreadable.
     pub fn from_stored(stored: &VersionMove) -> Result<Self, RecordError> {
         let terms = Terms {
             id: from_hex(&stored.id).ok_or_else(|| RecordError::Id(stored.id.as_str().into()))?,
@@ -68,7 +69,7 @@
             to: stored.to.as_str().into(),
             scale: Scale {
                 endpoints: stored.endpoints,
-                repeatable: stored.repeatable.min(ONE),
+                idempotent: stored.repeatable.min(FULL_SHARE),
             },
             finish: stored.finish_ms,
         };
@@ -84,13 +85,13 @@
             State::Staged => {
                 let stage = u8::try_from(stored.stage)
                     .ok()
-                    .filter(|stage| *stage < LAST)
+                    .filter(|stage| *stage < LAST_STAGE)
                     .ok_or(RecordError::Stage(stored.stage))?;
                 Ok(Self::Staged(in_state(base, Staged { stage, due })))
             }
             State::Watching => Ok(Self::Watching(in_state(base, Watching { due }))),
             State::Done => Ok(Self::Done(in_state(base, Done { at: due }))),
-            State::TakenBack => Ok(Self::TakenBack(in_state(base, TakenBack { reason }))),
+            State::TakenBack => Ok(Self::RolledBack(in_state(base, RolledBack { reason }))),
             State::Cancelled => Ok(Self::Cancelled(in_state(base, Cancelled { reason }))),
             State::None => Err(RecordError::State(stored.state)),
         }
--- a/lib/src/moves/status.rs
+++ b/lib/src/moves/status.rs
@@ -1,12 +1,12 @@
-//! What operators read about a move.
+//! Text for operators on the state of a move.
 
 use compact_str::{CompactString, format_compact};
 
-use crate::moves::life::Record;
+use crate::moves::lifecycle::Record;
 use crate::moves::share::Share;
-use crate::moves::stages::{LAST, Scale, Stage, shares};
+use crate::moves::stages::{LAST_STAGE, Scale, Stage, shares};
 
-/// One sentence: where the move stands, and why if it ended.
+/// One sentence: the state of the move, and the reason if it ended.
 pub fn text(record: &Record) -> CompactString {
     let terms = record.terms();
     let head = format_compact!("{}: {} to {}", terms.service, terms.from, terms.to);
@@ -17,7 +17,7 @@
             format_compact!(
                 "{head}: stage {} of {}, {}",
                 stage + 1,
-                LAST + 1,
+                LAST_STAGE + 1,
                 parts(stage, terms.scale)
             )
         }
@@ -29,7 +29,7 @@
             format_compact!("{head}: done, {late} s late")
         }
         Record::Done(_) => format_compact!("{head}: done in time"),
-        Record::TakenBack(m) => format_compact!("{head}: taken back: {}", m.state.reason),
+        Record::RolledBack(m) => format_compact!("{head}: taken back: {}", m.state.reason),
         Record::Cancelled(m) => format_compact!("{head}: cancelled: {}", m.state.reason),
     }
 }
@@ -38,8 +38,8 @@
     let shares = shares(stage, scale);
     format_compact!(
         "{} % of repeatable and {} % of other requests",
-        percent(shares.repeatable),
-        percent(shares.once)
+        percent(shares.idempotent),
+        percent(shares.non_idempotent)
     )
 }
 
--- a/lib/src/relay.rs
+++ b/lib/src/relay.rs
@@ -7,11 +7,8 @@
 //! modules decide. Nothing here reads a socket or a clock.
 
 pub mod admit;
-pub mod ask;
-pub mod board;
 pub mod breaker;
 pub mod budget;
-pub mod cache;
 pub mod catalog;
 pub mod clock;
 pub mod contact;
@@ -19,16 +16,19 @@
 pub mod demand;
 pub mod digest;
 pub mod duty;
+pub mod endpoint_table;
 pub mod engine;
 pub mod fleet;
 pub mod follow;
 pub mod limit;
 pub mod listing;
-pub mod place;
+pub mod prefix_cache;
 pub mod quota;
+pub mod request;
 pub mod rollout;
+pub mod selection;
+pub mod settings;
 pub mod shutdown;
-pub mod site;
 pub mod sse;
 pub(crate) mod tombstones;
 pub mod usage;
--- /dev/null
+++ b/lib/src/relay/endpoint_table.rs
@@ -0,0 +1,663 @@
+//! Table of endpoints: their registry entries and the requests in progress at each.
+//!
+//! While the registry is unavailable, entries expire. An entry that is missing right after the
+//! registry's return may belong to an endpoint that still runs and has not registered again yet.
+//! Dropping such endpoints at once would empty the table, and every caller would be rejected.
+//! So the endpoint becomes doubtful and stays in use for [`REREGISTER_GRACE`] before it is
+//! dropped. An endpoint gets no new request from the instant at which its entry is removed while
+//! the registry is available, or is marked as leaving. If only this daemon was partitioned from
+//! the registry, the same holds for missing entries as soon as another daemon advertises that
+//! the registry was available meanwhile.
+
+use std::time::{Duration, Instant};
+
+use compact_str::CompactString;
+
+use super::breaker::CircuitBreaker;
+use super::engine::{Pace, Speed};
+use super::limit::{AnnouncedLimit, Limit, Sharers};
+use super::listing::Listing;
+use super::prefix_cache::PrefixCache;
+use super::quota::short;
+use super::tombstones::Tombstones;
+use crate::{EndpointId, ServiceId, ZoneHash};
+
+/// How long an endpoint stays in use whose entry is missing after an outage of the
+/// registry. Running endpoints have registered again within about two seconds, and an endpoint
+/// that left must get nothing two seconds after the registry shows it.
+pub const REREGISTER_GRACE: Duration = Duration::from_millis(1800);
+
+/// How long a load report of another daemon or zone counts.
+const LOAD_REPORT_TTL: Duration = Duration::from_secs(2);
+
+/// Tokens after the first event that a stream must have for its token time to be learned.
+/// Shorter streams arrive in one or two events; read together, their tokens seem to have
+/// taken no time.
+const MIN_STREAM_TOKENS: u32 = 20;
+
+/// Request in progress at an endpoint.
+#[derive(Clone, Debug, PartialEq)]
+pub struct InFlight {
+    /// Number of the request in this daemon.
+    pub number: u64,
+    /// Prompt tokens that the engine has to prefill.
+    pub prefill: f64,
+    /// Prompt tokens that were queued before them when the request was sent.
+    pub ahead: f64,
+    /// Tokens that the request will hold in the KV cache when it ends.
+    pub kv_tokens: u64,
+    /// When it was sent.
+    pub sent: Instant,
+    /// When its first event arrived.
+    pub first_event: Option<Instant>,
+}
+
+/// Whether an endpoint may get requests.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum EndpointState {
+    /// Registered.
+    Ready,
+    /// Its entry is missing since an outage of the registry; in use until this moment.
+    Doubtful(Instant),
+    /// It is draining and gets no new request.
+    Leaving,
+}
+
+impl EndpointState {
+    /// Whether an endpoint in this state may get requests now. Doubtful endpoints are dropped
+    /// only at intervals; one whose grace is over must not stay in use until the next of them.
+    fn is_in_use(self, now: Instant) -> bool {
+        match self {
+            Self::Ready => true,
+            Self::Doubtful(until) => now < until,
+            Self::Leaving => false,
+        }
+    }
+}
+
+/// Load that one or several daemons put on an endpoint.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct Load {
+    /// Requests in progress.
+    pub requests: u32,
+    /// Prompt tokens of those requests that wait for prefill.
+    pub tokens: f64,
+}
+
+/// One endpoint.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Endpoint {
+    /// Entry of the registry.
+    pub listing: Listing,
+    /// Hash of its id, by which daemons name it in messages to each other.
+    pub hash: u32,
+    /// Whether it may get requests.
+    pub state: EndpointState,
+    /// Requests in progress from this daemon, sorted by number.
+    pub in_flight: Vec<InFlight>,
+    /// Load from all other daemons.
+    pub remote_load: Load,
+    /// Learned speed.
+    pub speed: Speed,
+    /// Evidence of failures.
+    pub evidence: CircuitBreaker,
+    /// Prompt prefixes that it probably has in its KV cache.
+    pub cache: PrefixCache,
+    /// Until when it counts as full, after it reported to be so.
+    pub full_until: Option<Instant>,
+    /// Request rate that it accepts from all daemons together, if it ever stated a limit.
+    pub limit: Option<Limit>,
+}
+
+/// Sender of a load report: another daemon, or a watcher for its whole zone.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Reporter {
+    /// A daemon, and its zone.
+    Daemon(ZoneHash, CompactString),
+    /// A zone.
+    Zone(ZoneHash),
+}
+
+/// Last load report of another daemon or zone.
+#[derive(Clone, Debug, PartialEq)]
+struct LoadReport {
+    reporter: Reporter,
+    received: Instant,
+    /// Load by hash of the endpoint's id, sorted.
+    loads: Vec<(u32, Load)>,
+}
+
+/// All endpoints, sorted by id.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct EndpointTable {
+    rows: Vec<Endpoint>,
+    /// Learned speed of the engines of each service, sorted by service.
+    paces: Vec<(ServiceId, Pace)>,
+    /// Speed of services for which none was learned yet.
+    default_pace: Pace,
+    /// Current load reports, sorted by reporter.
+    reports: Vec<LoadReport>,
+    /// Until when missing entries make their endpoints doubtful, after an outage.
+    grace_until: Option<Instant>,
+    /// Endpoints that left and have no row any more.
+    ended: Tombstones,
+    /// Daemons that share the limits which endpoints state.
+    sharers: Sharers,
+}
+
+/// Effect of a registry change on an endpoint.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Changed {
+    /// A new endpoint may get requests.
+    Joined,
+    /// It gets no new request from now on.
+    Left,
+    /// It stays in use until this moment though its entry is missing.
+    Doubted(Instant),
+    /// Whether it may get requests did not change.
+    Nothing,
+}
+
+impl EndpointTable {
+    /// All endpoints, sorted by id.
+    pub fn rows(&self) -> &[Endpoint] {
+        &self.rows
+    }
+
+    /// All endpoints, to be changed in place; ids must stay.
+    pub fn rows_mut(&mut self) -> &mut [Endpoint] {
+        &mut self.rows
+    }
+
+    /// An endpoint by its id.
+    pub fn get(&self, id: &str) -> Option<&Endpoint> {
+        self.find(id).ok().map(|at| &self.rows[at])
+    }
+
+    /// An endpoint by its id, to be changed.
+    pub fn get_mut(&mut self, id: &str) -> Option<&mut Endpoint> {
+        self.find(id).ok().map(|at| &mut self.rows[at])
+    }
+
+    fn find(&self, id: &str) -> Result<usize, usize> {
+        self.rows
+            .binary_search_by(|row| row.listing.id.as_str().cmp(id))
+    }
+
+    /// Learned speed of a service's engines.
+    pub fn pace(&self, service: &str) -> &Pace {
+        match self.find_pace(service) {
+            Ok(at) => &self.paces[at].1,
+            Err(_) => &self.default_pace,
+        }
+    }
+
+    fn pace_mut(&mut self, service: &ServiceId) -> &mut Pace {
+        let at = self.find_pace(service).unwrap_or_else(|at| {
+            self.paces.insert(at, (service.clone(), Pace::default()));
+            at
+        });
+        &mut self.paces[at].1
+    }
+
+    fn find_pace(&self, service: &str) -> Result<usize, usize> {
+        self.paces
+            .binary_search_by(|row| row.0.as_str().cmp(service))
+    }
+
+    /// Records the first event of a request and learns the speed of its engine and service
+    /// from it.
+    pub fn record_first_event(&mut self, id: &str, number: u64, now: Instant) {
+        let Ok(at) = self.find(id) else {
+            return;
+        };
+        let row = &mut self.rows[at];
+        let requests = row.in_flight.iter_mut();
+        let mut waiting = requests.filter(|request| request.first_event.is_none());
+        let Some(request) = waiting.find(|request| request.number == number) else {
+            return;
+        };
+        request.first_event = Some(now);
+        let took = now.saturating_duration_since(request.sent);
+        let (prefill, ahead, mut speed) = (request.prefill, request.ahead, row.speed);
+        let service = row.listing.service.clone();
+        speed.learn(self.pace_mut(&service), prefill, ahead, took);
+        self.rows[at].speed = speed;
+    }
+
+    /// Records the end of a stream that had `tokens` tokens after its first event, and learns
+    /// from it how long a token takes.
+    pub fn record_stream(&mut self, id: &str, number: u64, tokens: u32, now: Instant) {
+        let Ok(at) = self.find(id) else {
+            return;
+        };
+        let row = &self.rows[at];
+        let request = row
+            .in_flight
+            .iter()
+            .find(|request| request.number == number);
+        let Some(first_event) = request.and_then(|request| request.first_event) else {
+            return;
+        };
+        if tokens < MIN_STREAM_TOKENS {
+            return;
+        }
+        let service = row.listing.service.clone();
+        let token = now.saturating_duration_since(first_event) / tokens;
+        self.pace_mut(&service).learn_step(token);
+    }
+
+    /// Number of endpoints of a service that run another version than this one, and of
+    /// requests in progress at them.
+    pub fn count_other_versions(&self, service: &str, version: &str) -> (u32, u32) {
+        let rows = self.rows.iter().filter(|row| {
+            row.listing.service == service
+                && row.listing.version != version
+                && row.state != EndpointState::Leaving
+        });
+        rows.fold((0, 0), |sum, row| {
+            (sum.0 + 1, sum.1 + row.active_requests())
+        })
+    }
+
+    /// Applies a registry entry; one that is older than the known entry changes nothing.
+    pub fn put(&mut self, listing: Listing) -> Changed {
+        let state = if listing.leaving {
+            EndpointState::Leaving
+        } else {
+            EndpointState::Ready
+        };
+        match self.find(&listing.id) {
+            Err(_) if self.ended.is_outdated(&listing) => Changed::Nothing,
+            Err(at) => {
+                let row = Endpoint::new(listing, state, &self.reports);
+                self.rows.insert(at, row);
+                joined(state)
+            }
+            Ok(at) => {
+                let row = &mut self.rows[at];
+                if listing.is_older_than(&row.listing) {
+                    return Changed::Nothing;
+                }
+                let restarted =
+                    row.listing.born != listing.born || row.listing.address != listing.address;
+                if restarted {
+                    // Nothing that was learned of the former incarnation holds for the new one.
+                    *row = Endpoint::new(listing, state, &self.reports);
+                    return joined(state);
+                }
+                let left = state == EndpointState::Leaving && row.state != EndpointState::Leaving;
+                row.state = state;
+                row.listing = listing;
+                if left {
+                    Changed::Left
+                } else {
+                    Changed::Nothing
+                }
+            }
+        }
+    }
+
+    /// Applies the removal of a registry entry.
+    pub fn entry_removed(&mut self, id: &str, now: Instant) -> Changed {
+        let grace_until = self.grace_until.filter(|until| now < *until);
+        let Some(row) = self.get_mut(id) else {
+            return Changed::Nothing;
+        };
+        match (row.state, grace_until) {
+            (EndpointState::Leaving | EndpointState::Doubtful(_), _) => Changed::Nothing,
+            (EndpointState::Ready, Some(until)) => {
+                row.state = EndpointState::Doubtful(until);
+                Changed::Doubted(until)
+            }
+            (EndpointState::Ready, None) => {
+                row.state = EndpointState::Leaving;
+                Changed::Left
+            }
+        }
+    }
+
+    /// Checksum of the ids of all ready endpoints, independent of their order.
+    pub fn checksum(&self) -> u32 {
+        let ready = self
+            .rows
+            .iter()
+            .filter(|row| row.state == EndpointState::Ready);
+        ready.fold(0, |sum, row| sum ^ row.hash)
+    }
+
+    /// Whether an entry differs from the known one in more than the number of its writes.
+    pub fn is_change(&self, listing: &Listing) -> bool {
+        let Some(row) = self.get(&listing.id) else {
+            return true;
+        };
+        let rewritten = Listing {
+            count: listing.count,
+            ..row.listing.clone()
+        };
+        rewritten != *listing || (row.state == EndpointState::Ready) == listing.leaving
+    }
+
+    /// Applies the whole list of entries; entries that are not in it count as removed.
+    ///
+    /// The list may be older than what is known, if the registry was restored from a copy:
+    /// the last entry of an endpoint that left since does not bring it back.
+    pub fn replace(
+        &mut self,
+        mut listings: Vec<Listing>,
+        now: Instant,
+    ) -> Vec<(EndpointId, Changed)> {
+        let mut changes = Vec::new();
+        listings.retain(|listing| !self.has_left(listing));
+        let mut present: Vec<EndpointId> = listings.iter().map(|row| row.id.clone()).collect();
+        present.sort();
+        for listing in listings {
+            let id = listing.id.clone();
+            changes.push((id, self.put(listing)));
+        }
+        let ids: Vec<EndpointId> = self.rows.iter().map(|row| row.listing.id.clone()).collect();
+        for id in ids {
+            if present.binary_search(&id).is_err() {
+                let change = self.entry_removed(&id, now);
+                changes.push((id, change));
+            }
+        }
+        changes.retain(|(_, change)| *change != Changed::Nothing);
+        changes
+    }
+
+    /// Whether an entry is of an endpoint that left and has written nothing newer.
+    fn has_left(&self, listing: &Listing) -> bool {
+        let row = self.get(&listing.id);
+        if row.is_some_and(|row| row.state != EndpointState::Leaving) {
+            return false;
+        }
+        let last = row.map(|row| &row.listing);
+        let last = last.or_else(|| self.ended.last(&listing.id));
+        last.is_some_and(|last| listing.is_known_by(last))
+    }
+
+    /// Applies a load report: load by hash of the endpoint's id. The report of a zone replaces
+    /// those of its daemons for as long as it is current.
+    pub fn apply_report(&mut self, reporter: Reporter, mut loads: Vec<(u32, Load)>, now: Instant) {
+        loads.sort_by_key(|(endpoint, _)| *endpoint);
+        self.expire_reports(now);
+        match &reporter {
+            Reporter::Zone(zone) => self.drop_reports(|report| report.is_daemon_of(*zone)),
+            Reporter::Daemon(zone, _) if self.find_report(&Reporter::Zone(*zone)).is_ok() => return,
+            Reporter::Daemon(..) => {}
+        }
+        self.drop_reports(|report| report.reporter == reporter);
+        add(&mut self.rows, &loads, 1);
+        let report = LoadReport {
+            reporter,
+            received: now,
+            loads,
+        };
+        let at = self.find_report(&report.reporter).unwrap_or_else(|at| at);
+        self.reports.insert(at, report);
+    }
+
+    /// Load of this daemon and all others of its zone together, by hash of the endpoint's id,
+    /// sorted.
+    pub fn zone_load(&self, zone: ZoneHash) -> Vec<(u32, Load)> {
+        let local = self.rows.iter().map(|row| (row.hash, row.local_load()));
+        let peers = self
+            .reports
+            .iter()
+            .filter(|report| report.is_daemon_of(zone));
+        let peers = peers.flat_map(|report| report.loads.iter().copied());
+        let mut all: Vec<(u32, Load)> = local.chain(peers).collect();
+        all.sort_by_key(|row| row.0);
+        all.dedup_by(|row, kept| {
+            let same = row.0 == kept.0;
+            if same {
+                kept.1.requests += row.1.requests;
+                kept.1.tokens += row.1.tokens;
+            }
+            same
+        });
+        all.retain(|row| row.1.requests > 0);
+        all
+    }
+
+    fn find_report(&self, reporter: &Reporter) -> Result<usize, usize> {
+        self.reports
+            .binary_search_by(|report| report.reporter.cmp(reporter))
+    }
+
+    fn expire_reports(&mut self, now: Instant) {
+        self.drop_reports(|report| now.duration_since(report.received) > LOAD_REPORT_TTL);
+    }
+
+    fn drop_reports(&mut self, is_over: impl Fn(&LoadReport) -> bool) {
+        for report in self.reports.iter().filter(|report| is_over(report)) {
+            add(&mut self.rows, &report.loads, -1);
+        }
+        self.reports.retain(|report| !is_over(report));
+    }
+
+    /// Marks the endpoints as leaving whose departure another daemon reports, by hash of their
+    /// ids; returns the ids of those that were not leaving yet. If the report was wrong, an
+    /// entry that says so follows from the registry.
+    pub fn mark_leaving(&mut self, left: &[u32]) -> Vec<EndpointId> {
+        let mut found = Vec::new();
+        for row in &mut self.rows {
+            let reported = left.contains(&row.hash);
+            if reported && row.state != EndpointState::Leaving {
+                row.state = EndpointState::Leaving;
+                found.push(row.listing.id.clone());
+            }
+        }
+        found
+    }
+
+    /// Records the limit that an endpoint stated in an answer to this daemon; returns whether
+    /// its rate differs from the one known before.
+    pub fn record_limit(&mut self, id: &str, said: AnnouncedLimit) -> bool {
+        let Ok(at) = self.find(id) else {
+            return false;
+        };
+        let hash = self.rows[at].hash;
+        self.update_limit(hash, said, true)
+    }
+
+    /// Merges an endpoint's limit that another daemon advertises; returns whether its rate
+    /// differs from the one known before.
+    pub fn merge_limit(&mut self, endpoint: u32, said: AnnouncedLimit) -> bool {
+        self.update_limit(endpoint, said, false)
+    }
+
+    fn update_limit(&mut self, endpoint: u32, said: AnnouncedLimit, is_own: bool) -> bool {
+        let mut rows = self.rows.iter_mut();
+        let Some(row) = rows.find(|row| row.hash == endpoint) else {
+            return false;
+        };
+        let before = row.limit.as_ref().and_then(Limit::rate);
+        let held = row.limit.as_ref();
+        if held.is_none() && said.rate.is_none() {
+            return false;
+        }
+        if let Some(limit) = Limit::merge(held, endpoint, said, is_own, &self.sharers) {
+            row.limit = Some(limit);
+        }
+        before != row.limit.as_ref().and_then(Limit::rate)
+    }
+
+    /// Limits that endpoints stated to this daemon and that it advertises to the others, by
+    /// hash of the endpoint's id.
+    pub fn advertised_limits(&self, now: Instant) -> Vec<(u32, AnnouncedLimit)> {
+        let advertised = |row: &Endpoint| Some((row.hash, row.limit.as_ref()?.report(now)?));
+        self.rows.iter().filter_map(advertised).collect()
+    }
+
+    /// Sets which daemons share the limits that endpoints state.
+    pub fn set_sharers(&mut self, sharers: Sharers, now: Instant) {
+        if self.sharers == sharers {
+            return;
+        }
+        for row in &mut self.rows {
+            if let Some(limit) = &mut row.limit {
+                limit.update_share(row.hash, &sharers, now);
+            }
+        }
+        self.sharers = sharers;
+    }
+
+    /// Starts the grace for missing entries: the registry is back after it was unavailable or
+    /// rejected this daemon.
+    pub fn registry_back(&mut self, now: Instant) {
+        self.grace_until = Some(now + REREGISTER_GRACE);
+    }
+
+    /// Applies that the registry has been available since a moment, and returns the ids of the
+    /// endpoints that are dropped because of it. Running endpoints registered again soon after
+    /// that moment, however much later this daemon reconnected. Without this, a daemon that
+    /// was partitioned would send requests to endpoints that left long ago.
+    pub fn registry_healthy_since(&mut self, since: Instant, now: Instant) -> Vec<EndpointId> {
+        let end = since + REREGISTER_GRACE;
+        self.grace_until = self.grace_until.map(|until| until.min(end));
+        for row in &mut self.rows {
+            if let EndpointState::Doubtful(until) = &mut row.state {
+                *until = end.min(*until);
+            }
+        }
+        self.drop_doubtful(now)
+    }
+
+    fn drop_doubtful(&mut self, now: Instant) -> Vec<EndpointId> {
+        let mut dropped = Vec::new();
+        for row in &mut self.rows {
+            if let EndpointState::Doubtful(until) = row.state
+                && now >= until
+            {
+                row.state = EndpointState::Leaving;
+                dropped.push(row.listing.id.clone());
+            }
+        }
+        dropped
+    }
+
+    /// Drops doubtful endpoints whose grace is over and returns their ids. Removes the rows of
+    /// endpoints that left and have no request of this daemon in progress. Moves the learned
+    /// speed of each engine a little towards that of its service.
+    pub fn expire(&mut self, now: Instant) -> Vec<EndpointId> {
+        let dropped = self.drop_doubtful(now);
+        for row in &mut self.rows {
+            row.speed.fade();
+        }
+        let is_over =
+            |row: &Endpoint| row.state == EndpointState::Leaving && row.in_flight.is_empty();
+        for row in self.rows.iter().filter(|row| is_over(row)) {
+            self.ended.add(row.listing.clone(), now);
+        }
+        self.rows.retain(|row| !is_over(row));
+        self.ended.expire(now);
+        dropped
+    }
+}
+
+/// Effect of a new row: an endpoint that is already leaving does not join.
+fn joined(state: EndpointState) -> Changed {
+    match state {
+        EndpointState::Leaving => Changed::Nothing,
+        EndpointState::Ready | EndpointState::Doubtful(_) => Changed::Joined,
+    }
+}
+
+/// Adds reported loads to the rows, or subtracts them with a `sign` of -1.
+///
+/// Computing the sum over the reports of all daemons again, at each digest of each of them,
+/// would take longer with each daemon.
+fn add(rows: &mut [Endpoint], loads: &[(u32, Load)], sign: i32) {
+    for row in rows {
+        if let Ok(at) = loads.binary_search_by_key(&row.hash, |load| load.0) {
+            let (total, load) = (&mut row.remote_load, loads[at].1);
+            let requests = load.requests.cast_signed() * sign;
+            total.requests = total.requests.saturating_add_signed(requests);
+            total.tokens += load.tokens * f64::from(sign);
+        }
+    }
+}
+
+/// Sum of all reports on one endpoint.
+fn reported_load(reports: &[LoadReport], endpoint: u32) -> Load {
+    let mut total = Load::default();
+    for report in reports {
+        if let Ok(at) = report.loads.binary_search_by_key(&endpoint, |row| row.0) {
+            total.requests += report.loads[at].1.requests;
+            total.tokens += report.loads[at].1.tokens;
+        }
+    }
+    total
+}
+
+impl LoadReport {
+    fn is_daemon_of(&self, zone: ZoneHash) -> bool {
+        matches!(&self.reporter, Reporter::Daemon(at, _) if *at == zone)
+    }
+}
+
+impl Endpoint {
+    fn new(listing: Listing, state: EndpointState, reports: &[LoadReport]) -> Self {
+        let hash = short(&listing.id);
+        Self {
+            listing,
+            hash,
+            state,
+            in_flight: Vec::new(),
+            remote_load: reported_load(reports, hash),
+            speed: Speed::default(),
+            evidence: CircuitBreaker::default(),
+            cache: PrefixCache::default(),
+            full_until: None,
+            limit: None,
+        }
+    }
+
+    /// Whether it may get requests, whatever its load.
+    pub fn is_usable(&self, now: Instant) -> bool {
+        self.state.is_in_use(now) && self.evidence.allows_request(now)
+    }
+
+    /// Requests in progress, from all daemons.
+    pub fn active_requests(&self) -> u32 {
+        self.in_flight.len() as u32 + self.remote_load.requests
+    }
+
+    /// Load from this daemon.
+    pub fn local_load(&self) -> Load {
+        let waiting = self
+            .in_flight
+            .iter()
+            .filter(|request| request.first_event.is_none());
+        Load {
+            requests: self.in_flight.len() as u32,
+            tokens: waiting.map(|request| request.prefill).sum(),
+        }
+    }
+
+    /// Prompt tokens that wait for prefill, from all daemons.
+    pub fn backlog(&self) -> f64 {
+        self.local_load().tokens + self.remote_load.tokens
+    }
+
+    /// Tokens that this daemon's requests will hold in the KV cache.
+    pub fn kv_tokens(&self) -> u64 {
+        self.in_flight.iter().map(|request| request.kv_tokens).sum()
+    }
+
+    /// Records a request that is sent.
+    pub fn add_request(&mut self, request: InFlight) {
+        self.evidence.record_sent();
+        if let Some(limit) = &mut self.limit {
+            limit.take(request.sent);
+        }
+        self.in_flight.push(request);
+    }
+
+    /// Records that a request is no longer in progress.
+    pub fn remove_request(&mut self, number: u64) {
+        self.in_flight.retain(|request| request.number != number);
+    }
+}
--- a/lib/tests/test_relay_admit.rs
+++ b/lib/tests/test_relay_admit.rs
@@ -3,10 +3,10 @@
 use std::time::{Duration, Instant};
 
 use poplarvale_lib::relay::admit::Limits;
-use poplarvale_lib::relay::ask::Prompt;
 use poplarvale_lib::relay::catalog::{Engine, Service};
-use poplarvale_lib::relay::place::{NoPlace, Wanted, book, choose};
+use poplarvale_lib::relay::request::Prompt;
 use poplarvale_lib::relay::rollout::Versions;
+use poplarvale_lib::relay::selection::{Criteria, SelectError, book, choose};
 
 use crate::relay_engines::engines;
 
@@ -44,7 +44,7 @@
 /// Plays ten seconds of prompts, twice as many as the engines can read: one long urgent
 /// prompt for each three short patient ones. Engines read one after the other.
 fn play(limited: bool) -> [Tally; 2] {
-    let (service, mut board) = (service(), engines(ENGINES as u32, SLOTS));
+    let (service, mut table) = (service(), engines(ENGINES as u32, SLOTS));
     let start = Instant::now();
     let mut free = [start; ENGINES];
     let mut first: Vec<(Instant, String, u64)> = Vec::new();
@@ -67,13 +67,13 @@
         };
         first.sort();
         while let Some((at, id, began)) = first.first().cloned().filter(|row| row.0 <= now) {
-            board.began(&id, began, at);
-            if let Some(row) = board.get_mut(&id) {
-                row.end(began);
+            table.record_first_event(&id, began, at);
+            if let Some(row) = table.get_mut(&id) {
+                row.remove_request(began);
             }
             first.remove(0);
         }
-        let wanted = Wanted {
+        let wanted = Criteria {
             service: &service,
             prompt: Some(&prompt),
             target: TARGET,
@@ -81,14 +81,14 @@
             avoid: &[],
             versions: &Versions::Any,
             limits: limited.then(|| Limits::new(TARGET, rank, DEADLINE)),
-            draw: 0,
+            seed: 0,
             now,
         };
         let tally = &mut tallies[usize::from(urgent)];
         tally.asked += 1;
-        match choose(&board, &wanted) {
+        match choose(&table, &wanted) {
             Ok(choice) => {
-                book(&mut board, &wanted, &choice, number);
+                book(&mut table, &wanted, &choice, number);
                 let at = choice.id[1..].parse::<usize>().expect("its number");
                 let begin = free[at].max(now);
                 free[at] = begin + Duration::from_secs_f64(f64::from(input) / READ + 0.02);
@@ -99,7 +99,7 @@
                     tally.late += 1;
                 }
             }
-            Err(NoPlace::Busy(again)) => {
+            Err(SelectError::Busy(again)) => {
                 assert!(again > Duration::ZERO && again <= Duration::from_secs(2));
                 tally.refused += 1;
             }
