--- a/daemon/src/relay/state.rs
+++ b/daemon/src/relay/state.rs
@@ -16,7 +16,7 @@
 use poplarvale_lib::relay::digest::{Peers, Place};
 use poplarvale_lib::relay::follow::Follow;
 use poplarvale_lib::relay::life::Life;
-use poplarvale_lib::relay::quota::{Quota, short};
+use poplarvale_lib::relay::quota::{Quota, name_hash};
 use poplarvale_lib::relay::rollout::Rollouts;
 use poplarvale_lib::relay::site::Site;
 use poplarvale_lib::relay::usage::{Usage, WindowId};
@@ -91,7 +91,7 @@
         let me = v4(&site.peers.ip()).unwrap_or(Ipv4Addr::LOCALHOST);
         let seeds: Vec<Ipv4Addr> = site.seeds.iter().filter_map(v4).collect();
         let place = Place {
-            zone: short(&site.zone),
+            zone: name_hash(&site.zone),
             memory: u32::try_from(site.memory / MEGABYTE).unwrap_or(u32::MAX),
         };
         let quota = Quota::new(
--- a/daemon/src/relay/watch.rs
+++ b/daemon/src/relay/watch.rs
@@ -12,7 +12,7 @@
 use poplarvale_lib::relay::digest::WATCHERS;
 use poplarvale_lib::relay::follow::{Entry, Heard, News};
 use poplarvale_lib::relay::listing::Listing;
-use poplarvale_lib::relay::quota::short;
+use poplarvale_lib::relay::quota::name_hash;
 use poplarvale_lib::relay::rollout::Order;
 use poplarvale_lib::{EndpointId, era_of};
 use poplarvale_platform::{
@@ -366,7 +366,7 @@
 fn tell(state: &State, id: &str, change: Changed) {
     log_change(state, id, change);
     if change == Changed::Left {
-        state.left.borrow_mut().push(short(id));
+        state.left.borrow_mut().push(name_hash(id));
         state.news.notify_one();
     }
 }
--- a/lib/src/relay/board.rs
+++ b/lib/src/relay/board.rs
@@ -18,7 +18,7 @@
 use super::evidence::Evidence;
 use super::limit::{Limit, Said, Sharers};
 use super::listing::Listing;
-use super::quota::short;
+use super::quota::name_hash;
 use crate::{EndpointId, ServiceId, ZoneHash};
 
 /// How long an endpoint stays in use whose entry is missing after an outage of the
@@ -585,7 +585,7 @@
 
 impl Endpoint {
     fn new(listing: Listing, standing: Standing, told: &[Told]) -> Self {
-        let hash = short(&listing.id);
+        let hash = name_hash(&listing.id);
         Self {
             listing,
             hash,
--- a/lib/src/relay/demand.rs
+++ b/lib/src/relay/demand.rs
@@ -10,7 +10,7 @@
 use compact_str::CompactString;
 
 use super::ask::Prompt;
-use super::quota::short;
+use super::quota::name_hash;
 
 /// Span over which rates are taken; traffic swings over tens of seconds, and an
 /// endpoint takes a few to start.
@@ -69,7 +69,7 @@
     pub fn ask(&mut self, service: &str, work: Work, now: Instant) {
         self.first.get_or_insert(now);
         self.asked.push(Asked {
-            service: short(service),
+            service: name_hash(service),
             at: now,
             work,
         });
@@ -124,7 +124,7 @@
 
     /// Work a second that is asked of a service in all.
     pub fn total(&self, service: &str, now: Instant) -> Work {
-        let service = short(service);
+        let service = name_hash(service);
         let mine = self.tell(now);
         let others = self.told.iter().flat_map(|told| &told.services);
         let mut total = Work::default();
--- a/lib/src/relay/quota.rs
+++ b/lib/src/relay/quota.rs
@@ -158,7 +158,7 @@
 }
 
 /// Hash that stands for a name in digests.
-pub fn short(name: &str) -> u32 {
+pub fn name_hash(name: &str) -> u32 {
     xxhash_rust::xxh3::xxh3_64(name.as_bytes()) as u32
 }
 
@@ -371,7 +371,7 @@
         let (first, recent) = (self.first_step(now), self.recent_step(now));
         let span = now.saturating_duration_since(self.began(recent));
         let row = |used: &Used| Use {
-            team: short(&used.team),
+            team: name_hash(&used.team),
             units: used.steps.sum_since(first),
             total: used.total as u32,
             rate: used.steps.sum_since(recent) / span.max(RECENT).as_secs_f64(),
@@ -504,9 +504,9 @@
     fn room(&self, team: &str, part: &Part, now: Instant) -> f64 {
         let (first, last) = (self.first_step(now), self.step(now));
         let mut spent = [0.0; STEPS as usize + 1];
-        let before = self.before(short(team), now);
+        let before = self.before(name_hash(team), now);
         let before = before.since(first).iter().copied();
-        for (step, units) in self.spent(short(team), first, now).chain(before) {
+        for (step, units) in self.spent(name_hash(team), first, now).chain(before) {
             spent[(step - first) as usize] += units;
         }
         let length = self.window.as_secs_f64() / f64::from(STEPS);
@@ -532,7 +532,7 @@
     fn room_alone(&self, team: &str, part: &Part, now: Instant) -> f64 {
         let age = now.saturating_duration_since(self.started);
         let grown = part.rate * age.as_secs_f64();
-        let spent = self.spent(short(team), self.first_step(now), now);
+        let spent = self.spent(name_hash(team), self.first_step(now), now);
         part.whole.min(grown) - spent.map(|row| row.1).sum::<f64>()
     }
 
@@ -542,7 +542,7 @@
         let mine = self
             .used
             .iter()
-            .filter(move |used| short(&used.team) == team);
+            .filter(move |used| name_hash(&used.team) == team);
         let mine = mine.flat_map(move |used| used.steps.since(first));
         let last = self.step(now);
         let heard = move |other: &&Other| !self.is_silent(other, now);
@@ -578,7 +578,7 @@
     /// Units a second that are asked of all for a team.
     fn asked_of_all(&self, team: &str, now: Instant) -> f64 {
         let mine = self.asked_here(team, now);
-        mine + self.of_others(short(team), |known| known.asked, |told| told.asked, now)
+        mine + self.of_others(name_hash(team), |known| known.asked, |told| told.asked, now)
     }
 
     /// Units a second that all let a team use lately.
--- a/lib/src/relay/quota/saved.rs
+++ b/lib/src/relay/quota/saved.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use super::steps::Steps;
-use super::{Quota, STEPS, short};
+use super::{Quota, STEPS, name_hash};
 
 /// Seconds that a team is taken to have gone on at its last rate after a checkpoint was
 /// written: its period and the time that digests take to reach the writer.
@@ -35,7 +35,7 @@
         let first = self.first_step(now);
         let told = self.others.iter().flat_map(|other| &other.teams);
         let mut teams: Vec<u32> = told.map(|known| known.team).collect();
-        teams.extend(self.used.iter().map(|used| short(&used.team)));
+        teams.extend(self.used.iter().map(|used| name_hash(&used.team)));
         teams.sort_unstable();
         teams.dedup();
         let row = |team: u32| {
--- a/lib/src/relay/rollout.rs
+++ b/lib/src/relay/rollout.rs
@@ -17,7 +17,7 @@
 
 use evidence::{Counts, Key, SLOTS, Sample, Sides};
 
-use super::quota::short;
+use super::quota::name_hash;
 use crate::{ServiceId, VersionId, era_of};
 
 /// Unix milliseconds by the clocks of all daemons.
@@ -295,7 +295,7 @@
         let new = version == row.order.target;
         let slot = (row.part(now) * f64::from(SLOTS)) as u32;
         row.counts
-            .note((short(route), slot.min(SLOTS - 1)), new, sample);
+            .note((name_hash(route), slot.min(SLOTS - 1)), new, sample);
         row.judge();
         row.outcome != Outcome::Running
     }
--- a/lib/tests/test_relay_board.rs
+++ b/lib/tests/test_relay_board.rs
@@ -4,7 +4,7 @@
 
 use poplarvale_lib::relay::board::{Board, Changed, Others, RETURN, Standing, Teller};
 use poplarvale_lib::relay::listing::Listing;
-use poplarvale_lib::relay::quota::short;
+use poplarvale_lib::relay::quota::name_hash;
 
 pub(crate) fn listing(id: &str) -> Listing {
     Listing {
@@ -117,7 +117,7 @@
     let mut board = Board::default();
     board.put(listing("a"));
     board.put(listing("b"));
-    assert_eq!(board.heard_left(&[short("a")]), vec!["a"]);
+    assert_eq!(board.heard_left(&[name_hash("a")]), vec!["a"]);
     assert!(!usable(&board, "a", now));
     assert_eq!(
         board.get("b").map(|row| row.standing),
@@ -169,7 +169,7 @@
 
 fn load(id: &str, requests: u32) -> (u32, Others) {
     let tokens = f64::from(requests) * 10.0;
-    (short(id), Others { requests, tokens })
+    (name_hash(id), Others { requests, tokens })
 }
 
 /// Watchers tell what their zone has in progress as a whole, and its daemons tell theirs
--- a/lib/tests/test_relay_place.rs
+++ b/lib/tests/test_relay_place.rs
@@ -8,7 +8,7 @@
 use poplarvale_lib::relay::evidence::Evidence;
 use poplarvale_lib::relay::listing::Listing;
 use poplarvale_lib::relay::place::{Choice, NoPlace, Wanted, book, choose};
-use poplarvale_lib::relay::quota::short;
+use poplarvale_lib::relay::quota::name_hash;
 use poplarvale_lib::relay::rollout::Versions;
 
 use crate::relay_engines::engines;
@@ -151,7 +151,7 @@
     };
     trial.board.hear(
         Teller::Daemon(1, "b".into()),
-        vec![(short("e0"), full)],
+        vec![(name_hash("e0"), full)],
         trial.now,
     );
     for session in 20..24 {
--- a/lib/tests/test_relay_shared.rs
+++ b/lib/tests/test_relay_shared.rs
@@ -6,7 +6,7 @@
 use poplarvale_lib::relay::catalog::{Team, Unit};
 use poplarvale_lib::relay::clock::Clock;
 use poplarvale_lib::relay::duty::Held;
-use poplarvale_lib::relay::quota::{Quota, Told, Tolerance, Use, short};
+use poplarvale_lib::relay::quota::{Quota, Told, Tolerance, Use, name_hash};
 use poplarvale_lib::relay::usage::Usage;
 use proptest::prelude::*;
 
@@ -42,7 +42,7 @@
 /// A use of the team that is even over the last window.
 fn usual(units: f64, total: u32) -> Use {
     Use {
-        team: short("club"),
+        team: name_hash("club"),
         units,
         total,
         rate: units / WINDOW.as_secs_f64(),
