--- a/lib/src/relay/place.rs
+++ b/lib/src/relay/place.rs
@@ -17,7 +17,7 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::admit::{LATEST, Limits};
+use super::admit::{Limits, MAX_RETRY_AFTER};
 use super::ask::Prompt;
 use super::board::{Board, Endpoint, Flight};
 use super::cache::{Chain, chains};
@@ -153,7 +153,9 @@
             }
         }
         None if full => Err(NoPlace::Full),
-        None => Err(limited.map_or(NoPlace::None, |wait| NoPlace::Busy(wait.min(LATEST)))),
+        None => Err(limited.map_or(NoPlace::None, |wait| {
+            NoPlace::Busy(wait.min(MAX_RETRY_AFTER))
+        })),
     }
 }
 
--- a/lib/tests/test_relay_admit.rs
+++ b/lib/tests/test_relay_admit.rs
@@ -1,4 +1,4 @@
-//! What joins the queue of an engine when there are more prompts than can be read.
+//! Admission to the queues of engines when more prompts come than they can prefill.
 
 use std::time::{Duration, Instant};
 
@@ -13,11 +13,11 @@
 const ENGINES: usize = 4;
 const TARGET: Duration = Duration::from_secs(1);
 const DEADLINE: Duration = Duration::from_secs(8);
-/// Prompt tokens that an engine reads in a second.
-const READ: f64 = 50_000.0;
+/// Prompt tokens that an engine prefills in a second.
+const PREFILL_RATE: f64 = 50_000.0;
 const SLOTS: u32 = 200;
 const URGENT: u8 = 3;
-const PATIENT: u8 = 5;
+const RELAXED: u8 = 5;
 
 fn service() -> Service {
     Service {
@@ -32,22 +32,23 @@
     }
 }
 
-/// What became of the requests of one rank.
+/// Outcomes of the requests of one rank.
 #[derive(Clone, Copy, Debug, Default)]
 struct Tally {
-    asked: u32,
+    sent: u32,
     in_time: u32,
     late: u32,
-    refused: u32,
+    rejected: u32,
 }
 
-/// Plays ten seconds of prompts, twice as many as the engines can read: one long urgent
-/// prompt for each three short patient ones. Engines read one after the other.
-fn play(limited: bool) -> [Tally; 2] {
+/// Simulates ten seconds of prompts, twice as many as the engines can prefill: one long
+/// urgent prompt for each three short, less urgent ones. An engine prefills one prompt after
+/// the other.
+fn simulate(limited: bool) -> [Tally; 2] {
     let (service, mut board) = (service(), engines(ENGINES as u32, SLOTS));
     let start = Instant::now();
     let mut free = [start; ENGINES];
-    let mut first: Vec<(Instant, String, u64)> = Vec::new();
+    let mut running: Vec<(Instant, String, u64)> = Vec::new();
     let mut tallies = [Tally::default(); 2];
     let mut now = start;
     let mut number = 0;
@@ -57,7 +58,7 @@
         let (input, rank) = if urgent {
             (20_000, URGENT)
         } else {
-            (4000, PATIENT)
+            (4000, RELAXED)
         };
         let prompt = Prompt {
             input,
@@ -65,13 +66,13 @@
             guess: None,
             parts: vec![(number, input)],
         };
-        first.sort();
-        while let Some((at, id, began)) = first.first().cloned().filter(|row| row.0 <= now) {
+        running.sort();
+        while let Some((at, id, began)) = running.first().cloned().filter(|row| row.0 <= now) {
             board.began(&id, began, at);
             if let Some(row) = board.get_mut(&id) {
                 row.end(began);
             }
-            first.remove(0);
+            running.remove(0);
         }
         let wanted = Wanted {
             service: &service,
@@ -85,63 +86,66 @@
             now,
         };
         let tally = &mut tallies[usize::from(urgent)];
-        tally.asked += 1;
+        tally.sent += 1;
         match choose(&board, &wanted) {
             Ok(choice) => {
                 book(&mut board, &wanted, &choice, number);
-                let at = choice.id[1..].parse::<usize>().expect("its number");
+                let at = choice.id[1..]
+                    .parse::<usize>()
+                    .expect("the number of an engine");
                 let begin = free[at].max(now);
-                free[at] = begin + Duration::from_secs_f64(f64::from(input) / READ + 0.02);
-                first.push((free[at], choice.id.to_string(), number));
+                free[at] = begin + Duration::from_secs_f64(f64::from(input) / PREFILL_RATE + 0.02);
+                running.push((free[at], choice.id.to_string(), number));
                 if free[at] <= now + TARGET {
                     tally.in_time += 1;
                 } else {
                     tally.late += 1;
                 }
             }
-            Err(NoPlace::Busy(again)) => {
-                assert!(again > Duration::ZERO && again <= Duration::from_secs(2));
-                tally.refused += 1;
+            Err(NoPlace::Busy(retry_after)) => {
+                assert!(retry_after > Duration::ZERO && retry_after <= Duration::from_secs(2));
+                tally.rejected += 1;
             }
             Err(other) => panic!("{other:?}"),
         }
-        // 50 prompts a second of 8,000 tokens on average: 400,000 of the 200,000.
+        // 50 prompts a second of 8,000 tokens on average: 400,000 tokens a second, where the
+        // engines prefill 200,000.
         now += Duration::from_millis(20);
     }
     tallies
 }
 
-/// Twice as many prompts come as the engines can read, for ten seconds. Whatever is sent
-/// waits behind all that was sent before: after two seconds nothing is in time any more,
-/// and callers wait for an answer that comes too late.
+/// Twice as many prompts come as the engines can prefill, for ten seconds. Without limits
+/// each waits behind all that were sent before: after two seconds none is in time any more,
+/// and callers wait for answers that come too late.
 #[test]
-fn a_lasting_overload_leaves_what_is_let_in_on_time() {
-    let [patient, urgent] = play(false);
-    let plain = patient.in_time + urgent.in_time;
-    let [patient_now, urgent_now] = play(true);
-    let ours = patient_now.in_time + urgent_now.in_time;
+fn a_lasting_overload_leaves_admitted_requests_on_time() {
+    let [relaxed, urgent] = simulate(false);
+    let unlimited = relaxed.in_time + urgent.in_time;
+    let [relaxed_limited, urgent_limited] = simulate(true);
+    let limited = relaxed_limited.in_time + urgent_limited.in_time;
     assert!(
-        ours >= plain * 3 / 2,
-        "{ours} in time, {plain} without limits"
+        limited >= unlimited * 3 / 2,
+        "{limited} in time, {unlimited} without limits"
     );
-    let late = patient_now.late + urgent_now.late;
-    assert!(late * 3 <= ours, "{late} late of {ours}");
-    assert_eq!(patient.refused + urgent.refused, 0);
+    let late = relaxed_limited.late + urgent_limited.late;
+    assert!(late * 3 <= limited, "{late} late, {limited} in time");
+    assert_eq!(relaxed.rejected + urgent.rejected, 0);
 }
 
-/// In the same overload the urgent prompts are the long ones. They must not be turned
-/// away more often than patient ones, whose requests fill the queue by their number.
+/// In the same overload the urgent prompts are the long ones. They must not be rejected
+/// more often than the less urgent ones, which fill the queue by their number.
 #[test]
-fn in_an_overload_the_less_urgent_step_back_first() {
-    let [patient, urgent] = play(true);
-    let share = |tally: Tally| f64::from(tally.refused) / f64::from(tally.asked);
-    assert!(share(urgent) < share(patient), "{urgent:?} {patient:?}");
+fn in_an_overload_the_less_urgent_are_rejected_first() {
+    let [relaxed, urgent] = simulate(true);
+    let share = |tally: Tally| f64::from(tally.rejected) / f64::from(tally.sent);
+    assert!(share(urgent) < share(relaxed), "{urgent:?} {relaxed:?}");
 }
 
-/// An answer would take longer than its caller has, though nobody waits before it. It is
-/// refused at once; waiting for the deadline would only hold the caller back.
+/// A request would miss its deadline even with an empty queue. It is rejected at once;
+/// waiting until the deadline would only delay its caller.
 #[test]
-fn what_cannot_be_done_by_its_deadline_is_refused_at_once() {
+fn a_request_that_cannot_meet_its_deadline_is_rejected_at_once() {
     let limits = Limits::new(TARGET, URGENT, Duration::from_secs(1));
     assert!(
         limits
