--- a/daemon/src/relay/dispatch.rs
+++ b/daemon/src/relay/dispatch.rs
@@ -56,7 +56,10 @@
     keep: bool,
 ) -> After {
     let now = Std::now();
-    state.budget.borrow_mut().request(&job.service.name, now);
+    state
+        .budget
+        .borrow_mut()
+        .record_request(&job.service.name, now);
     let mut course = Course {
         passed: Passed::nothing(job.ask.resume, keep),
         keep,
@@ -212,7 +215,7 @@
     // most of what they share for itself.
     let daemons = state.peers.borrow().rows().len() + 1;
     let mut budget = state.budget.borrow_mut();
-    budget.repeat(&job.service.name, daemons, now)
+    budget.try_retry(&job.service.name, daemons, now)
 }
 
 /// What a request may wait for. One that an endpoint has begun is sent on in any case:
--- a/lib/tests/test_relay_shared.rs
+++ b/lib/tests/test_relay_shared.rs
@@ -1,4 +1,4 @@
-//! What daemons keep together: allowances, repeats, usage, time and the lease.
+//! What daemons keep together: allowances, retries, usage, time and the lease.
 
 use std::time::{Duration, Instant};
 
@@ -479,19 +479,19 @@
 /// Endpoints refuse everything. If each refused request were sent again and again,
 /// the overload would feed itself.
 #[test]
-fn repeats_stay_a_fraction_of_the_requests() {
+fn retries_stay_a_fraction_of_the_requests() {
     let now = Instant::now();
     let service = "pool".into();
     let mut budget = Budget::new(0.2, 0.0, Duration::from_secs(10));
-    let mut repeats = 0;
+    let mut retries = 0;
     for step in 0..1000 {
         let now = now + Duration::from_millis(step * 5);
-        budget.request(&service, now);
-        while budget.repeat(&service, 4, now) {
-            repeats += 1;
+        budget.record_request(&service, now);
+        while budget.try_retry(&service, 4, now) {
+            retries += 1;
         }
     }
-    assert!((100..=200).contains(&repeats), "{repeats}");
+    assert!((100..=200).contains(&retries), "{retries}");
 }
 
 /// Counts of a daemon that was killed stay as it last told them, and an old word
