--- a/daemon/src/relay/checkpoint.rs
+++ b/daemon/src/relay/checkpoint.rs
@@ -117,7 +117,7 @@
             let mut counts: Vec<_> = counts.collect();
             counts.sort();
             let counter = (CompactString::from(&row.name), row.incarnation);
-            usage.hear(window.number, counter, counts);
+            usage.merge(window.number, counter, counts);
         }
     }
 }
--- a/daemon/src/relay/duties.rs
+++ b/daemon/src/relay/duties.rs
@@ -453,7 +453,7 @@
         window,
         counts: counts.clone(),
     };
-    state.usage.borrow_mut().fix(report, Instant::now());
+    state.usage.borrow_mut().finalize(report, Instant::now());
 }
 
 /// The last report: the record in the store, or what is known to have lain there.
@@ -464,14 +464,14 @@
             window: record.number,
             counts: record.counts.into(),
         };
-        if !usage.hear_fixed(report.clone()) && usage.fixed() != Some(&report) {
+        if !usage.merge_finalized(report.clone()) && usage.finalized() != Some(&report) {
             log::info!(
                 "duty: the record of the last report is of window {}, a newer one is known.",
                 report.window
             );
         }
     }
-    usage.fixed().cloned()
+    usage.finalized().cloned()
 }
 
 fn counts_text(counts: &Counts) -> Result<CompactString, serde_json::Error> {
--- a/daemon/src/relay/peers.rs
+++ b/daemon/src/relay/peers.rs
@@ -226,7 +226,7 @@
             .map(crash::tell)
             .collect(),
         cleared: crashes.tell_cleared(now),
-        fixed: usage.tell_fixed(now).map(|report| UsageRecord {
+        fixed: usage.advertised(now).map(|report| UsageRecord {
             number: report.window,
             counts: report.counts.to_string(),
         }),
@@ -400,7 +400,7 @@
         );
         return;
     }
-    usage.hear_fixed(Report {
+    usage.merge_finalized(Report {
         window: told.number,
         counts: told.counts.into(),
     });
@@ -487,7 +487,7 @@
     for window in digest.windows {
         let row = |count: digest::Count| (CompactString::from(count.team), count.runs);
         let counts = window.counts.into_iter().map(row).collect();
-        usage.hear(window.number, (name.clone(), digest.incarnation), counts);
+        usage.merge(window.number, (name.clone(), digest.incarnation), counts);
     }
     let row = |row: &digest::TeamUse| Use {
         team: row.team,
--- a/lib/src/relay/usage.rs
+++ b/lib/src/relay/usage.rs
@@ -1,8 +1,8 @@
-//! How many requests of each team began to run, by window of the wall clock.
+//! How many requests of each team started to run, by window of the wall clock.
 //!
-//! Each daemon counts its own and tells the others, several times a second, its
-//! counts of the last windows. So whoever reports has all counts, and those of a
-//! daemon that was killed meanwhile up to its last word.
+//! Each daemon counts its own and several times a second sends its peers its counts of the
+//! last windows. So the daemon that reports usage has all counts, also those of a daemon
+//! that was killed meanwhile, up to its last digest.
 
 use std::time::{Duration, Instant};
 
@@ -10,127 +10,130 @@
 
 use crate::CustomerId;
 
-/// Number of a window; window k begins k lengths after the start of 1970.
+/// Number of a window; window k starts k window lengths after the start of 1970.
 pub type WindowId = u64;
 
-/// How long a report that was fixed is told to the other daemons.
-const TOLD: Duration = Duration::from_secs(3);
-/// Windows that are kept; a report may come two windows late.
-const KEPT: u64 = 5;
+/// How long a finalized report is sent to the peers.
+const ADVERTISE_FOR: Duration = Duration::from_secs(3);
+/// Number of windows that are kept; a report may be two windows late.
+const KEPT_WINDOWS: u64 = 5;
 
 /// Counts of one window, sorted by team.
 pub type Counts = Vec<(CustomerId, u32)>;
 
-/// Who counted: a daemon's name and incarnation.
-pub type Counter = (CompactString, u64);
+/// Daemon that counted: its name and incarnation.
+pub type Origin = (CompactString, u64);
 
-/// Counts of a window as they are reported, each time with the same text.
+/// Report of a window. A record in the store finalizes it, so that every attempt to send it
+/// has the same text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Report {
     /// The window.
     pub window: WindowId,
-    /// Its counts as they are sent.
+    /// The counts in the form in which they are sent.
     pub counts: CompactString,
 }
 
+/// Counts of one daemon in one window.
 #[derive(Clone, Debug, PartialEq)]
 struct Row {
     window: WindowId,
-    counter: Counter,
+    origin: Origin,
     counts: Counts,
 }
 
-/// Counts of this and the other daemons, sorted by window and counter.
+/// Counts of this daemon and its peers.
 #[derive(Clone, Debug)]
 pub struct Usage {
-    me: Counter,
+    me: Origin,
+    /// Sorted by window and origin.
     rows: Vec<Row>,
-    /// The last report that is known to be fixed. Its record in the store may be gone when
-    /// that comes back from an older copy, and what came in since would change it.
-    fixed: Option<Report>,
-    /// Until when this daemon tells it.
-    told: Option<Instant>,
+    /// The last report known to be finalized. Its record is lost if the store comes back from
+    /// an older copy, and counts that arrived since then would change a new report.
+    finalized: Option<Report>,
+    /// Until when this daemon sends it to its peers.
+    advertise_until: Option<Instant>,
 }
 
 impl Usage {
-    /// Begins to count for this daemon.
+    /// Creates the counts of the daemon with this name and incarnation.
     pub fn new(name: CompactString, incarnation: u64) -> Self {
         Self {
             me: (name, incarnation),
             rows: Vec::new(),
-            fixed: None,
-            told: None,
+            finalized: None,
+            advertise_until: None,
         }
     }
 
-    /// Notes a report that this daemon fixed; the others are told.
-    pub fn fix(&mut self, report: Report, now: Instant) {
-        if self.hear_fixed(report) {
-            self.told = Some(now + TOLD);
+    /// Notes a report that this daemon finalized, to be sent to its peers.
+    pub fn finalize(&mut self, report: Report, now: Instant) {
+        if self.merge_finalized(report) {
+            self.advertise_until = Some(now + ADVERTISE_FOR);
         }
     }
 
-    /// Notes a report that was fixed; tells whether it is newer than the one known.
-    pub fn hear_fixed(&mut self, report: Report) -> bool {
-        let held = self.fixed.as_ref();
-        let is_newer = held.is_none_or(|held| held.window < report.window);
+    /// Notes a report that any daemon finalized; `true` if it is newer than the known one.
+    pub fn merge_finalized(&mut self, report: Report) -> bool {
+        let known = self.finalized.as_ref();
+        let is_newer = known.is_none_or(|known| known.window < report.window);
         if is_newer {
-            self.fixed = Some(report);
-            self.told = None;
+            self.finalized = Some(report);
+            self.advertise_until = None;
         }
         is_newer
     }
 
-    /// The last report that is known to be fixed.
-    pub fn fixed(&self) -> Option<&Report> {
-        self.fixed.as_ref()
+    /// The last report known to be finalized.
+    pub fn finalized(&self) -> Option<&Report> {
+        self.finalized.as_ref()
     }
 
-    /// The report that this daemon tells the others, if it fixed one lately.
-    pub fn tell_fixed(&self, now: Instant) -> Option<&Report> {
-        self.told.filter(|until| now < *until)?;
-        self.fixed.as_ref()
+    /// The report to send to the peers, if this daemon finalized one lately.
+    pub fn advertised(&self, now: Instant) -> Option<&Report> {
+        self.advertise_until.filter(|until| now < *until)?;
+        self.finalized.as_ref()
     }
 
-    /// Counts a run that began here.
+    /// Counts a request that started to run at this daemon.
     pub fn count(&mut self, window: WindowId, team: &CustomerId) {
         let me = self.me.clone();
         let at = self.row(window, me);
         let counts = &mut self.rows[at].counts;
-        match counts.binary_search_by(|(held, _)| held.cmp(team)) {
+        match counts.binary_search_by(|(name, _)| name.cmp(team)) {
             Ok(at) => counts[at].1 += 1,
             Err(at) => counts.insert(at, (team.clone(), 1)),
         }
     }
 
-    /// Takes in what another daemon counted; counts only grow, so an old word that
-    /// arrives late changes nothing.
-    pub fn hear(&mut self, window: WindowId, counter: Counter, counts: Counts) {
-        let at = self.row(window, counter);
+    /// Merges the counts of another daemon. Counts only grow, so an old digest that arrives
+    /// late changes nothing.
+    pub fn merge(&mut self, window: WindowId, origin: Origin, counts: Counts) {
+        let at = self.row(window, origin);
         let total = |counts: &Counts| counts.iter().map(|(_, runs)| runs).sum::<u32>();
         if total(&counts) >= total(&self.rows[at].counts) {
             self.rows[at].counts = counts;
         }
     }
 
-    /// Counts of a window and those after it, of all that counted, by counter.
-    pub fn since(&self, first: WindowId) -> impl Iterator<Item = (&Counter, WindowId, &Counts)> {
+    /// Counts of all daemons from the window `first` on, with their origin.
+    pub fn since(&self, first: WindowId) -> impl Iterator<Item = (&Origin, WindowId, &Counts)> {
         let rows = self.rows.iter().filter(move |row| row.window >= first);
-        rows.map(|row| (&row.counter, row.window, &row.counts))
+        rows.map(|row| (&row.origin, row.window, &row.counts))
     }
 
     /// This daemon's counts of the windows that are kept.
     pub fn mine(&self) -> impl Iterator<Item = (WindowId, &Counts)> {
-        let mine = self.rows.iter().filter(|row| row.counter == self.me);
+        let mine = self.rows.iter().filter(|row| row.origin == self.me);
         mine.map(|row| (row.window, &row.counts))
     }
 
-    /// All daemons' counts of a window together, sorted by team.
+    /// Counts of a window, summed over all daemons and sorted by team.
     pub fn total(&self, window: WindowId) -> Counts {
         let mut total = Counts::new();
         for row in self.rows.iter().filter(|row| row.window == window) {
             for (team, runs) in &row.counts {
-                match total.binary_search_by(|(held, _)| held.cmp(team)) {
+                match total.binary_search_by(|(name, _)| name.cmp(team)) {
                     Ok(at) => total[at].1 += runs,
                     Err(at) => total.insert(at, (team.clone(), *runs)),
                 }
@@ -139,20 +142,21 @@
         total
     }
 
-    /// Forgets windows long past.
+    /// Drops windows that are no longer kept.
     pub fn expire(&mut self, current: WindowId) {
-        self.rows.retain(|row| row.window + KEPT > current);
+        self.rows.retain(|row| row.window + KEPT_WINDOWS > current);
     }
 
-    fn row(&mut self, window: WindowId, counter: Counter) -> usize {
-        let key = (window, counter);
+    /// Index of the row of a window and origin, which is inserted if missing.
+    fn row(&mut self, window: WindowId, origin: Origin) -> usize {
+        let key = (window, origin);
         let at = self
             .rows
-            .binary_search_by(|row| (row.window, &row.counter).cmp(&(key.0, &key.1)));
+            .binary_search_by(|row| (row.window, &row.origin).cmp(&(key.0, &key.1)));
         at.unwrap_or_else(|at| {
             let row = Row {
                 window: key.0,
-                counter: key.1,
+                origin: key.1,
                 counts: Counts::new(),
             };
             self.rows.insert(at, row);
--- a/lib/tests/test_relay_shared.rs
+++ b/lib/tests/test_relay_shared.rs
@@ -440,15 +440,15 @@
 fn restored_counts_and_told_ones_count_once() {
     let mut before = Usage::new("a".into(), 1);
     before.count(7, &"club".into());
-    before.hear(7, ("b".into(), 4), vec![("club".into(), 3)]);
+    before.merge(7, ("b".into(), 4), vec![("club".into(), 3)]);
     let saved: Vec<_> = before
         .since(7)
         .map(|(counter, window, counts)| (window, counter.clone(), counts.clone()))
         .collect();
     let mut after = Usage::new("a".into(), 2);
-    after.hear(7, ("b".into(), 4), vec![("club".into(), 5)]);
+    after.merge(7, ("b".into(), 4), vec![("club".into(), 5)]);
     for (window, counter, counts) in saved {
-        after.hear(window, counter, counts);
+        after.merge(window, counter, counts);
     }
     after.count(7, &"club".into());
     assert_eq!(after.total(7), vec![("club".into(), 1 + 5 + 1)]);
@@ -500,9 +500,9 @@
 fn counts_of_others_only_grow() {
     let mut usage = Usage::new("a".into(), 1);
     usage.count(7, &"club".into());
-    usage.hear(7, ("b".into(), 5), vec![("club".into(), 3)]);
-    usage.hear(7, ("b".into(), 5), vec![("club".into(), 2)]);
-    usage.hear(7, ("b".into(), 6), vec![("club".into(), 1)]);
+    usage.merge(7, ("b".into(), 5), vec![("club".into(), 3)]);
+    usage.merge(7, ("b".into(), 5), vec![("club".into(), 2)]);
+    usage.merge(7, ("b".into(), 6), vec![("club".into(), 1)]);
     assert_eq!(usage.total(7), vec![("club".into(), 5)]);
     assert_eq!(usage.total(8), Vec::new());
 }
