--- a/daemon/src/relay/duties.rs
+++ b/daemon/src/relay/duties.rs
@@ -200,7 +200,7 @@
             None => (0, None),
         };
         let last = last_report(state, record);
-        let mut orders = Orders::new(state.demand.borrow().first());
+        let mut orders = Orders::new(state.demand.borrow().first_request());
         let saved = saved.and_then(|item| checkpoint::read(&item.value));
         if let Some(saved) = &saved {
             checkpoint::restore_usage(state, saved);
--- a/daemon/src/relay/peers.rs
+++ b/daemon/src/relay/peers.rs
@@ -183,7 +183,7 @@
         number,
         counts: counts.iter().map(count).collect(),
     });
-    let demand = state.demand.borrow().tell(now);
+    let demand = state.demand.borrow().local_rates(now);
     let services = demand
         .into_iter()
         .map(|(service, work)| digest::ServiceWork {
@@ -467,7 +467,7 @@
         };
         (row.service, work)
     });
-    state.demand.borrow_mut().hear(&name, work.collect(), now);
+    state.demand.borrow_mut().merge(&name, work.collect(), now);
     for told in digest.moves {
         let heard = hear_move(told);
         if state.rollouts.borrow_mut().hear(&name, &heard) {
--- a/daemon/src/relay/serve.rs
+++ b/daemon/src/relay/serve.rs
@@ -123,7 +123,7 @@
     if let Some(prompt) = &ask.prompt {
         let work = demand::work(prompt);
         let mut demand = state.demand.borrow_mut();
-        demand.ask(&service.name, work, Std::now());
+        demand.record(&service.name, work, Std::now());
     }
     let job = Job {
         request,
--- a/lib/src/relay/demand.rs
+++ b/lib/src/relay/demand.rs
@@ -1,9 +1,9 @@
-//! How much work is asked of each service, over all daemons.
+//! How much work callers request of each service, over all daemons.
 //!
-//! Orders of endpoints must follow what callers ask for, not what gets through: a
-//! fleet that is too small refuses, and would look sufficient by its own load. So
-//! each daemon counts the work of all requests that a team may make, served or
-//! refused, and tells its rate.
+//! The number of endpoints to order must follow from what callers request, not from what is
+//! served: a fleet that is too small rejects requests, and by its own load would look large
+//! enough. So each daemon counts the work of all requests that a team may make, served or
+//! rejected, and reports its rate.
 
 use std::time::{Duration, Instant};
 
@@ -12,86 +12,93 @@
 use super::ask::Prompt;
 use super::quota::name_hash;
 
-/// Span over which rates are taken; traffic swings over tens of seconds, and an
-/// endpoint takes a few to start.
-const SPAN: Duration = Duration::from_secs(4);
-/// How long another daemon's word counts. A partition's other side goes on asking.
-const CURRENT: Duration = Duration::from_secs(6);
-/// Share of a prompt's shared beginning that has to be read all the same, as it is
-/// not at the endpoint that is chosen; measured at a quarter to a half.
-const SHARED_READ: f64 = 0.4;
+/// Span over which rates are computed. Traffic varies over tens of seconds, and an endpoint
+/// takes a few seconds to start.
+const RATE_SPAN: Duration = Duration::from_secs(4);
+/// How long a peer's last report counts. Callers on the other side of a partition go on
+/// sending requests.
+const REPORT_TTL: Duration = Duration::from_secs(6);
+/// Share of a prompt's shared prefix that has to be prefilled all the same, as it is not
+/// cached at the chosen endpoint; a quarter to a half in practice.
+const PREFIX_MISS_SHARE: f64 = 0.4;
 
-/// Work a second.
+/// Work that requests bring: of one request, or a second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Work {
-    /// Prompt tokens to be read.
+    /// Prompt tokens to prefill.
     pub read: f64,
-    /// Tokens to be written.
+    /// Output tokens to generate.
     pub write: f64,
 }
 
+/// Work of one request at this daemon.
 #[derive(Clone, Debug)]
-struct Asked {
+struct Request {
+    /// Hash of the service's name.
     service: u32,
     at: Instant,
     work: Work,
 }
 
+/// Last report of another daemon.
 #[derive(Clone, Debug)]
-struct Told {
+struct PeerRates {
     name: CompactString,
-    heard: Instant,
+    received: Instant,
+    /// Work a second by hash of the service's name.
     services: Vec<(u32, Work)>,
 }
 
-/// What is asked here and at the other daemons.
+/// Work requested at this daemon and its peers.
 #[derive(Clone, Debug, Default)]
 pub struct Demand {
-    asked: Vec<Asked>,
-    told: Vec<Told>,
-    /// When anything was first asked for, here or elsewhere.
+    requests: Vec<Request>,
+    /// Sorted by name.
+    peers: Vec<PeerRates>,
+    /// Time of the first request, here or elsewhere.
     first: Option<Instant>,
 }
 
-/// Work that a prompt brings.
+/// Expected work of a prompt.
 pub fn work(prompt: &Prompt) -> Work {
     let last = prompt.parts.last().map_or(0, |(_, tokens)| *tokens);
     let shared = f64::from(prompt.input.saturating_sub(last));
     let output = prompt.guess.unwrap_or(prompt.output).min(prompt.output);
     Work {
-        read: f64::from(prompt.input) - shared * (1.0 - SHARED_READ),
+        read: f64::from(prompt.input) - shared * (1.0 - PREFIX_MISS_SHARE),
         write: f64::from(output),
     }
 }
 
 impl Demand {
     /// Counts a request.
-    pub fn ask(&mut self, service: &str, work: Work, now: Instant) {
+    pub fn record(&mut self, service: &str, work: Work, now: Instant) {
         self.first.get_or_insert(now);
-        self.asked.push(Asked {
+        self.requests.push(Request {
             service: name_hash(service),
             at: now,
             work,
         });
     }
 
-    /// When anything was first asked for, as far as this daemon knows.
-    pub fn first(&self) -> Option<Instant> {
+    /// Time of the first request that this daemon knows of.
+    pub fn first_request(&self) -> Option<Instant> {
         self.first
     }
 
-    /// Forgets what is out of the span.
+    /// Drops requests that have left the rate span, and outdated reports.
     pub fn expire(&mut self, now: Instant) {
-        self.asked.retain(|row| now.duration_since(row.at) <= SPAN);
-        self.told
-            .retain(|told| now.duration_since(told.heard) <= CURRENT);
+        self.requests
+            .retain(|row| now.duration_since(row.at) <= RATE_SPAN);
+        self.peers
+            .retain(|peer| now.duration_since(peer.received) <= REPORT_TTL);
     }
 
-    /// This daemon's rates, sorted by hash of the service's name.
-    pub fn tell(&self, now: Instant) -> Vec<(u32, Work)> {
+    /// Work a second at this daemon, sorted by hash of the service's name.
+    pub fn local_rates(&self, now: Instant) -> Vec<(u32, Work)> {
         let mut rates: Vec<(u32, Work)> = Vec::new();
-        for row in &self.asked {
-            if now.duration_since(row.at) > SPAN {
+        for row in &self.requests {
+            if now.duration_since(row.at) > RATE_SPAN {
                 continue;
             }
             let at = rates
@@ -100,35 +107,35 @@
                     rates.insert(at, (row.service, Work::default()));
                     at
                 });
-            rates[at].1.read += row.work.read / SPAN.as_secs_f64();
-            rates[at].1.write += row.work.write / SPAN.as_secs_f64();
+            rates[at].1.read += row.work.read / RATE_SPAN.as_secs_f64();
+            rates[at].1.write += row.work.write / RATE_SPAN.as_secs_f64();
         }
         rates
     }
 
-    /// Takes in another daemon's rates.
-    pub fn hear(&mut self, name: &CompactString, services: Vec<(u32, Work)>, now: Instant) {
+    /// Replaces the rates that another daemon reported.
+    pub fn merge(&mut self, name: &CompactString, services: Vec<(u32, Work)>, now: Instant) {
         if !services.is_empty() {
             self.first.get_or_insert(now);
         }
-        let told = Told {
+        let peer = PeerRates {
             name: name.clone(),
-            heard: now,
+            received: now,
             services,
         };
-        match self.told.binary_search_by(|row| row.name.cmp(name)) {
-            Ok(at) => self.told[at] = told,
-            Err(at) => self.told.insert(at, told),
+        match self.peers.binary_search_by(|row| row.name.cmp(name)) {
+            Ok(at) => self.peers[at] = peer,
+            Err(at) => self.peers.insert(at, peer),
         }
     }
 
-    /// Work a second that is asked of a service in all.
+    /// Work a second requested of a service at all daemons.
     pub fn total(&self, service: &str, now: Instant) -> Work {
         let service = name_hash(service);
-        let mine = self.tell(now);
-        let others = self.told.iter().flat_map(|told| &told.services);
+        let local = self.local_rates(now);
+        let peers = self.peers.iter().flat_map(|peer| &peer.services);
         let mut total = Work::default();
-        for (_, work) in mine.iter().chain(others).filter(|row| row.0 == service) {
+        for (_, work) in local.iter().chain(peers).filter(|row| row.0 == service) {
             total.read += work.read;
             total.write += work.write;
         }
