--- a/daemon/src/relay/peers.rs
+++ b/daemon/src/relay/peers.rs
@@ -12,7 +12,7 @@
 use poplarvale_lib::relay::demand::Work;
 use poplarvale_lib::relay::digest::{Peer, Place, Turn, Turns};
 use poplarvale_lib::relay::limit::{Said, Sharers};
-use poplarvale_lib::relay::quota::{Told, Use, ZoneSummary, ZoneUse};
+use poplarvale_lib::relay::quota::{PeerReport, TeamRates, TeamUse, ZoneSummary};
 use poplarvale_lib::relay::rollout::evidence::{Key, Side, Sides};
 use poplarvale_lib::relay::rollout::{Order, Outcome, Word};
 use poplarvale_lib::relay::usage::{Report, Usage, WindowId};
@@ -113,16 +113,16 @@
 fn tell_zone(state: &State, socket: &UdpSocket, now: Instant) {
     let peers = state.peers.borrow();
     let place = peers.place();
-    let summary = state.quota.borrow().tell_zone(place.zone, now);
-    let teams = summary.uses.into_iter().map(|row| digest::TeamUse {
+    let summary = state.quota.borrow().zone_summary(place.zone, now);
+    let teams = summary.teams.into_iter().map(|row| digest::TeamUse {
         team: row.team,
         rate: row.rate as u32,
-        asked: row.asked as u32,
+        asked: row.demand as u32,
         ..digest::TeamUse::default()
     });
     let endpoints = state.board.borrow().tell_zone(place.zone);
     let zone_use = digest::ZoneUse {
-        silent: summary.silent,
+        silent: summary.unresponsive,
         teams: teams.collect(),
         endpoints: endpoints.into_iter().map(tell_use).collect(),
     };
@@ -165,12 +165,12 @@
 
 fn digest(state: &State, sequence: u64, whole: bool, left: &[u32], now: Instant) -> Digest {
     let quota = state.quota.borrow();
-    let teams = quota.tell(now).into_iter().map(|row| digest::TeamUse {
+    let teams = quota.team_uses(now).into_iter().map(|row| digest::TeamUse {
         team: row.team,
         units: row.units as u32,
         rate: row.rate as u32,
         total: row.total,
-        asked: row.asked as u32,
+        asked: row.demand as u32,
     });
     let board = state.board.borrow();
     let busy = board.rows().iter().filter(|row| !row.flights.is_empty());
@@ -370,21 +370,21 @@
     silent: Duration,
     now: Instant,
 ) {
-    let row = |row: &digest::TeamUse| ZoneUse {
+    let row = |row: &digest::TeamUse| TeamRates {
         team: row.team,
         rate: f64::from(row.rate),
-        asked: f64::from(row.asked),
+        demand: f64::from(row.asked),
     };
-    let mut uses: Vec<ZoneUse> = told.teams.iter().map(row).collect();
+    let mut uses: Vec<TeamRates> = told.teams.iter().map(row).collect();
     uses.sort_by_key(|row| row.team);
     let summary = ZoneSummary {
-        silent: told.silent,
-        uses,
+        unresponsive: told.silent,
+        teams: uses,
     };
     state
         .quota
         .borrow_mut()
-        .hear_zone(zone, summary, silent, now);
+        .merge_zone(zone, summary, silent, now);
     let uses = told.endpoints.iter().map(hear_use).collect();
     let mut board = state.board.borrow_mut();
     board.hear(Teller::Zone(zone), uses, now);
@@ -489,25 +489,25 @@
         let counts = window.counts.into_iter().map(row).collect();
         usage.merge(window.number, (name.clone(), digest.incarnation), counts);
     }
-    let row = |row: &digest::TeamUse| Use {
+    let row = |row: &digest::TeamUse| TeamUse {
         team: row.team,
         units: f64::from(row.units),
         total: row.total,
         rate: f64::from(row.rate),
-        asked: f64::from(row.asked),
+        demand: f64::from(row.asked),
     };
-    let mut uses: Vec<Use> = digest.teams.iter().map(row).collect();
+    let mut uses: Vec<TeamUse> = digest.teams.iter().map(row).collect();
     uses.sort_by_key(|row| row.team);
-    let told = Told {
+    let told = PeerReport {
         name,
         zone: digest.zone,
         incarnation: digest.incarnation,
-        heard: now,
+        received: now,
         started: now
             .checked_sub(Duration::from_millis(digest.uptime_ms))
             .unwrap_or(now),
         uses,
     };
     let silent = state.peers.borrow().silent(told.zone);
-    state.quota.borrow_mut().hear(&told, silent);
+    state.quota.borrow_mut().merge_report(&told, silent);
 }
--- a/daemon/src/relay/serve.rs
+++ b/daemon/src/relay/serve.rs
@@ -115,7 +115,7 @@
         return refuse(state, write, ask, refused, keep).await;
     }
     let cost = team.map_or(0.0, |team| quota::units(team, ask));
-    let allowed = team.map(|team| state.quota.borrow_mut().take(team, cost, Std::now()));
+    let allowed = team.map(|team| state.quota.borrow_mut().admit(team, cost, Std::now()));
     if let Some(Err(again)) = allowed {
         let refused = Refusal::later(Code::TokenRate, again);
         return refuse(state, write, ask, refused, keep).await;
--- a/lib/src/relay/quota/steps.rs
+++ b/lib/src/relay/quota/steps.rs
@@ -1,18 +1,19 @@
-//! Units by the step of time in which they were let in.
+//! Counts of units in time steps of fixed length.
 
-/// Number of a step of time; those before the daemon's start are negative.
+/// Number of a time step; steps before the daemon's start are negative.
 pub(super) type StepId = i64;
 
-/// Units by the step in which they were let in, sorted.
+/// Units by time step, sorted by step.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Steps(Vec<(StepId, f64)>);
 
 impl Steps {
-    /// The newest step's units, to be changed.
+    /// Units of the newest step.
     pub(super) fn last_mut(&mut self) -> Option<&mut f64> {
         self.0.last_mut().map(|row| &mut row.1)
     }
 
+    /// Adds units to a step.
     pub(super) fn add(&mut self, step: StepId, units: f64) {
         match self.0.binary_search_by_key(&step, |row| row.0) {
             Ok(at) => self.0[at].1 += units,
@@ -20,7 +21,7 @@
         }
     }
 
-    /// Adds units in even parts to the steps from `first` to `last`.
+    /// Adds units, evenly divided among the steps from `first` to `last`.
     pub(super) fn spread(&mut self, first: StepId, last: StepId, units: f64) {
         let first = first.min(last);
         let part = units / (last - first + 1) as f64;
@@ -29,7 +30,7 @@
         }
     }
 
-    /// The steps from `first` on.
+    /// Steps from `first` on with their units.
     pub(super) fn since(&self, first: StepId) -> &[(StepId, f64)] {
         let from = self.0.partition_point(|row| row.0 < first);
         &self.0[from..]
@@ -39,7 +40,7 @@
         self.since(first).iter().map(|row| row.1).sum()
     }
 
-    pub(super) fn forget_before(&mut self, first: StepId) {
+    pub(super) fn drop_before(&mut self, first: StepId) {
         let from = self.0.partition_point(|row| row.0 < first);
         self.0.drain(..from);
     }
--- a/lib/src/relay/quota/zones.rs
+++ b/lib/src/relay/quota/zones.rs
@@ -1,48 +1,50 @@
-//! What is known of other zones as a whole, by their watchers' summaries.
+//! Summed rates of other zones, as their watchers report them.
 
 use std::time::{Duration, Instant};
 
 use crate::ZoneHash;
 
-/// What a team does at all daemons of one zone together.
+/// Rates of a team, summed over all daemons of one zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ZoneUse {
+pub struct TeamRates {
     /// Hash of the team's name.
     pub team: u32,
-    /// Units a second, lately.
+    /// Units a second admitted lately.
     pub rate: f64,
-    /// Units a second that callers asked for, let in or not.
-    pub asked: f64,
+    /// Units a second that callers request, admitted or not.
+    pub demand: f64,
 }
 
-/// What the daemons of a zone do together, as one of its watchers tells.
+/// Rates of all teams in a zone, as one of its watchers reports them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ZoneSummary {
-    /// Daemons of the zone that the watcher does not hear any more.
-    pub silent: u32,
+    /// Number of the zone's daemons that are unresponsive to the watcher.
+    pub unresponsive: u32,
     /// Sorted by team.
-    pub uses: Vec<ZoneUse>,
+    pub teams: Vec<TeamRates>,
 }
 
-/// What is known of another zone as a whole.
+/// Last summary of another zone.
 #[derive(Clone, Debug)]
 pub(super) struct Zone {
     pub(super) id: ZoneHash,
-    pub(super) heard: Instant,
-    /// After how long without a word the zone counts as silent.
-    pub(super) silent: Duration,
+    /// When the summary was received.
+    pub(super) received: Instant,
+    /// Time without a summary after which the zone counts as unresponsive.
+    pub(super) report_timeout: Duration,
     pub(super) summary: ZoneSummary,
 }
 
 impl ZoneSummary {
-    pub(super) fn of(&self, team: u32) -> Option<&ZoneUse> {
-        let at = self.uses.binary_search_by_key(&team, |row| row.team);
-        at.ok().map(|at| &self.uses[at])
+    /// Rates of a team, if the summary has them.
+    pub(super) fn of(&self, team: u32) -> Option<&TeamRates> {
+        let at = self.teams.binary_search_by_key(&team, |row| row.team);
+        at.ok().map(|at| &self.teams[at])
     }
 }
 
 impl Zone {
-    pub(super) fn is_silent(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.heard) > self.silent
+    pub(super) fn is_unresponsive(&self, now: Instant) -> bool {
+        now.saturating_duration_since(self.received) > self.report_timeout
     }
 }
--- a/lib/tests/test_relay_shared.rs
+++ b/lib/tests/test_relay_shared.rs
@@ -1,4 +1,5 @@
-//! What daemons keep together: allowances, retries, usage, time and the lease.
+//! State that daemons share: allowances, retry budgets, usage counts, the clock and the duty
+//! lease.
 
 use std::time::{Duration, Instant};
 
@@ -6,13 +7,14 @@
 use poplarvale_lib::relay::catalog::{Team, Unit};
 use poplarvale_lib::relay::clock::Clock;
 use poplarvale_lib::relay::duty::Held;
-use poplarvale_lib::relay::quota::{Quota, Told, Tolerance, Use, name_hash};
+use poplarvale_lib::relay::quota::{PeerReport, Quota, TeamUse, Tolerance, name_hash};
 use poplarvale_lib::relay::usage::Usage;
 use proptest::prelude::*;
 
 const WINDOW: Duration = Duration::from_secs(8);
-const SILENT: Duration = Duration::from_secs(1);
-const NONE: Tolerance = Tolerance {
+/// Time without a report after which a peer counts as unresponsive.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
+const NO_TOLERANCE: Tolerance = Tolerance {
     share: 0.0,
     units: 0.0,
 };
@@ -27,31 +29,31 @@
     }
 }
 
-/// What a daemon tells of the team that all these tests have.
-fn told(name: &str, heard: Instant, uses: Vec<Use>) -> Told {
-    Told {
+/// Report of a daemon that started three windows before.
+fn report(name: &str, received: Instant, uses: Vec<TeamUse>) -> PeerReport {
+    PeerReport {
         name: name.into(),
         zone: 0,
         incarnation: 1,
-        heard,
-        started: heard.checked_sub(WINDOW * 3).unwrap_or(heard),
+        received,
+        started: received.checked_sub(WINDOW * 3).unwrap_or(received),
         uses,
     }
 }
 
-/// A use of the team that is even over the last window.
-fn usual(units: f64, total: u32) -> Use {
-    Use {
+/// Use of the team, evenly spread over the last window.
+fn even_use(units: f64, total: u32) -> TeamUse {
+    TeamUse {
         team: name_hash("club"),
         units,
         total,
         rate: units / WINDOW.as_secs_f64(),
-        asked: units / WINDOW.as_secs_f64(),
+        demand: units / WINDOW.as_secs_f64(),
     }
 }
 
-/// Lets in all that is let in of a flood, in steps of 20 ms; gives the times and
-/// units of what came through.
+/// Sends a request every 20 ms for a `span`; returns the times and units of the admitted
+/// ones.
 fn flood(
     quota: &mut Quota,
     team: &Team,
@@ -59,34 +61,35 @@
     span: Duration,
     units: f64,
 ) -> Vec<(Instant, f64)> {
-    let mut through = Vec::new();
+    let mut admitted = Vec::new();
     let mut now = from;
     while now < from + span {
-        if quota.take(team, units, now).is_ok() {
-            through.push((now, units));
+        if quota.admit(team, units, now).is_ok() {
+            admitted.push((now, units));
         }
         now += Duration::from_millis(20);
     }
-    through
+    admitted
 }
 
-fn most_in_a_window(through: &[(Instant, f64)]) -> f64 {
+/// Most units that were admitted in any window.
+fn most_in_a_window(admitted: &[(Instant, f64)]) -> f64 {
     let from = |start: &(Instant, f64)| {
-        let within = through
+        let within = admitted
             .iter()
             .filter(|row| row.0 >= start.0 && row.0 < start.0 + WINDOW);
         within.map(|row| row.1).sum::<f64>()
     };
-    through.iter().map(from).fold(0.0, f64::max)
+    admitted.iter().map(from).fold(0.0, f64::max)
 }
 
-/// The same for many rows, which are in the order of time.
-fn most_in_steps(through: &[(Instant, f64)]) -> f64 {
+/// The same for many rows, which have to be sorted by time.
+fn most_in_a_window_sorted(admitted: &[(Instant, f64)]) -> f64 {
     let (mut first, mut sum, mut most) = (0, 0.0, 0.0_f64);
-    for (at, units) in through {
+    for (at, units) in admitted {
         sum += units;
-        while through[first].0 + WINDOW <= *at {
-            sum -= through[first].1;
+        while admitted[first].0 + WINDOW <= *at {
+            sum -= admitted[first].1;
             first += 1;
         }
         most = most.max(sum);
@@ -94,39 +97,39 @@
     most
 }
 
-/// One team sends many times its allowance. Windows slide, so any eight seconds
-/// count; forgetting what was let in too early lets more through than was bought.
+/// One team sends many times its allowance. Windows slide, so the bound holds for any eight
+/// seconds; dropping admitted units too early admits more than was bought.
 #[test]
 fn a_flood_stays_within_the_allowance_in_every_window() {
     let start = Instant::now();
     let team = team(1000.0);
-    let mut quota = Quota::new(WINDOW, NONE, start);
-    let through = flood(&mut quota, &team, start + WINDOW, WINDOW * 3, 100.0);
-    assert!(most_in_a_window(&through) <= 9.0 * 1000.0);
-    assert!(most_in_a_window(&through) >= 0.9 * 9.0 * 1000.0);
+    let mut quota = Quota::new(WINDOW, NO_TOLERANCE, start);
+    let admitted = flood(&mut quota, &team, start + WINDOW, WINDOW * 3, 100.0);
+    assert!(most_in_a_window(&admitted) <= 9.0 * 1000.0);
+    assert!(most_in_a_window(&admitted) >= 0.9 * 9.0 * 1000.0);
 }
 
-/// All clients of a team happen to sit on one daemon. It may use the whole
-/// allowance, as the others tell that they use none.
+/// All clients of a team happen to use one daemon. It may grant the whole allowance, as its
+/// peers report that they use none.
 #[test]
 fn a_team_on_one_daemon_has_its_whole_allowance() {
     let start = Instant::now();
     let team = team(1000.0);
-    let mut quota = Quota::new(WINDOW, NONE, start);
-    let mut let_in = 0.0;
+    let mut quota = Quota::new(WINDOW, NO_TOLERANCE, start);
+    let mut admitted = 0.0;
     for round in 0..WINDOW.as_millis() as u32 / 100 {
         let now = start + WINDOW + Duration::from_millis(100) * round;
         for name in ["b", "c", "d"] {
-            quota.hear(&told(name, now, Vec::new()), SILENT);
+            quota.merge_report(&report(name, now, Vec::new()), REPORT_TIMEOUT);
         }
         let step = flood(&mut quota, &team, now, Duration::from_millis(100), 50.0);
-        let_in += step.iter().map(|row| row.1).sum::<f64>();
+        admitted += step.iter().map(|row| row.1).sum::<f64>();
     }
-    assert!(let_in >= 0.9 * 9.0 * 1000.0, "{let_in}");
+    assert!(admitted >= 0.9 * 9.0 * 1000.0, "{admitted}");
 }
 
-/// A partition cuts the daemons into halves, and the team floods both. Each half
-/// must leave the other its part, or the team gets its allowance twice.
+/// A partition splits the daemons into halves, and the team floods both. Each half must
+/// leave the other its share, or the team gets its allowance twice.
 #[test]
 fn the_halves_of_a_partition_stay_near_the_allowance_together() {
     let start = Instant::now();
@@ -135,57 +138,65 @@
     let names = ["a", "b", "c", "d"];
     let mut quotas: Vec<Quota> = names
         .iter()
-        .map(|_| Quota::new(WINDOW, NONE, start))
+        .map(|_| Quota::new(WINDOW, NO_TOLERANCE, start))
         .collect();
     for (at, quota) in quotas.iter_mut().enumerate() {
         for (other, name) in names.iter().enumerate() {
             if other != at {
-                quota.hear(&told(name, cut, vec![usual(1000.0, 1000)]), SILENT);
+                quota.merge_report(
+                    &report(name, cut, vec![even_use(1000.0, 1000)]),
+                    REPORT_TIMEOUT,
+                );
             }
         }
     }
-    let mut through = Vec::new();
-    let mut now = cut + SILENT * 2;
-    while now < cut + SILENT * 2 + WINDOW {
+    let mut admitted = Vec::new();
+    let mut now = cut + REPORT_TIMEOUT * 2;
+    while now < cut + REPORT_TIMEOUT * 2 + WINDOW {
         for at in 0..4 {
-            if quotas[at].take(&team, 50.0, now).is_ok() {
-                through.push((now, 50.0));
+            if quotas[at].admit(&team, 50.0, now).is_ok() {
+                admitted.push((now, 50.0));
             }
-            let mate = at ^ 1;
-            let uses = quotas[at].tell(now);
-            quotas[mate].hear(&told(names[at], now, uses), SILENT);
+            let peer = at ^ 1;
+            let uses = quotas[at].team_uses(now);
+            quotas[peer].merge_report(&report(names[at], now, uses), REPORT_TIMEOUT);
         }
         now += Duration::from_millis(20);
     }
-    assert!(most_in_a_window(&through) <= 1.35 * 9.0 * 1000.0);
+    assert!(most_in_a_window(&admitted) <= 1.35 * 9.0 * 1000.0);
 }
 
-/// A third of the hosts are cut off, each by itself, and a team floods all of them.
-/// Each of those must keep to an even part: a quarter of the allowance at each of
-/// many lone daemons would be many times the allowance.
+/// A third of the hosts are isolated, each from all others, and a team floods all of them.
+/// Each of them must keep to an even share: a quarter of the allowance at each of many
+/// isolated daemons would be many times the allowance.
 #[test]
-fn lone_daemons_keep_to_an_even_part() {
+fn isolated_daemons_keep_to_an_even_share() {
     let start = Instant::now();
     let cut = start + WINDOW;
     let team = team(8000.0);
-    let mut lone = Quota::new(WINDOW, NONE, start);
+    let mut isolated = Quota::new(WINDOW, NO_TOLERANCE, start);
     for other in 1..24 {
         let name = format!("d{other:02}");
-        lone.hear(&told(&name, cut, Vec::new()), SILENT);
+        isolated.merge_report(&report(&name, cut, Vec::new()), REPORT_TIMEOUT);
     }
-    let through = flood(&mut lone, &team, cut + SILENT * 2, WINDOW, 100.0);
+    let admitted = flood(
+        &mut isolated,
+        &team,
+        cut + REPORT_TIMEOUT * 2,
+        WINDOW,
+        100.0,
+    );
     let even = 9.0 * 8000.0 / 24.0;
     assert!(
-        most_in_a_window(&through) <= even,
+        most_in_a_window(&admitted) <= even,
         "{}",
-        most_in_a_window(&through)
+        most_in_a_window(&admitted)
     );
-    assert!(most_in_a_window(&through) >= even * 0.3);
+    assert!(most_in_a_window(&admitted) >= even * 0.3);
 }
 
-/// A team floods many daemons at once, which tell one another every 0.6 s only.
-/// What all of them let in between two words must stay within what the window
-/// allows on top.
+/// A team floods many daemons at once, which exchange digests only every 0.6 s. What all
+/// of them admit between two digests must stay within the bound of the window.
 #[test]
 fn a_flood_over_many_daemons_stays_within_the_allowance() {
     const DAEMONS: usize = 24;
@@ -193,18 +204,18 @@
     let start = Instant::now();
     let team = team(24_000.0);
     let mut quotas: Vec<Quota> = (0..DAEMONS)
-        .map(|_| Quota::new(WINDOW, NONE, start))
+        .map(|_| Quota::new(WINDOW, NO_TOLERANCE, start))
         .collect();
     let step = Duration::from_millis(25);
-    let mut through = Vec::new();
+    let mut admitted = Vec::new();
     for round in 0..1000_usize {
         let now = start + step * round as u32;
         for from in 0..DAEMONS {
             if round % DAEMONS == from {
-                let uses = quotas[from].tell(now);
+                let uses = quotas[from].team_uses(now);
                 let name = format!("d{from:02}");
                 for to in (0..DAEMONS).filter(|to| *to != from) {
-                    quotas[to].hear(&told(&name, now, uses.clone()), period * 4);
+                    quotas[to].merge_report(&report(&name, now, uses.clone()), period * 4);
                 }
             }
             // Nine seconds of ordinary traffic, then a flood of five times the rate.
@@ -213,23 +224,23 @@
             } else {
                 125.0
             };
-            if quotas[from].take(&team, units, now).is_ok() {
-                through.push((now, units));
+            if quotas[from].admit(&team, units, now).is_ok() {
+                admitted.push((now, units));
             }
         }
     }
-    let most = most_in_a_window(&through) / (9.0 * 24_000.0);
+    let most = most_in_a_window(&admitted) / (9.0 * 24_000.0);
     assert!(most <= 1.05, "{most} of the allowance");
     assert!(most >= 0.85, "{most} of the allowance");
 }
 
-/// A team begins to flood all of many daemons, and half a second later a third of
-/// them is cut off, each by itself. Neither those nor the rest know what the others
-/// let in from then on, and together they must stay near the allowance.
+/// A team starts to flood all daemons of a large fleet, and half a second later a third of
+/// them is isolated, each from all others. Neither those nor the rest know what the others
+/// admit from then on, and together they must stay near the allowance.
 #[test]
-fn a_flood_during_a_cut_stays_near_the_allowance() {
+fn a_flood_during_a_partition_stays_near_the_allowance() {
     const DAEMONS: usize = 78;
-    const CUT: usize = 27;
+    const ISOLATED: usize = 27;
     let period = Duration::from_millis(620);
     let start = Instant::now();
     let flood = start + Duration::from_secs(14);
@@ -237,37 +248,37 @@
     let healed = cut + Duration::from_secs(12);
     let team = team(78_000.0);
     let mut quotas: Vec<Quota> = (0..DAEMONS)
-        .map(|_| Quota::new(WINDOW, NONE, start))
+        .map(|_| Quota::new(WINDOW, NO_TOLERANCE, start))
         .collect();
     let step = period / DAEMONS as u32;
     let names: Vec<String> = (0..DAEMONS).map(|at| format!("d{at:02}")).collect();
-    let mut through = Vec::new();
+    let mut admitted = Vec::new();
     for round in 0..4000_usize {
         let now = start + step * round as u32;
-        let is_cut = |at: usize| at < CUT && now >= cut && now < healed;
+        let is_isolated = |at: usize| at < ISOLATED && now >= cut && now < healed;
         let from = round % DAEMONS;
-        if !is_cut(from) {
-            let uses = quotas[from].tell(now);
-            for to in (0..DAEMONS).filter(|to| *to != from && !is_cut(*to)) {
-                quotas[to].hear(&told(&names[from], now, uses.clone()), period * 4);
+        if !is_isolated(from) {
+            let uses = quotas[from].team_uses(now);
+            for to in (0..DAEMONS).filter(|to| *to != from && !is_isolated(*to)) {
+                quotas[to].merge_report(&report(&names[from], now, uses.clone()), period * 4);
             }
         }
         for (at, quota) in quotas.iter_mut().enumerate() {
             // Ordinary traffic is 0.55 of the rate, the flood six times that.
             let every = if now < flood { 302 } else { 50 };
-            if (round + at * 37) % every == 0 && quota.take(&team, 1300.0, now).is_ok() {
-                through.push((now, 1300.0));
+            if (round + at * 37) % every == 0 && quota.admit(&team, 1300.0, now).is_ok() {
+                admitted.push((now, 1300.0));
             }
         }
     }
-    let most = most_in_steps(&through) / (9.0 * 78_000.0);
+    let most = most_in_a_window_sorted(&admitted) / (9.0 * 78_000.0);
     assert!(most <= 1.05, "{most} of the allowance");
     assert!(most >= 0.8, "{most} of the allowance");
-    // The flood comes through evenly, not in bursts with nothing between them.
+    // The flood is admitted evenly, not in bursts with nothing between them.
     let rate = |from: u32| {
         let from = flood + Duration::from_secs(u64::from(from));
         let within = |row: &&(Instant, f64)| row.0 >= from && row.0 < from + WINDOW / 4;
-        through.iter().filter(within).map(|row| row.1).sum::<f64>() / (2.0 * 78_000.0)
+        admitted.iter().filter(within).map(|row| row.1).sum::<f64>() / (2.0 * 78_000.0)
     };
     let rates: Vec<f64> = (3..11).map(rate).collect();
     assert!(
@@ -276,11 +287,11 @@
     );
 }
 
-/// A team well within its allowance sends prompts that are long beside a second of
-/// its rate, at random. By chance several come together; refusing those would hurt
+/// A team well within its allowance sends prompts at random that are long compared to a
+/// second of its rate. Several may come close together by chance; rejecting those would hurt
 /// callers who bought twice as much as they use.
 #[test]
-fn long_prompts_by_chance_are_let_in() {
+fn long_prompts_that_coincide_are_admitted() {
     const DAEMONS: usize = 7;
     let start = Instant::now();
     let team = team(100_000.0);
@@ -291,132 +302,137 @@
     let quota = || Quota::new(WINDOW, tolerance, start);
     let mut quotas: Vec<Quota> = (0..DAEMONS).map(|_| quota()).collect();
     let mut random = fastrand::Rng::with_seed(7);
-    let (mut through, mut refused) = (Vec::new(), 0);
+    let (mut admitted, mut rejected) = (Vec::new(), 0);
     for round in 0..40_000_u32 {
         let now = start + Duration::from_millis(2) * round;
         if round % 18 == 0 {
             let from = round as usize / 18 % DAEMONS;
-            let uses = quotas[from].tell(now);
+            let uses = quotas[from].team_uses(now);
             for to in (0..DAEMONS).filter(|to| *to != from) {
-                quotas[to].hear(&told(&format!("d{from}"), now, uses.clone()), SILENT);
+                quotas[to].merge_report(
+                    &report(&format!("d{from}"), now, uses.clone()),
+                    REPORT_TIMEOUT,
+                );
             }
         }
         // Five requests a second of 11,000 units in the mean.
         if random.f64() < 0.01 {
             let units = 2000.0 + 9000.0 * -random.f64().max(1e-3).ln();
-            match quotas[random.usize(..DAEMONS)].take(&team, units, now) {
-                Ok(()) => through.push((now, units)),
-                Err(_) if round > 1000 => refused += 1,
+            match quotas[random.usize(..DAEMONS)].admit(&team, units, now) {
+                Ok(()) => admitted.push((now, units)),
+                Err(_) if round > 1000 => rejected += 1,
                 Err(_) => {}
             }
         }
     }
-    let all = through.len() + refused;
-    assert!(refused * 100 < all, "{refused} of {all}");
-    assert!(most_in_steps(&through) <= 9.0 * 100_000.0 * 1.1 + 140_000.0);
+    let all = admitted.len() + rejected;
+    assert!(rejected * 100 < all, "{rejected} of {all}");
+    assert!(most_in_a_window_sorted(&admitted) <= 9.0 * 100_000.0 * 1.1 + 140_000.0);
 }
 
-/// A daemon starts anew while a team floods it. It does not know what it let in
-/// before and must not give the whole allowance out again at once.
+/// A daemon restarts while a team floods it. It does not know what it admitted before and
+/// must not grant the whole allowance again at once.
 #[test]
-fn a_daemon_that_just_started_does_not_give_the_whole_allowance_out() {
+fn a_daemon_that_just_started_does_not_grant_the_whole_allowance() {
     let start = Instant::now();
     let team = team(1000.0);
-    let mut quota = Quota::new(WINDOW, NONE, start);
-    let through = flood(&mut quota, &team, start, Duration::from_secs(1), 100.0);
-    let sum: f64 = through.iter().map(|row| row.1).sum();
+    let mut quota = Quota::new(WINDOW, NO_TOLERANCE, start);
+    let admitted = flood(&mut quota, &team, start, Duration::from_secs(1), 100.0);
+    let sum: f64 = admitted.iter().map(|row| row.1).sum();
     assert!(sum <= 2.0 * 1000.0);
 }
 
-/// All daemons are killed while a team floods them, and none knows afterwards what
-/// was let in before. Starting with the whole burst again gives the team more than
-/// it bought in the windows that reach across the kill.
+/// All daemons are killed while a team floods them, and none knows afterwards what was
+/// admitted before. Starting with the whole burst again would give the team more than it
+/// bought in the windows that span the kill.
 #[test]
 fn a_flood_across_a_restart_of_all_stays_within_the_allowance() {
     let start = Instant::now();
     let lasts = Duration::from_secs(5);
     let killed = start + WINDOW + lasts;
     let team = team(1000.0);
-    let mut before = Quota::new(WINDOW, NONE, start);
-    let mut through = flood(&mut before, &team, start + WINDOW, lasts, 50.0);
+    let mut before = Quota::new(WINDOW, NO_TOLERANCE, start);
+    let mut admitted = flood(&mut before, &team, start + WINDOW, lasts, 50.0);
     let restart = killed + Duration::from_secs(1);
-    let mut after = Quota::new(WINDOW, NONE, restart);
-    through.extend(flood(&mut after, &team, restart, WINDOW, 50.0));
-    let most = most_in_a_window(&through);
+    let mut after = Quota::new(WINDOW, NO_TOLERANCE, restart);
+    admitted.extend(flood(&mut after, &team, restart, WINDOW, 50.0));
+    let most = most_in_a_window(&admitted);
     assert!(most <= 9.0 * 1000.0, "{most}");
     assert!(most >= 0.8 * 9.0 * 1000.0, "{most}");
 }
 
-/// All daemons restart in the middle of a flood. Until they hear one another each
-/// would take itself to be the only one and give the whole rate out.
+/// All daemons restart in the middle of a flood. Until the first digests arrive, each would
+/// assume that it has no peers and grant the whole rate.
 #[test]
-fn daemons_that_restart_together_do_not_each_give_the_whole_rate_out() {
+fn daemons_that_restart_together_do_not_each_grant_the_whole_rate() {
     const DAEMONS: u32 = 40;
     let start = Instant::now();
     let team = team(4000.0);
     let mut sum = 0.0;
     for _ in 0..DAEMONS {
-        let mut quota = Quota::new(WINDOW, NONE, start);
-        let through = flood(&mut quota, &team, start, Duration::from_millis(500), 5.0);
-        sum += through.iter().map(|row| row.1).sum::<f64>();
+        let mut quota = Quota::new(WINDOW, NO_TOLERANCE, start);
+        let admitted = flood(&mut quota, &team, start, Duration::from_millis(500), 5.0);
+        sum += admitted.iter().map(|row| row.1).sum::<f64>();
     }
     assert!(sum <= 4000.0, "{sum}");
 }
 
-/// All daemons are killed in the middle of a calm day and restart a second later. A
-/// fleet that knows nothing of before turns callers away until their team's allowance
-/// has grown again; the checkpoint in the store tells that there is enough.
+/// All daemons are killed under ordinary load and restart a second later. Without history
+/// they reject callers until the team's bucket has filled again; the checkpoint in the store
+/// shows that enough is left.
 #[test]
 fn a_team_within_its_allowance_is_served_at_once_after_a_restart_of_all() {
     let start = Instant::now();
     let team = team(1000.0);
-    let mut before = Quota::new(WINDOW, NONE, start);
-    let usual = Duration::from_millis(100);
+    let mut before = Quota::new(WINDOW, NO_TOLERANCE, start);
+    let period = Duration::from_millis(100);
     for round in 0..200 {
         // Half of the allowance, in even steps.
-        let _ = before.take(&team, 50.0, start + usual * round);
+        let _ = before.admit(&team, 50.0, start + period * round);
     }
-    let killed = start + usual * 200;
+    let killed = start + period * 200;
     let saved = before.checkpoint(killed);
     let restart = killed + Duration::from_secs(1);
-    let refused = |mut quota: Quota| {
-        let asked = (0..20).map(|round| quota.take(&team, 25.0, restart + usual * round));
-        asked.filter(Result::is_err).count()
+    let rejections = |mut quota: Quota| {
+        let results = (0..20).map(|round| quota.admit(&team, 25.0, restart + period * round));
+        results.filter(Result::is_err).count()
     };
-    let plain = Quota::new(WINDOW, NONE, restart);
-    assert!(refused(plain) >= 10, "the plain one refuses for a second");
-    let mut restored = Quota::new(WINDOW, NONE, restart);
+    let empty = Quota::new(WINDOW, NO_TOLERANCE, restart);
+    assert!(
+        rejections(empty) >= 10,
+        "rejects for a second without a checkpoint"
+    );
+    let mut restored = Quota::new(WINDOW, NO_TOLERANCE, restart);
     restored.restore(saved, 2, restart);
-    assert_eq!(refused(restored), 0);
+    assert_eq!(rejections(restored), 0);
 }
 
-/// All daemons are killed while a team floods them. A checkpoint that gave the burst
-/// out again would let the team use more than it bought in the windows across the kill.
+/// All daemons are killed while a team floods them. If the restored daemons granted the burst
+/// again, the team could use more than it bought in the windows that span the kill.
 #[test]
 fn a_flood_across_a_restart_with_a_checkpoint_stays_within_the_allowance() {
-    // The last checkpoint is as old as it may become.
+    // The last checkpoint is as old as it can get.
     let late = Duration::from_millis(500);
     for known in [0, 500, 2500, 6500].map(Duration::from_millis) {
         let start = Instant::now();
         let begin = start + WINDOW;
         let team = team(1000.0);
-        let mut before = Quota::new(WINDOW, NONE, start);
-        let mut through = flood(&mut before, &team, begin, known, 50.0);
+        let mut before = Quota::new(WINDOW, NO_TOLERANCE, start);
+        let mut admitted = flood(&mut before, &team, begin, known, 50.0);
         let saved = before.checkpoint(begin + known);
-        through.extend(flood(&mut before, &team, begin + known, late, 50.0));
+        admitted.extend(flood(&mut before, &team, begin + known, late, 50.0));
         let killed = begin + known + late;
         let restart = killed + Duration::from_secs(1);
-        let mut after = Quota::new(WINDOW, NONE, restart);
+        let mut after = Quota::new(WINDOW, NO_TOLERANCE, restart);
         after.restore(saved, 1, restart);
-        through.extend(flood(&mut after, &team, restart, WINDOW, 50.0));
-        let most = most_in_a_window(&through);
+        admitted.extend(flood(&mut after, &team, restart, WINDOW, 50.0));
+        let most = most_in_a_window(&admitted);
         assert!(most <= 9.0 * 1000.0 * 1.1, "{most} after {known:?}");
     }
 }
 
-/// All daemons restart together and read the same checkpoint. Each knows the fleet's
-/// whole allowance; together they must not give it out once each before they hear one
-/// another.
+/// All daemons restart together and read the same checkpoint. Each knows the allowance of the
+/// whole fleet; they must not grant it once each before their first digests arrive.
 #[test]
 fn daemons_that_restore_together_share_what_is_left() {
     const DAEMONS: u32 = 40;
@@ -424,60 +440,60 @@
     let team = team(4000.0);
     let mut sum = 0.0;
     for _ in 0..DAEMONS {
-        let mut quota = Quota::new(WINDOW, NONE, start);
+        let mut quota = Quota::new(WINDOW, NO_TOLERANCE, start);
         quota.restore(Vec::new(), DAEMONS, start);
-        let through = flood(&mut quota, &team, start, Duration::from_millis(500), 5.0);
-        sum += through.iter().map(|row| row.1).sum::<f64>();
+        let admitted = flood(&mut quota, &team, start, Duration::from_millis(500), 5.0);
+        sum += admitted.iter().map(|row| row.1).sum::<f64>();
     }
-    // The burst, what the bucket is deeper by, and what half a second brings.
+    // The burst, the extra depth of the bucket, and what half a second brings.
     assert!(sum <= 4000.0 * 2.0, "{sum}");
 }
 
-/// The holder that reports usage is killed with all others. Its successor takes the
-/// counts from the checkpoint; those of daemons that live on and tell again must not
+/// The duty holder that reports usage is killed with other daemons. Its successor reads
+/// the counts from the checkpoint; those of daemons that survive and send them again must not
 /// count twice.
 #[test]
-fn restored_counts_and_told_ones_count_once() {
+fn restored_and_reported_counts_count_once() {
     let mut before = Usage::new("a".into(), 1);
     before.count(7, &"club".into());
     before.merge(7, ("b".into(), 4), vec![("club".into(), 3)]);
     let saved: Vec<_> = before
         .since(7)
-        .map(|(counter, window, counts)| (window, counter.clone(), counts.clone()))
+        .map(|(origin, window, counts)| (window, origin.clone(), counts.clone()))
         .collect();
     let mut after = Usage::new("a".into(), 2);
     after.merge(7, ("b".into(), 4), vec![("club".into(), 5)]);
-    for (window, counter, counts) in saved {
-        after.merge(window, counter, counts);
+    for (window, origin, counts) in saved {
+        after.merge(window, origin, counts);
     }
     after.count(7, &"club".into());
     assert_eq!(after.total(7), vec![("club".into(), 1 + 5 + 1)]);
 }
 
-/// One daemon is replaced while the others serve a team well within its allowance.
-/// Its callers are refused for seconds if the new daemon compares what all let in
-/// over a whole window with an allowance that begins at its own start.
+/// One daemon is replaced while its peers serve a team well within its allowance. Its
+/// callers are rejected for seconds if the new daemon compares what all daemons admitted in a
+/// whole window with an allowance that has accrued only since its own start.
 #[test]
 fn a_replaced_daemon_serves_a_team_within_its_allowance_at_once() {
     let start = Instant::now();
     let team = team(1000.0);
-    let mut quota = Quota::new(WINDOW, NONE, start);
-    let mut refused = 0;
+    let mut quota = Quota::new(WINDOW, NO_TOLERANCE, start);
+    let mut rejected = 0;
     for round in 0..40_u32 {
         let now = start + Duration::from_millis(100) * round;
         for name in ["b", "c", "d"] {
-            let uses = vec![usual(1467.0, 9000 + round * 18)];
-            quota.hear(&told(name, now, uses), SILENT);
+            let uses = vec![even_use(1467.0, 9000 + round * 18)];
+            quota.merge_report(&report(name, now, uses), REPORT_TIMEOUT);
         }
-        if now > start + Duration::from_millis(500) && quota.take(&team, 15.0, now).is_err() {
-            refused += 1;
+        if now > start + Duration::from_millis(500) && quota.admit(&team, 15.0, now).is_err() {
+            rejected += 1;
         }
     }
-    assert_eq!(refused, 0);
+    assert_eq!(rejected, 0);
 }
 
-/// Endpoints refuse everything. If each refused request were sent again and again,
-/// the overload would feed itself.
+/// Endpoints reject everything. If each rejected request were retried without end, the
+/// overload would sustain itself.
 #[test]
 fn retries_stay_a_fraction_of_the_requests() {
     let now = Instant::now();
@@ -494,10 +510,10 @@
     assert!((100..=200).contains(&retries), "{retries}");
 }
 
-/// Counts of a daemon that was killed stay as it last told them, and an old word
-/// that arrives late takes nothing back.
+/// Counts of a daemon that was killed stay as it last reported them, and an old digest that
+/// arrives late does not lower them.
 #[test]
-fn counts_of_others_only_grow() {
+fn counts_of_peers_only_grow() {
     let mut usage = Usage::new("a".into(), 1);
     usage.count(7, &"club".into());
     usage.merge(7, ("b".into(), 5), vec![("club".into(), 3)]);
@@ -507,8 +523,8 @@
     assert_eq!(usage.total(8), Vec::new());
 }
 
-/// The clocks of some hosts jump by seconds. Their daemons would count runs into
-/// the wrong window.
+/// The clocks of some hosts jump by seconds, and their daemons would count runs in the wrong
+/// window. The median of all clocks keeps them right.
 #[test]
 fn a_clock_that_jumps_is_outvoted() {
     let start = Instant::now();
@@ -522,35 +538,35 @@
     assert_eq!(clock.now(1_003_400, later), 1_001_000);
 }
 
-/// A daemon is paused right after it looked at its lease. When it goes on, another
-/// one holds the duty, and it must not act.
+/// A daemon is paused right after it checked its lease. When it resumes, another daemon
+/// holds the lease, and it must not act.
 #[test]
-fn a_holder_that_was_paused_does_not_act() {
+fn a_paused_lease_holder_does_not_act() {
     let now = Instant::now();
-    let life = Duration::from_secs(3);
-    let held = Held::new(1, 2, life, now);
+    let term = Duration::from_secs(3);
+    let held = Held::new(1, 2, term, now);
     assert!(held.may_act(now));
-    assert!(!held.may_act(now + life));
-    assert!(held.is_over(now + life));
-    assert!(!held.may_act(now + life * 2 / 3));
+    assert!(!held.may_act(now + term));
+    assert!(held.is_over(now + term));
+    assert!(!held.may_act(now + term * 2 / 3));
 }
 
 proptest! {
-    /// Whatever order of requests and pauses, no window has more than the allowance.
+    /// No window has more than the allowance, for any sequence of requests and pauses.
     #[test]
     fn no_window_has_more_than_the_allowance(steps in prop::collection::vec((0_u64..400, 1_u32..900), 1..300)) {
         let start = Instant::now();
         let team = team(1000.0);
-        let mut quota = Quota::new(WINDOW, NONE, start);
+        let mut quota = Quota::new(WINDOW, NO_TOLERANCE, start);
         let mut now = start;
-        let mut through = Vec::new();
+        let mut admitted = Vec::new();
         for (pause, units) in steps {
             now += Duration::from_millis(pause);
             quota.expire(now);
-            if quota.take(&team, f64::from(units), now).is_ok() {
-                through.push((now, f64::from(units)));
+            if quota.admit(&team, f64::from(units), now).is_ok() {
+                admitted.push((now, f64::from(units)));
             }
         }
-        prop_assert!(most_in_a_window(&through) <= 9.0 * 1000.0);
+        prop_assert!(most_in_a_window(&admitted) <= 9.0 * 1000.0);
     }
 }
