--- a/daemon/src/relay/attempt.rs
+++ b/daemon/src/relay/attempt.rs
@@ -7,15 +7,15 @@
 use bytes::Bytes;
 use poplarvale_lib::EndpointId;
 use poplarvale_lib::http1::{Request, Response};
-use poplarvale_lib::relay::ask::Ask;
-use poplarvale_lib::relay::board::{Endpoint, Standing};
 use poplarvale_lib::relay::catalog::{CatalogVersion, Route, Service, Team};
 use poplarvale_lib::relay::crash::SETTLED;
+use poplarvale_lib::relay::endpoint_table::{Endpoint, EndpointState};
 use poplarvale_lib::relay::limit::Said;
 use poplarvale_lib::relay::listing::Listing;
-use poplarvale_lib::relay::place::{self, Choice, Wanted};
+use poplarvale_lib::relay::request::RequestHead;
 use poplarvale_lib::relay::rollout::Versions;
 use poplarvale_lib::relay::rollout::evidence::Sample;
+use poplarvale_lib::relay::selection::{self, Choice, Criteria};
 use poplarvale_platform::{NamedLimit, Outbound, request_head};
 use tokio::net::tcp::WriteHalf;
 use tokio::time::{Instant, timeout_at};
@@ -40,7 +40,7 @@
 pub(crate) struct Job<'r> {
     pub(crate) request: &'r Request,
     pub(crate) body: &'r Bytes,
-    pub(crate) ask: &'r Ask,
+    pub(crate) head: &'r RequestHead,
     pub(crate) route: &'r Route,
     pub(crate) team: Option<&'r Team>,
     pub(crate) service: &'r Service,
@@ -82,8 +82,8 @@
 
 impl Drop for Booked {
     fn drop(&mut self) {
-        if let Some(row) = self.state.board.borrow_mut().get_mut(&self.endpoint) {
-            row.end(self.number);
+        if let Some(row) = self.state.endpoints.borrow_mut().get_mut(&self.endpoint) {
+            row.remove_request(self.number);
             row.evidence.nothing();
         }
     }
@@ -91,7 +91,7 @@
 
 impl Booked {
     fn note(&self, change: impl FnOnce(&mut Endpoint)) {
-        if let Some(row) = self.state.board.borrow_mut().get_mut(&self.endpoint) {
+        if let Some(row) = self.state.endpoints.borrow_mut().get_mut(&self.endpoint) {
             change(row);
         }
     }
@@ -115,7 +115,7 @@
     let bytes = head_and_body(job, choice, passed);
     let team = job.team.map(|team| &team.name);
     let sent_at = Std::now();
-    let sent = exchange(&mut wire, &bytes, &job.ask.id);
+    let sent = exchange(&mut wire, &bytes, &job.head.id);
     let answer = match patience.wait(true, sent).await {
         Some(Ok(answer)) => answer,
         Some(Err(Fault::NotSent)) => return Ended::NotSent,
@@ -130,10 +130,10 @@
     };
     note_limit(state, &endpoint, &answer, sent_at);
     if answer.said.not_run {
-        booked.note(|row| row.full = Some(Std::now() + FULL));
+        booked.note(|row| row.full_until = Some(Std::now() + FULL));
         state.measure(|metrics| metrics.sent("not run"));
         log::info!(
-            request = job.ask.id.as_str(), endpoint = choice.id.as_str(),
+            request = job.head.id.as_str(), endpoint = choice.id.as_str(),
             status = answer.head.status; "send: not run there."
         );
         finish(state, address, wire, &answer).await;
@@ -149,8 +149,8 @@
             if first.is_none() {
                 let now = Std::now();
                 first = Some(now);
-                let mut board = state.board.borrow_mut();
-                board.began(&choice.id, number, now);
+                let mut table = state.endpoints.borrow_mut();
+                table.record_first_event(&choice.id, number, now);
                 state.measure(|metrics| metrics.first(job.arrived.elapsed()));
                 state.count_run(team, now);
             }
@@ -159,8 +159,8 @@
             StreamEnd::Whole => {
                 let events = passed.events.count().saturating_sub(events + 1) as u32;
                 let tokens = events * job.service.engine.as_ref().map_or(0, |row| row.stride);
-                let mut board = state.board.borrow_mut();
-                board.streamed(&choice.id, number, tokens, Std::now());
+                let mut table = state.endpoints.borrow_mut();
+                table.record_stream(&choice.id, number, tokens, Std::now());
                 Ended::Streamed
             }
             StreamEnd::CallerGone => return Ended::CallerGone,
@@ -209,7 +209,11 @@
         }
     };
     let said = Said { rate, heard: now };
-    if state.board.borrow_mut().named(&endpoint.id, said) {
+    if state
+        .endpoints
+        .borrow_mut()
+        .record_limit(&endpoint.id, said)
+    {
         log::info!(now:? = rate; "limit: endpoint {} names another.", endpoint.id);
         state.news.notify_one();
     }
@@ -217,8 +221,8 @@
 
 /// Whether a moment is after the last word of an endpoint's limit.
 fn is_after_limit(state: &State, endpoint: &Listing, sent: Std) -> bool {
-    let board = state.board.borrow();
-    let limit = board.get(&endpoint.id).and_then(|row| row.limit.as_ref());
+    let table = state.endpoints.borrow();
+    let limit = table.get(&endpoint.id).and_then(|row| row.limit.as_ref());
     limit.is_some_and(|limit| sent > limit.heard())
 }
 
@@ -229,16 +233,16 @@
     job: &Job<'_>,
     choice: &Choice,
 ) -> Option<(Listing, Wire, bool)> {
-    let endpoint = state.board.borrow().get(&choice.id)?.listing.clone();
+    let endpoint = state.endpoints.borrow().get(&choice.id)?.listing.clone();
     match state.upstreams.get(endpoint.address).await {
         Ok((wire, kept)) => Some((endpoint, wire, kept)),
         Err(error) => {
-            let mut board = state.board.borrow_mut();
-            let row = board.get_mut(&choice.id);
+            let mut table = state.endpoints.borrow_mut();
+            let row = table.get_mut(&choice.id);
             let out = row.is_some_and(|row| row.evidence.unreached(Std::now()));
             state.measure(|metrics| metrics.sent("not connected"));
             log::info!(
-                request = job.ask.id.as_str(), endpoint = choice.id.as_str(), left_out = out;
+                request = job.head.id.as_str(), endpoint = choice.id.as_str(), left_out = out;
                 "send: not connected, {error}."
             );
             None
@@ -250,22 +254,22 @@
 /// when the first event of its stream came.
 fn may_have_ended(state: &State, endpoint: &Listing, fault: Fault, first: Option<Std>) -> bool {
     let is_settled = first.is_some_and(|first| first.elapsed() >= SETTLED);
-    let board = state.board.borrow();
-    let row = board.get(&endpoint.id);
+    let table = state.endpoints.borrow();
+    let row = table.get(&endpoint.id);
     // One that leaves ends in any case.
-    let is_leaving = row.is_none_or(|row| row.standing == Standing::Leaving);
+    let is_leaving = row.is_none_or(|row| row.state == EndpointState::Leaving);
     fault == Fault::Broken && !is_settled && !is_leaving
 }
 
 /// Tells that a request goes to an endpoint whose entry is missing: if it fails or the
 /// endpoint had left, this line is the reason why it was sent there.
 fn tell_doubt(state: &State, job: &Job<'_>, choice: &Choice) {
-    let board = state.board.borrow();
-    let standing = board.get(&choice.id).map(|row| row.standing);
-    if let Some(Standing::Doubtful(until)) = standing {
+    let table = state.endpoints.borrow();
+    let standing = table.get(&choice.id).map(|row| row.state);
+    if let Some(EndpointState::Doubtful(until)) = standing {
         let left = until.saturating_duration_since(Std::now());
         log::info!(
-            request = job.ask.id.as_str(), endpoint = choice.id.as_str(),
+            request = job.head.id.as_str(), endpoint = choice.id.as_str(),
             until_ms = left.as_millis() as u64;
             "send: goes to an endpoint whose entry is missing."
         );
@@ -274,18 +278,18 @@
 
 fn book(state: &Rc<State>, job: &Job<'_>, choice: &Choice) -> Booked {
     let number = state.number();
-    let wanted = Wanted {
+    let wanted = Criteria {
         service: job.service,
-        prompt: job.ask.prompt.as_ref(),
+        prompt: job.head.prompt.as_ref(),
         target: job.route.target,
-        zone: &state.site.zone,
+        zone: &state.settings.zone,
         avoid: &[],
         versions: &Versions::Any,
         limits: None,
-        draw: 0,
+        seed: 0,
         now: Std::now(),
     };
-    place::book(&mut state.board.borrow_mut(), &wanted, choice, number);
+    selection::book(&mut state.endpoints.borrow_mut(), &wanted, choice, number);
     Booked {
         state: Rc::clone(state),
         endpoint: choice.id.clone(),
@@ -301,7 +305,7 @@
             endpoint: &choice.id,
             team: job.team.map(|team| team.name.as_str()),
             left,
-            rank: job.ask.prompt.is_some().then_some(job.rank),
+            rank: job.head.prompt.is_some().then_some(job.rank),
             resume: passed.begun.then(|| passed.events.last()).flatten(),
             body: job.body.len(),
         },
@@ -330,8 +334,8 @@
         Ended::Broken(_) => false,
         Ended::NotRun | Ended::NotSent | Ended::CallerGone => return,
     };
-    let board = state.board.borrow();
-    let Some(row) = board.get(&choice.id) else {
+    let table = state.endpoints.borrow();
+    let Some(row) = table.get(&choice.id) else {
         return;
     };
     let version = &row.listing.version;
@@ -340,7 +344,7 @@
     let mut rollouts = state.rollouts.borrow_mut();
     if rollouts.note(service, route, version, sample, state.true_ms()) {
         log::warn!(
-            request = job.ask.id.as_str(), route = route.as_str(), good,
+            request = job.head.id.as_str(), route = route.as_str(), good,
             took_ms = took.as_millis() as u64;
             "rollout: {service} goes back from version {version}."
         );
@@ -362,7 +366,7 @@
     booked.note(|row| out = row.evidence.bad(Std::now()));
     state.measure(|metrics| metrics.sent("failed"));
     log::info!(
-        request = job.ask.id.as_str(), endpoint = endpoint.id.as_str(), kept, left_out = out,
+        request = job.head.id.as_str(), endpoint = endpoint.id.as_str(), kept, left_out = out,
         after_ms = job.arrived.elapsed().as_millis() as u64,
         content:% = format_args!("{:016x}", job.content.hash()),
         ran_ms = first.map(|first| first.elapsed().as_millis() as u64);
--- a/daemon/src/relay/dispatch.rs
+++ b/daemon/src/relay/dispatch.rs
@@ -6,8 +6,8 @@
 use bytes::Bytes;
 use poplarvale_lib::http1::Response;
 use poplarvale_lib::relay::admit::Limits;
-use poplarvale_lib::relay::place::{Choice, NoPlace, Wanted, choose};
 use poplarvale_lib::relay::quota;
+use poplarvale_lib::relay::selection::{Choice, Criteria, SelectError, choose};
 use poplarvale_lib::{Code, EndpointId};
 use tokio::net::tcp::WriteHalf;
 use tokio::time::Instant;
@@ -43,7 +43,7 @@
     /// Whether an outcome is not known.
     unknown: bool,
     /// Why it is not sent on.
-    stopped: Option<NoPlace>,
+    stopped: Option<SelectError>,
     /// A failure of an endpoint, to be passed on if nothing better comes.
     failure: Option<(Response, Bytes)>,
 }
@@ -61,7 +61,7 @@
         .borrow_mut()
         .record_request(&job.service.name, now);
     let mut course = Course {
-        passed: Passed::nothing(job.ask.resume, keep),
+        passed: Passed::nothing(job.head.resume, keep),
         keep,
         avoid: Vec::new(),
         runs: 0,
@@ -87,7 +87,7 @@
             return None;
         }
         if quarantined(state, &job.content).is_some() {
-            self.stopped = Some(NoPlace::None);
+            self.stopped = Some(SelectError::None);
             return None;
         }
         match pick(state, job, &self.avoid) {
@@ -96,7 +96,7 @@
                 if granted || (self.sends < MOST_SENDS && may_repeat(state, job)) {
                     return Some(choice);
                 }
-                self.stopped = Some(NoPlace::Full);
+                self.stopped = Some(SelectError::Full);
             }
             Err(why) => self.stopped = Some(why),
         }
@@ -160,7 +160,7 @@
                 self.runs += 1;
                 self.unknown = true;
                 if !repeats || self.runs >= job.route.attempts {
-                    self.stopped = Some(NoPlace::None);
+                    self.stopped = Some(SelectError::None);
                 }
                 None
             }
@@ -180,25 +180,25 @@
         let refused = match (self.unknown, self.stopped) {
             (true, _) if late => Refusal::unknown(Code::Overdue),
             (true, _) => Refusal::unknown(Code::Broken),
-            (false, Some(NoPlace::Busy(again))) => Refusal::later(Code::Full, again),
-            (false, Some(NoPlace::Full)) => Refusal::later(Code::Full, SOON),
+            (false, Some(SelectError::Busy(again))) => Refusal::later(Code::Full, again),
+            (false, Some(SelectError::Full)) => Refusal::later(Code::Full, SOON),
             (false, _) => Refusal::later(Code::NoEndpoint, SOON),
         };
         if let Some(team) = job.team
             && !self.unknown
         {
             // What did not run is not charged.
-            let units = quota::units(team, job.ask);
+            let units = quota::units(team, job.head);
             state.quota.borrow_mut().refund(team, units);
         }
-        refuse(state, write, job.ask, refused, self.keep).await
+        refuse(state, write, job.head, refused, self.keep).await
     }
 
     /// Ends a stream of which the caller has a part: only a broken connection tells
     /// that it is not all.
     fn cut(&self, state: &State, job: &Job<'_>) -> After {
         log::info!(
-            request = job.ask.id.as_str(), last_event = self.passed.events.last(),
+            request = job.head.id.as_str(), last_event = self.passed.events.last(),
             sends = self.sends;
             "serve: cut off in the middle of a stream."
         );
@@ -221,7 +221,7 @@
 /// What a request may wait for. One that an endpoint has begun is sent on in any case:
 /// refused, all that was done for it would be lost.
 fn limits(job: &Job<'_>, avoid: &[EndpointId]) -> Option<Limits> {
-    if !avoid.is_empty() || job.ask.resume.is_some() {
+    if !avoid.is_empty() || job.head.resume.is_some() {
         return None;
     }
     let left = job.deadline.saturating_duration_since(Instant::now());
@@ -230,24 +230,24 @@
 }
 
 /// An endpoint for the request, other than those it was at.
-fn pick(state: &State, job: &Job<'_>, avoid: &[EndpointId]) -> Result<Choice, NoPlace> {
-    let board = state.board.borrow();
-    let wanted = Wanted {
+fn pick(state: &State, job: &Job<'_>, avoid: &[EndpointId]) -> Result<Choice, SelectError> {
+    let table = state.endpoints.borrow();
+    let wanted = Criteria {
         service: job.service,
-        prompt: job.ask.prompt.as_ref(),
+        prompt: job.head.prompt.as_ref(),
         target: job.route.target,
-        zone: &state.site.zone,
+        zone: &state.settings.zone,
         avoid,
         versions: &job.versions,
         limits: limits(job, avoid),
-        draw: fastrand::u64(..),
+        seed: fastrand::u64(..),
         now: Std::now(),
     };
-    let chosen = choose(&board, &wanted);
+    let chosen = choose(&table, &wanted);
     match job.versions.otherwise() {
         Some(versions) if chosen.is_err() => choose(
-            &board,
-            &Wanted {
+            &table,
+            &Criteria {
                 versions: &versions,
                 ..wanted
             },
@@ -277,7 +277,7 @@
         return;
     }
     log::info!(
-        request = job.ask.id.as_str(), route = job.route.name.as_str(), endpoint,
+        request = job.head.id.as_str(), route = job.route.name.as_str(), endpoint,
         team = job.team.map_or("", |team| team.name.as_str()), status, sends,
         took_ms = took.as_millis() as u64, catalog = job.version;
         "serve: answered."
--- a/daemon/src/relay/status.rs
+++ b/daemon/src/relay/status.rs
@@ -5,8 +5,8 @@
 
 use bytes::BytesMut;
 use poplarvale_lib::http1::Request;
-use poplarvale_lib::relay::board::{Endpoint, Standing};
 use poplarvale_lib::relay::contact::Span;
+use poplarvale_lib::relay::endpoint_table::{Endpoint, EndpointState};
 use poplarvale_lib::relay::limit::Limit;
 use poplarvale_lib::{Code, Ran};
 use poplarvale_platform::refusal;
@@ -40,8 +40,8 @@
 /// State of the daemon; holds no key and nothing of a request's content.
 fn dump(state: &State) -> Value {
     let now = Instant::now();
-    let board = state.board.borrow();
-    let endpoints: Vec<Value> = board.rows().iter().map(|row| endpoint(row, now)).collect();
+    let table = state.endpoints.borrow();
+    let endpoints: Vec<Value> = table.rows().iter().map(|row| endpoint(row, now)).collect();
     let peers = state.peers.borrow();
     let peers: Vec<Value> = peers
         .rows()
@@ -59,8 +59,8 @@
         .map(|content| format!("{content:016x}"))
         .collect();
     json!({
-        "name": state.site.name.as_str(),
-        "zone": state.site.zone.as_str(),
+        "name": state.settings.name.as_str(),
+        "zone": state.settings.zone.as_str(),
         "ready": state.is_ready(),
         "ending": !state.life().is_serving(),
         "active": state.active.get(),
@@ -82,10 +82,10 @@
 }
 
 fn endpoint(row: &Endpoint, now: Instant) -> Value {
-    let standing = match row.standing {
-        Standing::Ready => "ready",
-        Standing::Doubtful(_) => "doubtful",
-        Standing::Leaving => "leaving",
+    let standing = match row.state {
+        EndpointState::Ready => "ready",
+        EndpointState::Doubtful(_) => "doubtful",
+        EndpointState::Leaving => "leaving",
     };
     json!({
         "id": row.listing.id.as_str(),
@@ -94,8 +94,8 @@
         "address": row.listing.address.to_string(),
         "standing": standing,
         "fit": row.evidence.is_fit(now),
-        "requests": row.flights.len(),
-        "others": row.others.requests,
+        "requests": row.in_flight.len(),
+        "others": row.remote_load.requests,
         "backlog_tokens": row.backlog() as u64,
         "limit": row.limit.as_ref().and_then(Limit::rate),
         "speed_factor": row.speed.factor(),
--- a/lib/src/load/shares.rs
+++ b/lib/src/load/shares.rs
@@ -1,35 +1,36 @@
 //! How much of a customer's limits this daemon may give out.
 //!
-//! Answers a customer whose requests come in at many daemons. Were each daemon
-//! to allow the whole plan, the customer would get it as many times as there are
-//! daemons; were each to allow an equal part, a customer whose requests reach
-//! few of them would be refused while most of its plan lies idle. One would
-//! notice use above the plan, or refusals below it.
+//! Answers a customer whose requests arrive at many daemons. If each daemon
+//! allowed the whole plan, the customer would get it as many times as there are
+//! daemons; if each allowed an equal part, a customer whose requests reach few of
+//! them would be rejected while most of its plan is unused. It would show as use
+//! above the plan, or rejections below it.
 //!
-//! A small part of each limit, [`BASE`], is split evenly and needs no talk, so
-//! that a first request is never refused for want of a share. The rest follows
-//! demand by claims that daemons tell each other in [`ShareRow`]s:
+//! A small part of each limit, [`BASE_FRACTION`], is split evenly and needs no
+//! messages, so that a first request is never rejected for want of a share. The
+//! rest follows demand by claims, which daemons exchange in [`ShareRow`]s:
 //!
-//! 1. A claim is never more than the limit less all other claims as heard; it is
-//!    cut at once when one hears of too much.
-//! 2. What a daemon gives out is the least of its own claims over the last
+//! 1. A claim is never more than the limit less all claims received from peers;
+//!    it is cut at once when these leave less.
+//! 2. What a daemon gives out is the lowest of its own claims over the last
 //!    [`HOLD`].
+//! 3. While no row has been received from some daemon for longer than [`FRESH`],
+//!    no claim grows, and claims that have grown within `HOLD` fall back.
 //!
-//! 3. While some daemon is silent for longer than [`FRESH`], no claim grows, and
-//!    those that have grown within `HOLD` fall back.
+//! So what all daemons give out never sums above the limit while all receive each
+//! other's rows. Take any daemon `i`: the claim that `i` last received from each
+//! other daemon `k` was written within `HOLD`, as `HOLD` is longer than `FRESH`
+//! and [`MAX_TRANSIT`] together; what `k` gives out now is at most that claim,
+//! and by rule 1 these claims and `i`'s own sum to the limit at most.
 //!
-//! So what all daemons give out never sums above the limit while each hears the
-//! others: take any daemon `i`. The claim of each other `k` that `i` heard last
-//! was written within `HOLD`, as `HOLD` is longer than `FRESH` and [`TRANSIT`]
-//! together; what `k` gives out now is at most that claim, and by rule 1 these
-//! and `i`'s own claim sum to the limit at most.
-//!
-//! The claim of a silent daemon goes on counting. After [`GRACE`] those who
-//! still hear more than half of all daemons take it over, as its holder has most
-//! likely died; who hears half or fewer keeps its share and no more. If the
-//! silent ones live, cut off, they keep theirs too: use is then above the limit
-//! by at most the shares of those cut off. A daemon whose count of members is
-//! out of date by `d` of `n` adds at most `BASE * d/n` of the limit.
+//! The claim of an unresponsive daemon continues to count. After [`DEAD_AFTER`],
+//! daemons that still receive rows from more than half of all daemons, themselves
+//! included, take it over, as its owner has most likely died; a daemon that is in
+//! contact with half or fewer keeps its share and does not grow. If the
+//! unresponsive daemons are alive but partitioned, they keep their shares too:
+//! use is then above the limit by at most the shares of those partitioned. A
+//! daemon whose count of members is out of date by `d` of `n` adds at most
+//! `BASE_FRACTION * d/n` of the limit.
 
 use std::time::{Duration, Instant};
 
@@ -37,27 +38,30 @@
 use crate::lists::Plan;
 
 /// Part of each limit that is split evenly among all daemons.
-pub const BASE: f64 = 0.2;
-/// Longest time that a row takes from one daemon to another: gossip has a round
-/// a second, and two hops between availability zones.
-pub const TRANSIT: Duration = Duration::from_secs(2);
-/// Silence after which a daemon is not counted on: more than the longest time
-/// between two rows that are sent each round and may be late.
+pub const BASE_FRACTION: f64 = 0.2;
+/// Longest time that a row takes from one daemon to another: gossip has one round
+/// per second, and there are two hops between availability zones.
+pub const MAX_TRANSIT: Duration = Duration::from_secs(2);
+/// Time since a daemon's last row after which it is no longer relied on: more
+/// than the longest time between two rows that are sent each round and may be
+/// late.
 pub const FRESH: Duration = Duration::from_millis(2_500);
-/// Time for which a claim is held before it is given out: the two above, and as
-/// long as a daemon may take to look at what it heard.
+/// Time for which a claim must have stood before it is given out: `FRESH` and
+/// `MAX_TRANSIT` together, and as long as a daemon may take to process what it
+/// received.
 pub const HOLD: Duration = Duration::from_secs(5);
-/// Silence after which a daemon counts as gone.
-pub const GRACE: Duration = Duration::from_secs(10);
-/// Times its due that a claim may be before it is lowered: demand is noisy, and
-/// each lowering takes `HOLD` to win back.
+/// Time since a daemon's last row after which it counts as dead.
+pub const DEAD_AFTER: Duration = Duration::from_secs(10);
+/// A claim is lowered only when it is above the daemon's fair part by this
+/// factor: demand is noisy, and what is lowered takes `HOLD` to regain.
 const SLACK: f64 = 1.2;
-/// Time over which demand is averaged.
-const WINDOW: f64 = 3.0;
-/// Rate that counts as none, or a row would be told for ever after one request.
-const NOTHING: f64 = 0.001;
-/// Share of a limit below which demand counts as none.
-const LEAST: f64 = 0.001;
+/// Time over which demand is averaged, in seconds.
+const DEMAND_WINDOW_S: f64 = 3.0;
+/// Demand below which it counts as none. It decays exponentially, and without a
+/// threshold a row would be sent forever after one request.
+const MIN_RATE: f64 = 0.001;
+/// Fraction of a limit below which demand counts as none.
+const MIN_DEMAND_FRACTION: f64 = 0.001;
 
 /// An amount of each thing that a plan limits.
 #[proc_macros::row]
@@ -72,7 +76,7 @@
 }
 
 impl Amounts {
-    /// What a plan allows.
+    /// Amounts that a plan allows.
     pub fn of(plan: &Plan) -> Self {
         Self {
             requests: plan.requests,
@@ -81,7 +85,7 @@
         }
     }
 
-    /// Puts two together, amount by amount.
+    /// Combines two amounts field by field.
     #[must_use]
     pub fn zip(self, other: Self, join: impl Fn(f64, f64) -> f64) -> Self {
         Self {
@@ -91,41 +95,41 @@
         }
     }
 
-    /// Each amount times a factor.
+    /// Each amount multiplied by `factor`.
     #[must_use]
     pub fn times(self, factor: f64) -> Self {
         self.zip(self, |a, _| a * factor)
     }
 
-    /// Whether there is nothing of anything.
+    /// Whether all amounts are zero.
     pub fn is_zero(&self) -> bool {
         self.requests <= 0.0 && self.tokens <= 0.0 && self.running <= 0.0
     }
 }
 
-/// What a daemon tells the others about one customer. Its writer is the only
-/// one; a later row of the same writer replaces it, and one without any amount
-/// takes it back.
+/// What a daemon advertises to its peers about one customer. Only that daemon
+/// writes it; a later row of the same daemon replaces it, and one without any
+/// amount withdraws it.
 #[proc_macros::row]
 pub struct ShareRow {
-    /// Customer.
+    /// Id of the customer.
     pub customer: CustomerId,
-    /// Daemon that writes it.
+    /// Daemon that wrote the row.
     pub incarnation: Incarnation,
-    /// What the customer asks for there.
+    /// What the customer asks for at that daemon.
     pub demand: Amounts,
     /// What that daemon may give out, now or soon.
     pub claim: Amounts,
 }
 
-/// A row of another daemon.
+/// A row received from a peer.
 #[proc_macros::row]
 #[derive(Copy)]
-pub struct Heard<'a> {
+pub struct PeerRow<'a> {
     /// The row.
     pub row: &'a ShareRow,
-    /// When its writer was last heard.
-    pub at: Instant,
+    /// When anything was last received from its writer.
+    pub received: Instant,
 }
 
 /// The daemons that this one knows of.
@@ -133,30 +137,30 @@
 #[derive(Copy)]
 pub struct Members {
     /// How many there should be, by the list of hosts.
-    pub all: usize,
-    /// How many it ever heard of and that are not known to be gone for good,
-    /// itself included.
+    pub expected: usize,
+    /// How many this daemon has ever received from, less those that are known to
+    /// be gone for good; itself included.
     pub known: usize,
-    /// How many of these it heard within `FRESH`, itself included.
+    /// How many of these it received from within `FRESH`, itself included.
     pub fresh: usize,
-    /// How many have been silent for longer than `GRACE`.
-    pub gone: usize,
+    /// How many of these it has not received from for `DEAD_AFTER` or longer.
+    pub dead: usize,
 }
 
 impl Members {
     fn count(&self) -> usize {
-        self.all.max(self.known).max(1)
+        self.expected.max(self.known).max(1)
     }
 
     fn most_are_fresh(&self) -> bool {
         self.fresh * 2 > self.count()
     }
 
-    /// Whether claims may grow. A daemon that has just started has heard of few,
-    /// and must not take the rows it lacks for claims that nobody makes.
+    /// Whether claims may grow. A daemon that has just started has received few
+    /// rows, and must not treat the rows it lacks as claims that nobody makes.
     fn is_steady(&self) -> bool {
         if self.most_are_fresh() {
-            self.fresh + self.gone >= self.known
+            self.fresh + self.dead >= self.known
         } else {
             self.fresh >= self.count()
         }
@@ -165,39 +169,41 @@
 
 /// This daemon's claims on one customer's limits.
 #[proc_macros::row]
-pub struct Holder {
-    past: Vec<(Instant, Amounts)>,
+pub struct LocalShare {
+    history: Vec<(Instant, Amounts)>,
     demand: Amounts,
-    turned: Instant,
+    updated: Instant,
 }
 
-impl Holder {
-    /// No claims.
+impl LocalShare {
+    /// Creates a share without claims.
     pub fn new(now: Instant) -> Self {
         Self {
-            past: vec![(now, Amounts::default())],
+            history: vec![(now, Amounts::default())],
             demand: Amounts::default(),
-            turned: now,
+            updated: now,
         }
     }
 
-    /// Notes that the customer asked for something, whether it got it or not.
-    pub fn ask(&mut self, now: Instant, tokens: f64) {
-        self.fade(now);
-        self.demand.requests += 1.0 / WINDOW;
-        self.demand.tokens += tokens / WINDOW;
+    /// Counts a request towards the customer's demand, whether it was admitted or
+    /// not.
+    pub fn record_request(&mut self, now: Instant, tokens: f64) {
+        self.decay(now);
+        self.demand.requests += 1.0 / DEMAND_WINDOW_S;
+        self.demand.tokens += tokens / DEMAND_WINDOW_S;
     }
 
-    /// Notes how many requests are in progress and refused for being too many.
-    pub fn run(&mut self, running: f64) {
+    /// Raises the demand for requests in progress: those that run, and one more
+    /// if a request was rejected for being too many.
+    pub fn record_running(&mut self, running: f64) {
         self.demand.running = self.demand.running.max(running);
     }
 
-    fn fade(&mut self, now: Instant) {
-        let passed = now.saturating_duration_since(self.turned).as_secs_f64();
-        let faded = self.demand.times((-passed / WINDOW).exp());
-        self.demand = faded.zip(faded, |rate, _| if rate < NOTHING { 0.0 } else { rate });
-        self.turned = now;
+    fn decay(&mut self, now: Instant) {
+        let passed = now.saturating_duration_since(self.updated).as_secs_f64();
+        let decayed = self.demand.times((-passed / DEMAND_WINDOW_S).exp());
+        self.demand = decayed.zip(decayed, |rate, _| if rate < MIN_RATE { 0.0 } else { rate });
+        self.updated = now;
     }
 
     /// What the customer asks for here.
@@ -207,68 +213,69 @@
 
     /// Latest claim.
     pub fn claim(&self) -> Amounts {
-        self.past
+        self.history
             .last()
             .map_or(Amounts::default(), |(_, claim)| *claim)
     }
 
-    /// Claims anew from what is heard of the others.
-    pub fn turn<'a>(
+    /// Updates the claim by the rows received from peers.
+    pub fn update_claim<'a>(
         &mut self,
         now: Instant,
         limit: Amounts,
-        heard: impl Iterator<Item = Heard<'a>>,
+        rows: impl Iterator<Item = PeerRow<'a>>,
         members: Members,
     ) {
-        self.fade(now);
-        let gone = |h: &Heard<'a>| members.most_are_fresh() && now >= h.at + GRACE;
-        let mut taken = Amounts::default();
-        let mut asked = Amounts::default();
-        for Heard { row, .. } in heard.filter(|h| !gone(h)) {
-            taken = taken.zip(row.claim, |a, b| a + b);
-            asked = asked.zip(row.demand, |a, b| a + b);
+        self.decay(now);
+        let dead =
+            |peer: &PeerRow<'a>| members.most_are_fresh() && now >= peer.received + DEAD_AFTER;
+        let mut claimed = Amounts::default();
+        let mut demanded = Amounts::default();
+        for PeerRow { row, .. } in rows.filter(|peer| !dead(peer)) {
+            claimed = claimed.zip(row.claim, |a, b| a + b);
+            demanded = demanded.zip(row.demand, |a, b| a + b);
         }
-        let pool = limit.times(1.0 - BASE);
-        let due = due(pool, self.demand, asked);
-        let free = pool.zip(taken, |pool, taken| (pool - taken).max(0.0));
-        let mut next = self.claim().zip(due, move_towards).zip(free, f64::min);
+        let pool = limit.times(1.0 - BASE_FRACTION);
+        let part = fair_part(pool, self.demand, demanded);
+        let free = pool.zip(claimed, |pool, claimed| (pool - claimed).max(0.0));
+        let mut next = self.claim().zip(part, adjusted_claim).zip(free, f64::min);
         if !members.is_steady() {
             next = next.zip(self.in_force(now), f64::min);
         }
-        self.note(now, next);
+        self.push_claim(now, next);
     }
 
     /// Keeps the claims of the last `HOLD`, and the one before them, which was
     /// still in force when that time began.
-    fn note(&mut self, now: Instant, claim: Amounts) {
+    fn push_claim(&mut self, now: Instant, claim: Amounts) {
         if claim != self.claim() {
-            self.past.push((now, claim));
+            self.history.push((now, claim));
         }
-        let old = self.past.iter().rposition(|(at, _)| *at + HOLD <= now);
-        self.past.drain(..old.unwrap_or(0));
+        let old = self.history.iter().rposition(|(at, _)| *at + HOLD <= now);
+        self.history.drain(..old.unwrap_or(0));
     }
 
     /// What this daemon may give out.
     pub fn share(&self, now: Instant, limit: Amounts, members: Members) -> Amounts {
-        let base = limit.times(BASE / members.count() as f64);
+        let base = limit.times(BASE_FRACTION / members.count() as f64);
         base.zip(self.in_force(now), |a, b| a + b)
     }
 
-    /// Least of the claims over the last `HOLD`.
+    /// Lowest of the claims over the last `HOLD`.
     fn in_force(&self, now: Instant) -> Amounts {
-        let first = self.past.iter().rposition(|(at, _)| *at + HOLD <= now);
-        let recent = &self.past[first.unwrap_or(0)..];
+        let first = self.history.iter().rposition(|(at, _)| *at + HOLD <= now);
+        let recent = &self.history[first.unwrap_or(0)..];
         let claims = recent.iter().map(|(_, claim)| *claim);
         let least = claims.reduce(|a, b| a.zip(b, f64::min));
         least.unwrap_or_default()
     }
 
-    /// Whether it neither asks for anything nor claims it.
+    /// Whether there is neither demand nor a claim.
     pub fn is_idle(&self) -> bool {
         self.demand.is_zero() && self.claim().is_zero()
     }
 
-    /// Row to tell the others; none if there is nothing to tell.
+    /// Row to send to the peers; none if there is neither demand nor a claim.
     pub fn row(&self, customer: &CustomerId, incarnation: Incarnation) -> Option<ShareRow> {
         let row = ShareRow {
             customer: customer.clone(),
@@ -280,10 +287,16 @@
     }
 }
 
-/// Part of the pool that is due to this daemon: by demand, also of what nobody
-/// asks for, so that there is room for more.
-fn due(pool: Amounts, own: Amounts, others: Amounts) -> Amounts {
-    let demand = own.zip(pool, |own, pool| if own < LEAST * pool { 0.0 } else { own });
+/// Part of the pool that this daemon's demand entitles it to. All of the pool is
+/// divided by demand, also what nobody asks for, so that there is room to grow.
+fn fair_part(pool: Amounts, own: Amounts, others: Amounts) -> Amounts {
+    let demand = own.zip(pool, |own, pool| {
+        if own < MIN_DEMAND_FRACTION * pool {
+            0.0
+        } else {
+            own
+        }
+    });
     let total = demand.zip(others, |a, b| a + b);
     let part = demand.zip(
         total,
@@ -292,10 +305,10 @@
     part.zip(pool, |part, pool| part * pool)
 }
 
-fn move_towards(claim: f64, due: f64) -> f64 {
-    if claim > due * SLACK {
-        due
+fn adjusted_claim(claim: f64, fair_part: f64) -> f64 {
+    if claim > fair_part * SLACK {
+        fair_part
     } else {
-        claim.max(due)
+        claim.max(fair_part)
     }
 }
--- a/lib/src/relay/quota.rs
+++ b/lib/src/relay/quota.rs
@@ -47,8 +47,8 @@
 use self::steps::{StepId, Steps};
 use self::zones::Zone;
 pub use self::zones::{TeamRates, ZoneSummary};
-use super::ask::Ask;
 use super::catalog::{Team, Unit};
+use super::request::RequestHead;
 use crate::{CustomerId, ZoneHash};
 
 /// Steps into which the sliding window is divided. A step counts until all of it has left
@@ -153,8 +153,8 @@
 }
 
 /// Units that a request counts.
-pub fn units(team: &Team, ask: &Ask) -> f64 {
-    match (team.unit, &ask.prompt) {
+pub fn units(team: &Team, head: &RequestHead) -> f64 {
+    match (team.unit, &head.prompt) {
         (Unit::Requests, _) => 1.0,
         (Unit::Tokens(plain), None) => plain,
         (Unit::Tokens(_), Some(prompt)) => f64::from(prompt.input) + f64::from(prompt.output),
--- a/lib/tests/test_load_shares.rs
+++ b/lib/tests/test_load_shares.rs
@@ -1,9 +1,10 @@
-//! Shares of a customer's limits across daemons, over generated demands and cuts.
+//! Shares of a customer's limits across daemons, over generated demands and
+//! partitions.
 
 use std::time::{Duration, Instant};
 
 use poplarvale_lib::load::Policy;
-use poplarvale_lib::load::shares::{Amounts, BASE, TRANSIT};
+use poplarvale_lib::load::shares::{Amounts, BASE_FRACTION, MAX_TRANSIT};
 use poplarvale_lib::{Command, Input, Outcome};
 use proptest::prelude::*;
 use testutils::fake_endpoints::Behaviour;
@@ -17,7 +18,7 @@
     running: 40.0,
 };
 
-fn above(sum: Amounts, times: f64) -> bool {
+fn exceeds(sum: Amounts, times: f64) -> bool {
     let limit = LIMIT.times(times + 1e-9);
     sum.requests > limit.requests || sum.tokens > limit.tokens || sum.running > limit.running
 }
@@ -25,32 +26,33 @@
 proptest! {
     #![proptest_config(testutils::fixed(48))]
 
-    /// Demand jumps between daemons while rows are late, lost to no one. Did two
-    /// daemons raise their shares into the same room, the customer would use
-    /// more than its plan, and others would pay for it with their latency.
+    /// Demand moves between daemons while rows are delayed but not lost. If two
+    /// daemons raised their shares by the same free part of the limit, the
+    /// customer would use more than its plan, and others would pay for it with
+    /// their latency.
     #[test]
-    fn shares_never_sum_above_the_limit_among_daemons_that_hear_each_other(
+    fn shares_never_sum_above_the_limit_among_connected_daemons(
         count in 1usize..9,
-        late in 0.0f64..1.0,
+        delay in 0.0f64..1.0,
         phases in prop::collection::vec(
             (prop::collection::vec(0.0f64..60.0, 8), 1usize..40),
             1..8,
         ),
         seed in any::<u64>(),
     ) {
-        let mut fleet = Fleet::new(count, LIMIT, TRANSIT.mul_f64(late), seed);
+        let mut fleet = Fleet::new(count, LIMIT, MAX_TRANSIT.mul_f64(delay), seed);
         for (asks, rounds) in phases {
             for _ in 0..rounds {
                 fleet.round(&asks[..count]);
                 let sum = fleet.sum(None);
-                prop_assert!(!above(sum, 1.0), "{sum:?}");
+                prop_assert!(!exceeds(sum, 1.0), "{sum:?}");
             }
         }
     }
 
-    /// Availability zones lose each other and come back. Each side goes on with
-    /// what it has; the side with most daemons takes over what the others had,
-    /// so use may exceed the plan by the shares of those cut off, not more.
+    /// Availability zones are partitioned. Each side continues with what it has;
+    /// the side with most daemons takes over what the others had, so use may
+    /// exceed the plan by the shares of the daemons cut off, and by no more.
     #[test]
     fn overshoot_in_a_cut_is_at_most_the_shares_of_those_cut_off(
         sides in prop::collection::vec(0usize..3, 8),
@@ -59,7 +61,7 @@
         rounds in 1usize..120,
         seed in any::<u64>(),
     ) {
-        let mut fleet = Fleet::new(8, LIMIT, TRANSIT, seed);
+        let mut fleet = Fleet::new(8, LIMIT, MAX_TRANSIT, seed);
         for _ in 0..60 {
             fleet.round(&before);
         }
@@ -70,17 +72,17 @@
             fleet.round(&after);
             for side in 0..3 {
                 let sum = fleet.sum(Some(side));
-                prop_assert!(!above(sum, 1.0), "side {side}: {sum:?}");
+                prop_assert!(!exceeds(sum, 1.0), "side {side}: {sum:?}");
             }
             let all = fleet.sum(None);
-            let apart = (0..3).filter(|s| *s != most).map(|side| fleet.sum(Some(side)));
-            let apart = apart.fold(Amounts::default(), |a, b| a.zip(b, |a, b| a + b));
-            let bound = LIMIT.zip(apart, |a, b| a + b + 1e-6);
+            let cut_off = (0..3).filter(|s| *s != most).map(|side| fleet.sum(Some(side)));
+            let cut_off = cut_off.fold(Amounts::default(), |a, b| a.zip(b, |a, b| a + b));
+            let bound = LIMIT.zip(cut_off, |a, b| a + b + 1e-6);
             let over = bound.zip(all, |bound, all| bound - all);
             prop_assert!(over.requests >= 0.0, "round {round}: {all:?} over {bound:?}");
             prop_assert!(over.tokens >= 0.0 && over.running >= 0.0);
             if count(most) * 2 <= 8 {
-                prop_assert!(!above(all, 1.0), "no side has most: {all:?}");
+                prop_assert!(!exceeds(all, 1.0), "no side has most: {all:?}");
             }
         }
     }
@@ -89,17 +91,18 @@
 proptest! {
     #![proptest_config(testutils::fixed(48))]
 
-    /// Daemons die, with and without notice, and others start that know nobody.
-    /// A daemon that took what it has not heard of for free would give out what
-    /// others give out; use may exceed the plan by the even part of those who
-    /// joined and are not on the list of hosts yet, and no more.
+    /// Daemons die, announced and unannounced, and others start that know no
+    /// peer. A daemon that treated claims it has not received as free would give
+    /// out what others give out; use may exceed the plan by the base shares of
+    /// the daemons that joined and are not on the list of hosts yet, and by no
+    /// more.
     #[test]
-    fn overshoot_of_joins_is_at_most_their_even_part(
+    fn overshoot_of_joins_is_at_most_their_base_shares(
         changes in prop::collection::vec((0u8..5, any::<usize>(), 1usize..60), 1..12),
         asks in prop::collection::vec(0.0f64..60.0, 24),
         seed in any::<u64>(),
     ) {
-        let mut fleet = Fleet::new(6, LIMIT, TRANSIT, seed);
+        let mut fleet = Fleet::new(6, LIMIT, MAX_TRANSIT, seed);
         let mut joined = 0.0;
         for (change, which, rounds) in changes {
             let alive: Vec<usize> = fleet.alive().collect();
@@ -118,16 +121,16 @@
                 fleet.round(&asks);
                 let count = fleet.alive().count() as f64;
                 let known = (count - joined).max(1.0);
-                let times = 1.0 + BASE * joined / known;
+                let times = 1.0 + BASE_FRACTION * joined / known;
                 let sum = fleet.sum(None);
-                prop_assert!(!above(sum, times), "{sum:?} over {times}");
+                prop_assert!(!exceeds(sum, times), "{sum:?} over {times}");
             }
         }
     }
 }
 
-/// All of a customer's requests come to one daemon of eight. With equal parts
-/// seven eighths of what the customer pays for would be refused.
+/// All of a customer's requests arrive at one daemon of eight. With equal parts,
+/// seven eighths of what the customer pays for would be rejected.
 #[test]
 fn shares_follow_demand() {
     let mut fleet = Fleet::new(8, LIMIT, Duration::from_secs(1), 3);
@@ -146,8 +149,9 @@
     assert!(fleet.share(2).requests <= 20.0, "{:?}", fleet.share(2));
 }
 
-/// One daemon is cut off from all others. Its callers go on being served within
-/// the share it had; growing would spend what the others give out too.
+/// One daemon is cut off from all others. It continues to serve its callers
+/// within the share it had; a larger share would give out what the others give
+/// out too.
 #[test]
 fn a_daemon_cut_off_keeps_its_last_share() {
     let mut fleet = Fleet::new(4, LIMIT, Duration::from_secs(1), 4);
@@ -168,10 +172,10 @@
     );
 }
 
-/// One customer's requests reach two daemons, four times what its plan allows
-/// at each. Together they must not let in more than the plan, and not much less.
+/// One customer's requests arrive at two daemons, four times what its plan allows
+/// at each. Together they must not admit more than the plan, and not much less.
 #[test]
-fn two_daemons_keep_one_plan_together() {
+fn two_daemons_together_enforce_one_plan() {
     let origin = Instant::now();
     let scene = Scene {
         endpoints: vec![("e0".into(), Behaviour::sound(1e6, 1e6))],
@@ -204,7 +208,7 @@
                 inputs.push(Input::Arrived(order));
             }
             let commands = worlds[at].tick(now, inputs);
-            let ends = sends(&commands);
+            let ends = complete_attempts(&commands);
             count += ends.len();
             worlds[at].tick(now, ends);
         }
@@ -229,8 +233,8 @@
     }
 }
 
-/// Answers to all that was sent.
-fn sends(commands: &[Command]) -> Vec<Input> {
+/// Ends each attempt with a complete answer.
+fn complete_attempts(commands: &[Command]) -> Vec<Input> {
     let mut ends = Vec::new();
     for command in commands {
         if let Command::Send(send) = command {
--- a/lib/tests/test_moves_evidence.rs
+++ b/lib/tests/test_moves_evidence.rs
@@ -1,9 +1,10 @@
-//! Evidence of version moves: rows on the wire, and rows that come in any order.
+//! Evidence of version moves: the wire form of rows, and merging rows that arrive
+//! in any order.
 
 use std::time::Duration;
 
-use poplarvale_lib::moves::evidence::{Evidence, MOST_ROUTES, Pair, Row, Sample, Which};
-use poplarvale_lib::moves::histogram::{SLOTS, edge, slot};
+use poplarvale_lib::moves::evidence::{Evidence, MAX_ROUTES, Pair, Row, Sample, VersionSide};
+use poplarvale_lib::moves::histogram::{BUCKETS, bucket, upper_edge};
 use proptest::prelude::*;
 
 const ID: u128 = 7;
@@ -13,8 +14,12 @@
         (0..3_u8, any::<bool>(), 0..100_000_u64, 0..4_u8).prop_map(|(route, new, time, kind)| {
             Sample {
                 route: format!("GET /{route}").into(),
-                repeatable: true,
-                which: if new { Which::New } else { Which::Old },
+                idempotent: true,
+                which: if new {
+                    VersionSide::New
+                } else {
+                    VersionSide::Old
+                },
                 time: (kind > 0).then(|| Duration::from_millis(time)),
                 compared: kind > 1,
             }
@@ -22,7 +27,7 @@
     prop::collection::vec(one, 1..60)
 }
 
-/// Rows as a daemon publishes them, some samples apart.
+/// Rows as a daemon publishes them, one publication after every few samples.
 fn published(samples: &[Sample]) -> Vec<Row> {
     let mut evidence = Evidence::default();
     let mut rows = Vec::new();
@@ -36,62 +41,62 @@
 }
 
 #[test]
-fn slots_cover_their_times() {
-    for at in 1..SLOTS - 1 {
-        assert_eq!(slot(edge(at).mul_f64(0.99)), at);
+fn buckets_cover_their_latencies() {
+    for at in 1..BUCKETS - 1 {
+        assert_eq!(bucket(upper_edge(at).mul_f64(0.99)), at);
     }
-    assert_eq!(slot(Duration::ZERO), 0);
-    assert_eq!(slot(Duration::from_hours(1)), SLOTS - 1);
+    assert_eq!(bucket(Duration::ZERO), 0);
+    assert_eq!(bucket(Duration::from_hours(1)), BUCKETS - 1);
 }
 
 /// A caller makes up a path for each request. Without a limit, the rows of the
-/// daemon it asks would fill the memory of all the others.
+/// daemon that it calls would fill the memory of all other daemons.
 #[test]
-fn made_up_routes_share_one_row() {
+fn routes_past_the_limit_share_one_row() {
     let mut evidence = Evidence::default();
-    for n in 0..10 * MOST_ROUTES {
+    for n in 0..10 * MAX_ROUTES {
         evidence.record(&Sample {
             route: format!("GET /{n}").into(),
-            repeatable: true,
-            which: Which::Old,
+            idempotent: true,
+            which: VersionSide::Old,
             time: None,
             compared: true,
         });
     }
     let rows = evidence.publish(1, ID);
-    assert_eq!(rows.len(), MOST_ROUTES + 1);
+    assert_eq!(rows.len(), MAX_ROUTES + 1);
     let failed: u32 = rows.iter().map(|row| row.pair.old.failed).sum();
-    assert_eq!(failed as usize, 10 * MOST_ROUTES);
+    assert_eq!(failed as usize, 10 * MAX_ROUTES);
 }
 
 proptest! {
     #![proptest_config(testutils::fixed(128))]
 
     #[test]
-    fn a_row_reads_back_as_it_was_written(samples in samples()) {
+    fn a_row_survives_the_wire_form(samples in samples()) {
         for row in published(&samples) {
             prop_assert_eq!(Row::from_wire(&row.to_wire()), Some(row));
         }
     }
 
     #[test]
-    fn counts_past_the_last_slot_are_refused(first in 0..200_u32, length in 0..200_usize) {
+    fn counts_past_the_last_bucket_are_rejected(first in 0..200_u32, length in 0..200_usize) {
         let mut wire = published(&[Sample {
             route: "GET /".into(),
-            repeatable: true,
-            which: Which::New,
+            idempotent: true,
+            which: VersionSide::New,
             time: Some(Duration::from_millis(5)),
             compared: true,
         }])[0].to_wire();
-        let side = wire.new.as_mut().expect("it has both");
+        let side = wire.new.as_mut().expect("a row has both versions");
         side.first = first;
         side.counts = vec![1; length];
-        let fits = first as usize + length <= SLOTS;
+        let fits = first as usize + length <= BUCKETS;
         prop_assert_eq!(Row::from_wire(&wire).is_some(), fits);
     }
 
-    /// Rows come twice, late and in any order. Counted twice, a few failures would
-    /// convict a good version.
+    /// Rows arrive twice, late and in any order. If they were counted twice, a few
+    /// failures would make a good version look bad.
     #[test]
     fn each_request_counts_once_in_any_order(samples in samples(), seed: u64) {
         let mut rng = fastrand::Rng::with_seed(seed);
@@ -107,8 +112,8 @@
         let mut counted = 0;
         for row in rows {
             evidence.merge(row);
-            let news = evidence.take_news();
-            counted += news.iter().map(|n| all(&n.pair)).sum::<u32>();
+            let deltas = evidence.take_deltas();
+            counted += deltas.iter().map(|d| all(&d.pair)).sum::<u32>();
         }
         prop_assert_eq!(counted, last.iter().map(|row| all(&row.pair)).sum::<u32>());
         prop_assert_eq!(counted as usize, samples.len());
--- a/lib/tests/test_relay_admit.rs
+++ b/lib/tests/test_relay_admit.rs
@@ -3,10 +3,10 @@
 use std::time::{Duration, Instant};
 
 use poplarvale_lib::relay::admit::Limits;
-use poplarvale_lib::relay::ask::Prompt;
 use poplarvale_lib::relay::catalog::{Engine, Service};
-use poplarvale_lib::relay::place::{NoPlace, Wanted, book, choose};
+use poplarvale_lib::relay::request::Prompt;
 use poplarvale_lib::relay::rollout::Versions;
+use poplarvale_lib::relay::selection::{Criteria, SelectError, book, choose};
 
 use crate::relay_engines::engines;
 
@@ -45,7 +45,7 @@
 /// urgent prompt for each three short, less urgent ones. An engine prefills one prompt after
 /// the other.
 fn simulate(limited: bool) -> [Tally; 2] {
-    let (service, mut board) = (service(), engines(ENGINES as u32, SLOTS));
+    let (service, mut table) = (service(), engines(ENGINES as u32, SLOTS));
     let start = Instant::now();
     let mut free = [start; ENGINES];
     let mut running: Vec<(Instant, String, u64)> = Vec::new();
@@ -68,13 +68,13 @@
         };
         running.sort();
         while let Some((at, id, began)) = running.first().cloned().filter(|row| row.0 <= now) {
-            board.began(&id, began, at);
-            if let Some(row) = board.get_mut(&id) {
-                row.end(began);
+            table.record_first_event(&id, began, at);
+            if let Some(row) = table.get_mut(&id) {
+                row.remove_request(began);
             }
             running.remove(0);
         }
-        let wanted = Wanted {
+        let wanted = Criteria {
             service: &service,
             prompt: Some(&prompt),
             target: TARGET,
@@ -82,14 +82,14 @@
             avoid: &[],
             versions: &Versions::Any,
             limits: limited.then(|| Limits::new(TARGET, rank, DEADLINE)),
-            draw: 0,
+            seed: 0,
             now,
         };
         let tally = &mut tallies[usize::from(urgent)];
         tally.sent += 1;
-        match choose(&board, &wanted) {
+        match choose(&table, &wanted) {
             Ok(choice) => {
-                book(&mut board, &wanted, &choice, number);
+                book(&mut table, &wanted, &choice, number);
                 let at = choice.id[1..]
                     .parse::<usize>()
                     .expect("the number of an engine");
@@ -102,7 +102,7 @@
                     tally.late += 1;
                 }
             }
-            Err(NoPlace::Busy(retry_after)) => {
+            Err(SelectError::Busy(retry_after)) => {
                 assert!(retry_after > Duration::ZERO && retry_after <= Duration::from_secs(2));
                 tally.rejected += 1;
             }
