--- a/daemon/src/relay/duties.rs
+++ b/daemon/src/relay/duties.rs
@@ -200,7 +200,7 @@
             None => (0, None),
         };
         let last = last_report(state, record);
-        let mut orders = Orders::new(state.demand.borrow().first());
+        let mut orders = Orders::new(state.demand.borrow().first_request());
         let saved = saved.and_then(|item| checkpoint::read(&item.value));
         if let Some(saved) = &saved {
             checkpoint::restore_usage(state, saved);
@@ -456,7 +456,7 @@
         window,
         counts: counts.clone(),
     };
-    state.usage.borrow_mut().fix(report, Instant::now());
+    state.usage.borrow_mut().finalize(report, Instant::now());
 }
 
 /// The last report: the record in the store, or what is known to have lain there.
@@ -467,14 +467,14 @@
             window: record.number,
             counts: record.counts.into(),
         };
-        if !usage.hear_fixed(report.clone()) && usage.fixed() != Some(&report) {
+        if !usage.merge_finalized(report.clone()) && usage.finalized() != Some(&report) {
             log::info!(
                 "duty: the record of the last report is of window {}, a newer one is known.",
                 report.window
             );
         }
     }
-    usage.fixed().cloned()
+    usage.finalized().cloned()
 }
 
 fn counts_text(counts: &Counts) -> Result<CompactString, serde_json::Error> {
--- a/daemon/src/relay/serve.rs
+++ b/daemon/src/relay/serve.rs
@@ -115,7 +115,7 @@
         return refuse(state, write, head, refused, keep).await;
     }
     let cost = team.map_or(0.0, |team| quota::units(team, head));
-    let allowed = team.map(|team| state.quota.borrow_mut().take(team, cost, Std::now()));
+    let allowed = team.map(|team| state.quota.borrow_mut().admit(team, cost, Std::now()));
     if let Some(Err(again)) = allowed {
         let refused = Refusal::later(Code::TokenRate, again);
         return refuse(state, write, head, refused, keep).await;
@@ -123,7 +123,7 @@
     if let Some(prompt) = &head.prompt {
         let work = demand::work(prompt);
         let mut demand = state.demand.borrow_mut();
-        demand.ask(&service.name, work, Std::now());
+        demand.record(&service.name, work, Std::now());
     }
     let job = Job {
         request,
--- a/daemon/src/relay/state.rs
+++ b/daemon/src/relay/state.rs
@@ -15,7 +15,7 @@
 use poplarvale_lib::relay::digest::{Peers, Place};
 use poplarvale_lib::relay::endpoint_table::EndpointTable;
 use poplarvale_lib::relay::follow::Follow;
-use poplarvale_lib::relay::quota::{Quota, short};
+use poplarvale_lib::relay::quota::{Quota, name_hash};
 use poplarvale_lib::relay::rollout::Rollouts;
 use poplarvale_lib::relay::settings::RelaySettings;
 use poplarvale_lib::relay::shutdown::Phase;
@@ -91,7 +91,7 @@
         let me = v4(&settings.peers.ip()).unwrap_or(Ipv4Addr::LOCALHOST);
         let seeds: Vec<Ipv4Addr> = settings.seeds.iter().filter_map(v4).collect();
         let place = Place {
-            zone: short(&settings.zone),
+            zone: name_hash(&settings.zone),
             memory: u32::try_from(settings.memory / MEGABYTE).unwrap_or(u32::MAX),
         };
         let quota = Quota::new(
--- a/lib/src/relay/endpoint_table.rs
+++ b/lib/src/relay/endpoint_table.rs
@@ -18,7 +18,7 @@
 use super::limit::{AnnouncedLimit, Limit, Sharers};
 use super::listing::Listing;
 use super::prefix_cache::PrefixCache;
-use super::quota::short;
+use super::quota::name_hash;
 use super::tombstones::Tombstones;
 use crate::{EndpointId, ServiceId, ZoneHash};
 
@@ -600,7 +600,7 @@
 
 impl Endpoint {
     fn new(listing: Listing, state: EndpointState, reports: &[LoadReport]) -> Self {
-        let hash = short(&listing.id);
+        let hash = name_hash(&listing.id);
         Self {
             listing,
             hash,
--- a/lib/src/relay/rollout.rs
+++ b/lib/src/relay/rollout.rs
@@ -17,7 +17,7 @@
 
 use evidence::{Comparison, Key, Observations, SLOTS, Sample};
 
-use super::quota::short;
+use super::quota::name_hash;
 use crate::{ServiceId, VersionId, era_of};
 
 /// Unix time in milliseconds, by the clock that all daemons agree on.
@@ -299,7 +299,7 @@
         let new = version == row.order.target;
         let slot = (row.elapsed(now) * f64::from(SLOTS)) as u32;
         row.observations
-            .record((short(route), slot.min(SLOTS - 1)), new, sample);
+            .record((name_hash(route), slot.min(SLOTS - 1)), new, sample);
         row.apply_verdict();
         row.outcome != Outcome::Running
     }
--- a/lib/tests/test_relay_selection.rs
+++ b/lib/tests/test_relay_selection.rs
@@ -6,7 +6,7 @@
 use poplarvale_lib::relay::catalog::{Engine, Service};
 use poplarvale_lib::relay::endpoint_table::{EndpointTable, InFlight, Load, Reporter};
 use poplarvale_lib::relay::listing::Listing;
-use poplarvale_lib::relay::quota::short;
+use poplarvale_lib::relay::quota::name_hash;
 use poplarvale_lib::relay::request::Prompt;
 use poplarvale_lib::relay::rollout::Versions;
 use poplarvale_lib::relay::selection::{Choice, Criteria, SelectError, book, choose};
@@ -154,7 +154,7 @@
     };
     fixture.table.apply_report(
         Reporter::Daemon(1, "b".into()),
-        vec![(short("e0"), full)],
+        vec![(name_hash("e0"), full)],
         fixture.now,
     );
     for session in 20..24 {
