--- a/lib/tests/test_relay_crash.rs
+++ b/lib/tests/test_relay_crash.rs
@@ -24,7 +24,7 @@
 
 /// Each daemon sees a request crash fewer endpoints than a quarantine needs.
 #[test]
-fn ends_seen_by_different_daemons_count_together() {
+fn crashes_seen_by_different_daemons_count_together() {
     let now = Instant::now();
     let mut daemons = vec![Crashes::default(); QUARANTINE_CRASHES];
     for (incarnation, daemon) in (1..).zip(&mut daemons) {
@@ -146,7 +146,7 @@
     /// each other, all quarantine the same requests, and just those under which enough
     /// endpoints crashed.
     #[test]
-    fn daemons_agree_after_lost_and_repeated_words(
+    fn daemons_agree_after_lost_and_repeated_digests(
         crashed in prop::collection::vec((0_usize..4, 0_u64..5, 0_u32..8), 0..30),
         digests in prop::collection::vec((0_usize..4, 0_usize..4), 0..30),
     ) {
--- a/lib/tests/test_relay_rollout.rs
+++ b/lib/tests/test_relay_rollout.rs
@@ -149,25 +149,25 @@
 /// A version fails two requests in five from its first one on. Callers notice failed bookings,
 /// so only a few may reach it.
 #[test]
-fn a_version_that_fails_is_taken_back() {
+fn a_version_that_fails_is_rolled_back() {
     assert_rolled_back(|_, _| (0.4, 30));
 }
 
 /// A version answers correctly but takes four times as long.
 #[test]
-fn a_version_that_is_slow_is_taken_back() {
+fn a_version_that_is_slow_is_rolled_back() {
     assert_rolled_back(|route, _| (good(route, 0).0, 120));
 }
 
 /// A version fails on one route only, and the good answers of the other route hide that.
 #[test]
-fn a_version_that_fails_on_one_route_is_taken_back() {
+fn a_version_that_fails_on_one_route_is_rolled_back() {
     assert_rolled_back(|route, _| (if route == "booking" { 0.35 } else { 0.14 }, 30));
 }
 
 /// A version works during the trial and fails as soon as it has all requests.
 #[test]
-fn a_version_that_fails_late_is_taken_back() {
+fn a_version_that_fails_late_is_rolled_back() {
     assert_rolled_back(|route, at| {
         let baseline = good(route, at).0;
         (
@@ -184,7 +184,7 @@
 /// The daemons receive nothing from each other. Each keeps to the share independently, so the
 /// bound holds whatever the verdict.
 #[test]
-fn a_partition_does_not_raise_what_a_tried_version_gets() {
+fn a_partition_does_not_raise_the_share_of_a_version_on_trial() {
     for seed in 0..20 {
         let result = simulate(seed, true, |_, at| {
             (if at < DURATION_MS * 6 / 10 { 0.5 } else { 0.9 }, 30)
@@ -197,7 +197,7 @@
 /// send requests to endpoints that are about to be stopped, or to a version that was found to
 /// be bad.
 #[test]
-fn a_daemon_that_starts_late_follows_the_others() {
+fn a_daemon_that_starts_late_adopts_the_move_of_the_others() {
     let mut old = Rollouts::new(0.1);
     old.add_order(order(), BEGIN_MS, BEGIN_MS + DURATION_MS);
     let now = BEGIN_MS + DURATION_MS * 7 / 10;
@@ -276,7 +276,7 @@
 /// The store comes back from an older copy and assigns revisions anew. An order that is read
 /// again is not a new move, and its state is written again.
 #[test]
-fn a_move_that_is_read_again_in_a_new_era_is_the_same() {
+fn an_order_that_is_read_again_in_a_new_era_is_not_a_new_move() {
     let mut rollouts = Rollouts::new(0.1);
     rollouts.add_order(order(), BEGIN_MS, BEGIN_MS + DURATION_MS);
     rollouts.apply_status("pool", "v2", Outcome::RolledBack, 8);
