--- a/lib/src/relay.rs
+++ b/lib/src/relay.rs
@@ -7,6 +7,7 @@
 //! modules decide. Nothing here reads a socket or a clock.
 
 pub mod admit;
+pub mod breaker;
 pub mod budget;
 pub mod catalog;
 pub mod clock;
@@ -15,13 +16,10 @@
 pub mod demand;
 pub mod digest;
 pub mod duty;
-pub(crate) mod ended;
 pub mod endpoint_table;
 pub mod engine;
-pub mod evidence;
 pub mod fleet;
 pub mod follow;
-pub mod life;
 pub mod limit;
 pub mod listing;
 pub mod prefix_cache;
@@ -30,5 +28,7 @@
 pub mod rollout;
 pub mod selection;
 pub mod settings;
+pub mod shutdown;
 pub mod sse;
+pub(crate) mod tombstones;
 pub mod usage;
--- a/lib/tests/test_relay_selection.rs
+++ b/lib/tests/test_relay_selection.rs
@@ -2,11 +2,11 @@
 
 use std::time::{Duration, Instant};
 
+use poplarvale_lib::relay::breaker::CircuitBreaker;
 use poplarvale_lib::relay::catalog::{Engine, Service};
 use poplarvale_lib::relay::endpoint_table::{EndpointTable, InFlight, Load, Reporter};
-use poplarvale_lib::relay::evidence::Evidence;
 use poplarvale_lib::relay::listing::Listing;
-use poplarvale_lib::relay::quota::short;
+use poplarvale_lib::relay::quota::name_hash;
 use poplarvale_lib::relay::request::Prompt;
 use poplarvale_lib::relay::rollout::Versions;
 use poplarvale_lib::relay::selection::{Choice, Criteria, SelectError, book, choose};
@@ -154,7 +154,7 @@
     };
     fixture.table.apply_report(
         Reporter::Daemon(1, "b".into()),
-        vec![(short("e0"), full)],
+        vec![(name_hash("e0"), full)],
         fixture.now,
     );
     for session in 20..24 {
@@ -202,17 +202,17 @@
 #[test]
 fn a_failing_endpoint_is_excluded_and_tried_with_one_request() {
     let now = Instant::now();
-    let mut evidence = Evidence::default();
+    let mut evidence = CircuitBreaker::default();
     for _ in 0..6 {
-        evidence.bad(now);
+        evidence.record_failure(now);
     }
-    assert!(!evidence.is_fit(now));
+    assert!(!evidence.allows_request(now));
     let later = now + Duration::from_secs(1);
-    assert!(evidence.is_fit(later));
-    evidence.sent();
-    assert!(!evidence.is_fit(later));
-    evidence.good();
-    assert!(evidence.is_fit(later));
+    assert!(evidence.allows_request(later));
+    evidence.record_sent();
+    assert!(!evidence.allows_request(later));
+    evidence.record_success();
+    assert!(evidence.allows_request(later));
 }
 
 /// Some services usually fail 14 of 100 requests. If their endpoints were excluded for that,
@@ -220,14 +220,14 @@
 #[test]
 fn a_few_failures_exclude_no_endpoint() {
     let now = Instant::now();
-    let mut evidence = Evidence::default();
+    let mut evidence = CircuitBreaker::default();
     for at in 0..700 {
         if at % 7 == 0 {
-            evidence.bad(now);
+            evidence.record_failure(now);
         } else {
-            evidence.good();
+            evidence.record_success();
         }
-        assert!(evidence.is_fit(now));
+        assert!(evidence.allows_request(now));
     }
 }
 
