--- a/lib/benches/routing.rs
+++ b/lib/benches/routing.rs
@@ -60,14 +60,14 @@
     table("hot late", &late, &both, &[]);
     table("reclaim", &SCENE, &plain, &wave);
     table("hot reclaim", &SCENE, &hot, &wave);
-    crowded();
-    lost();
+    overloaded();
+    lost_events();
 }
 
 /// More load than four endpoints can serve, through eight daemons that see the
 /// same headroom in reports sent every two seconds and two seconds late. The
 /// number of answers in time must not fall.
-fn crowded() {
+fn overloaded() {
     let scene = Scene {
         endpoints: 1,
         every: 2.0,
@@ -82,7 +82,7 @@
 
 /// Tokens recomputed with one cache event in five lost, compared with none lost,
 /// in small caches. Single seeds differ by a tenth, hence many seeds.
-fn lost() {
+fn lost_events() {
     let scene = Scene {
         zones: 3,
         endpoints: 4,
--- a/lib/src/routing/endpoint_load.rs
+++ b/lib/src/routing/endpoint_load.rs
@@ -91,10 +91,13 @@
 #[proc_macros::row]
 pub struct EndpointLoad {
     report: LoadReport,
+    /// When the last report was measured.
     reported_at: Option<Instant>,
+    /// Streams of other daemons at that time.
     remote_streams: u32,
     pending: Backlog,
     sent: VecDeque<SentPrompt>,
+    /// Running streams of this daemon over time.
     counts: VecDeque<RunningCount>,
 }
 
--- a/lib/src/routing/prefix_cache.rs
+++ b/lib/src/routing/prefix_cache.rs
@@ -63,7 +63,7 @@
     /// Sequence number of the last event that named the block; 0 for a prompt
     /// sent by this daemon.
     sequence: u64,
-    /// Counter value at the last use.
+    /// Value of `uses` when it was last used.
     used: u32,
     /// Index in the prompt of the last use; of one prompt, later blocks are
     /// evicted first.
@@ -95,12 +95,15 @@
     filter: BlockFilter,
     epoch: Option<u64>,
     next_sequence: u64,
+    /// Sequence numbers of the missing events, in ascending order.
     missing: Vec<u64>,
     /// Blocks removed while events were missing, each with the sequence number of
     /// the removing event: a missing event that added the block earlier must not
     /// restore it.
     removed: Vec<(u64, u64)>,
+    /// Whether more than [`MAX_MISSING`] events were missing at once in this epoch.
     gap_forgotten: bool,
+    /// Number of insertions so far, as the time of last use of the entries.
     uses: u32,
 }
 
--- a/lib/src/routing/view.rs
+++ b/lib/src/routing/view.rs
@@ -75,6 +75,7 @@
     pub(crate) distance: Distance,
     /// Price penalty in seconds.
     pub(crate) price_s: f64,
+    /// Address and version of the process that it describes.
     process: Option<(std::net::SocketAddr, crate::ids::VersionId)>,
 }
 
@@ -126,12 +127,14 @@
     pub latencies: RouteLatencies,
     /// Reclaim notices.
     pub notices: Notices,
+    /// Position of the round-robin policy.
     pub(crate) round_robin: usize,
     infos: Table<EndpointInfo>,
     groups: Vec<Group>,
     zones: ZoneRegions,
     /// Known ends, including those of endpoints that are not known yet.
     known_ends: Notices,
+    /// Whether distances, ends or prices have changed since the last [`View::sync`].
     stale: bool,
 }
 
