--- a/daemon/src/relay/peers.rs
+++ b/daemon/src/relay/peers.rs
@@ -1,4 +1,7 @@
-//! Digests to and from the other daemons.
+//! Exchange of digests with the other daemons, as UDP datagrams.
+//!
+//! This module sends the digests that are due, converts between the messages and the types of
+//! the library, and applies what other daemons report to the shared state.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::rc::Rc;
@@ -21,42 +24,42 @@
 
 use super::crash;
 use super::state::State;
-use super::watch::take_news;
+use super::watch::apply_feed;
 
-mod news;
+mod change_feed;
 
-/// Largest datagram that is read, in bytes. One that is cut short cannot be decoded, and its
-/// sender would seem to be silent.
-const MOST: usize = 64 * 1024;
+/// Largest datagram that is read. A longer one is truncated and cannot be decoded, so its sender
+/// would seem unresponsive.
+const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
 
 /// Receives digests until the process ends.
 pub(crate) async fn receive(state: Rc<State>, socket: Rc<UdpSocket>) {
-    let mut bytes = vec![0; MOST];
+    let mut bytes = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         match socket.recv_from(&mut bytes).await {
             Ok((len, from)) => match (Digest::decode(&bytes[..len]), from.ip()) {
-                (Ok(digest), IpAddr::V4(from)) => hear(&state, from, digest),
-                _ => log::warn!("peers: a datagram from {from} is no digest."),
+                (Ok(digest), IpAddr::V4(from)) => apply_digest(&state, from, digest),
+                _ => log::warn!("peers: dropped a datagram from {from} that is no digest."),
             },
-            // An unreachable peer shows here as an error of the next call.
-            Err(error) => log::debug!("peers: not received, {error}."),
+            // The socket reports an unreachable peer as an error of the next receive call.
+            Err(error) => log::debug!("peers: receiving a datagram failed, {error}."),
         }
     }
 }
 
 /// Sends digests until the process ends.
 pub(crate) async fn send(state: Rc<State>, socket: Rc<UdpSocket>) {
-    let mut turns = Turns::new(state.started);
+    let mut schedule = Turns::new(state.started);
     let mut urgent = false;
     loop {
         let now = Instant::now();
         state.peers.borrow_mut().expire(now);
         share_limits(&state, now);
-        let rounds = state.peers.borrow().rounds();
+        let remote_every = state.peers.borrow().rounds();
         urgent |= !state.left.borrow().is_empty();
-        tell(&state, &socket, turns.next(rounds, urgent, now));
-        if rounds > 1 && state.peers.borrow().is_watcher(now) {
-            tell_zone(&state, &socket, now);
+        send_digest(&state, &socket, schedule.next(remote_every, urgent, now));
+        if remote_every > 1 && state.peers.borrow().is_watcher(now) {
+            send_zone_summary(&state, &socket, now);
         }
         let period = state.peers.borrow().near_period();
         tokio::select! {
@@ -66,7 +69,7 @@
     }
 }
 
-/// Has the limits that endpoints name shared by the daemons that are heard.
+/// Divides the limits that endpoints announce among the daemons that sent a digest recently.
 fn share_limits(state: &State, now: Instant) {
     let peers = state.peers.borrow();
     let sharers = Sharers {
@@ -76,78 +79,81 @@
     state.endpoints.borrow_mut().set_sharers(sharers, now);
 }
 
-/// Sends the last digest of a daemon that ends. What it counted since the last whole one
-/// would be lost with it, and teams charged for less than they used.
-pub(crate) fn tell_last(state: &State, socket: &UdpSocket) {
-    let turn = Turn {
+/// Sends a full digest right before the daemon ends. What it counted since its last full digest
+/// would be lost otherwise, and teams would be charged for less than they used.
+pub(crate) fn send_last_digest(state: &State, socket: &UdpSocket) {
+    let due = Turn {
         near: true,
         far: Some(true),
     };
-    tell(state, socket, turn);
+    send_digest(state, socket, due);
 }
 
-/// Sends a digest to the daemons of this zone, to those that were never heard, and at some
-/// turns to those of other zones.
-fn tell(state: &State, socket: &UdpSocket, turn: Turn) {
+/// Sends the digests that are due: one to the daemons of this zone and to those that never sent
+/// one, so that their zone is unknown, and in some rounds another to the daemons of other zones.
+fn send_digest(state: &State, socket: &UdpSocket, due: Turn) {
     let now = Instant::now();
     let sequence = state.next_digest();
     let left = std::mem::take(&mut *state.left.borrow_mut());
     let peers = state.peers.borrow();
-    if let Some(whole) = turn.far {
-        let bytes = digest(state, sequence, whole, &left, now).encode_to_vec();
-        let far = peers.rows().iter().filter(|peer| peers.is_far(peer));
-        far.for_each(|peer| send_to(state, socket, peer, &bytes));
+    if let Some(full) = due.far {
+        let bytes = build_digest(state, sequence, full, &left, now).encode_to_vec();
+        let remote = peers.rows().iter().filter(|peer| peers.is_far(peer));
+        remote.for_each(|peer| send_to(state, socket, peer, &bytes));
     }
-    let mut digest = digest(state, sequence, turn.near, &left, now);
+    let mut digest = build_digest(state, sequence, due.near, &left, now);
     if peers.is_watcher(now) {
-        let check = state.endpoints.borrow().checksum();
-        let news = state.follow.borrow().tell(check, now);
-        digest.news = news.map(news::tell);
+        let checksum = state.endpoints.borrow().checksum();
+        let feed = state.follow.borrow().tell(checksum, now);
+        digest.news = feed.map(change_feed::encode);
     }
     let bytes = digest.encode_to_vec();
-    let near = peers.rows().iter().filter(|peer| !peers.is_far(peer));
-    near.for_each(|peer| send_to(state, socket, peer, &bytes));
+    let local = peers.rows().iter().filter(|peer| !peers.is_far(peer));
+    local.for_each(|peer| send_to(state, socket, peer, &bytes));
 }
 
-/// Tells the other zones what this one does as a whole.
-fn tell_zone(state: &State, socket: &UdpSocket, now: Instant) {
+/// Sends the summed usage and endpoint load of this zone to the daemons of the other zones.
+fn send_zone_summary(state: &State, socket: &UdpSocket, now: Instant) {
     let peers = state.peers.borrow();
-    let place = peers.place();
-    let summary = state.quota.borrow().zone_summary(place.zone, now);
+    let location = peers.place();
+    let summary = state.quota.borrow().zone_summary(location.zone, now);
     let teams = summary.teams.into_iter().map(|row| digest::TeamUse {
         team: row.team,
         rate: row.rate as u32,
         asked: row.demand as u32,
         ..digest::TeamUse::default()
     });
-    let endpoints = state.endpoints.borrow().zone_load(place.zone);
+    let endpoints = state.endpoints.borrow().zone_load(location.zone);
     let zone_use = digest::ZoneUse {
         silent: summary.unresponsive,
         teams: teams.collect(),
-        endpoints: endpoints.into_iter().map(tell_use).collect(),
+        endpoints: endpoints.into_iter().map(encode_load).collect(),
     };
     let digest = Digest {
         name: state.settings.name.to_string(),
         incarnation: state.incarnation,
         sequence: state.next_digest(),
-        zone: place.zone,
-        memory: place.memory,
+        zone: location.zone,
+        memory: location.memory,
         zone_use: Some(zone_use),
         ..Digest::default()
     };
     let bytes = digest.encode_to_vec();
-    let far = peers.heard_lately(now).filter(|peer| peers.is_far(peer));
-    far.for_each(|peer| send_to(state, socket, peer, &bytes));
+    let remote = peers.heard_lately(now).filter(|peer| peers.is_far(peer));
+    remote.for_each(|peer| send_to(state, socket, peer, &bytes));
 }
 
 fn send_to(state: &State, socket: &UdpSocket, peer: &Peer, bytes: &[u8]) {
     let to = SocketAddr::new(IpAddr::V4(peer.address), state.settings.peers.port());
     if let Err(error) = socket.try_send_to(bytes, to) {
-        log::debug!("peers: nothing sent to {}, {error}.", peer.address);
+        log::debug!(
+            "peers: sending a digest to {} failed, {error}.",
+            peer.address
+        );
     }
 }
 
-fn tell_use((endpoint, load): (u32, Load)) -> digest::EndpointUse {
+fn encode_load((endpoint, load): (u32, Load)) -> digest::EndpointUse {
     digest::EndpointUse {
         endpoint,
         requests: load.requests,
@@ -155,15 +161,17 @@
     }
 }
 
-fn hear_use(told: &digest::EndpointUse) -> (u32, Load) {
+fn decode_load(row: &digest::EndpointUse) -> (u32, Load) {
     let load = Load {
-        requests: told.requests,
-        tokens: f64::from(told.tokens),
+        requests: row.requests,
+        tokens: f64::from(row.tokens),
     };
-    (told.endpoint, load)
+    (row.endpoint, load)
 }
 
-fn digest(state: &State, sequence: u64, whole: bool, left: &[u32], now: Instant) -> Digest {
+/// The digest of this daemon. A full one also names its peers and covers all usage windows; a
+/// short one covers only the last window that has ended.
+fn build_digest(state: &State, sequence: u64, full: bool, left: &[u32], now: Instant) -> Digest {
     let quota = state.quota.borrow();
     let teams = quota.team_uses(now).into_iter().map(|row| digest::TeamUse {
         team: row.team,
@@ -174,14 +182,14 @@
     });
     let table = state.endpoints.borrow();
     let busy = table.rows().iter().filter(|row| !row.in_flight.is_empty());
-    let endpoints = busy.map(|row| tell_use((row.hash, row.local_load())));
+    let endpoints = busy.map(|row| encode_load((row.hash, row.local_load())));
     let usage = state.usage.borrow();
     let current = state.window_at(now);
     let windows = usage.mine();
-    let windows = windows.filter(|(number, _)| whole || number + 1 == current);
+    let windows = windows.filter(|(number, _)| full || number + 1 == current);
     let windows = windows.map(|(number, counts)| digest::Window {
         number,
-        counts: counts.iter().map(count).collect(),
+        counts: counts.iter().map(encode_count).collect(),
     });
     let demand = state.demand.borrow().local_rates(now);
     let services = demand
@@ -191,19 +199,19 @@
             read: work.read as u32,
             write: work.write as u32,
         });
-    let others = if whole {
+    let others = if full {
         state.peers.borrow().lately(now)
     } else {
         Vec::new()
     };
-    let place = state.peers.borrow().place();
+    let location = state.peers.borrow().place();
     let crashes = state.crashes.borrow();
     Digest {
         name: state.settings.name.to_string(),
         incarnation: state.incarnation,
         sequence,
-        zone: place.zone,
-        memory: place.memory,
+        zone: location.zone,
+        memory: location.memory,
         news: None,
         zone_use: None,
         wall_ms: State::wall(),
@@ -211,7 +219,7 @@
             .catalog
             .borrow()
             .as_ref()
-            .map_or(0, |held| held.version),
+            .map_or(0, |catalog| catalog.version),
         peers: others.into_iter().map(u32::from).collect(),
         teams: teams.collect(),
         endpoints: endpoints.collect(),
@@ -219,9 +227,9 @@
         services: services.collect(),
         left: left.to_vec(),
         uptime_ms: state.started.elapsed().as_millis() as u64,
-        moves: state.rollouts.borrow().reports().map(tell_move).collect(),
+        moves: state.rollouts.borrow().reports().map(encode_move).collect(),
         crashes: crashes
-            .report(whole, now)
+            .report(full, now)
             .into_iter()
             .map(crash::tell)
             .collect(),
@@ -233,46 +241,46 @@
         limits: table
             .advertised_limits(now)
             .into_iter()
-            .map(|row| tell_limit(row, now))
+            .map(|row| encode_limit(row, now))
             .collect(),
         contact: state
             .contact
             .get()
             .span()
-            .map(|span| tell_contact(span, now)),
+            .map(|span| encode_contact(span, now)),
     }
 }
 
-fn tell_limit((endpoint, said): (u32, AnnouncedLimit), now: Instant) -> digest::EndpointLimit {
-    let age = now.saturating_duration_since(said.at).as_millis();
+fn encode_limit((endpoint, limit): (u32, AnnouncedLimit), now: Instant) -> digest::EndpointLimit {
+    let age = now.saturating_duration_since(limit.at).as_millis();
     digest::EndpointLimit {
         endpoint,
-        rate: said.rate.map(|rate| rate as f32),
+        rate: limit.rate.map(|rate| rate as f32),
         age_ms: u32::try_from(age).unwrap_or(u32::MAX),
     }
 }
 
-/// Takes in which limit an endpoint named to another daemon.
-fn hear_limit(state: &State, name: &str, told: &digest::EndpointLimit, now: Instant) {
-    let Some(heard) = now.checked_sub(Duration::from_millis(told.age_ms.into())) else {
+/// Merges the limit that an endpoint announced to another daemon.
+fn merge_limit(state: &State, name: &str, limit: &digest::EndpointLimit, now: Instant) {
+    let Some(at) = now.checked_sub(Duration::from_millis(limit.age_ms.into())) else {
         return;
     };
-    let rate = told.rate.map(f64::from);
+    let rate = limit.rate.map(f64::from);
     if rate.is_some_and(|rate| !rate.is_finite() || rate < 0.0) {
-        log::warn!("limit: what {name} tells of an endpoint is no rate.");
+        log::warn!("limit: ignored an endpoint limit from {name} that is not a valid rate.");
         return;
     }
-    let said = AnnouncedLimit { rate, at: heard };
+    let announced = AnnouncedLimit { rate, at };
     if state
         .endpoints
         .borrow_mut()
-        .merge_limit(told.endpoint, said)
+        .merge_limit(limit.endpoint, announced)
     {
-        log::info!(endpoint = told.endpoint, now:? = rate; "limit: an endpoint names another, {name} tells.");
+        log::info!(endpoint = limit.endpoint, now:? = rate; "limit: an endpoint announced a new limit, {name} reports.");
     }
 }
 
-fn tell_contact(span: Span, now: Instant) -> digest::Contact {
+fn encode_contact(span: Span, now: Instant) -> digest::Contact {
     let age = |at: Instant| now.saturating_duration_since(at).as_millis();
     let age = |at| u32::try_from(age(at)).unwrap_or(u32::MAX);
     digest::Contact {
@@ -281,63 +289,63 @@
     }
 }
 
-/// Ends doubt about endpoints, or shortens it, if another daemon had the store while
-/// this one did not.
+/// Ends the grace of doubtful endpoints, or shortens it, if another daemon could reach the store
+/// while this one could not.
 fn end_doubt(state: &State, name: &str, span: Span, now: Instant) {
     let Some(since) = state.contact.get().well_since(span) else {
         return;
     };
-    let well = now.saturating_duration_since(since);
+    let available = now.saturating_duration_since(since);
     for id in state
         .endpoints
         .borrow_mut()
         .registry_healthy_since(since, now)
     {
         log::info!(
-            well_ms = well.as_millis() as u64;
-            "board: endpoint {id} leaves, the store was well as {name} tells."
+            well_ms = available.as_millis() as u64;
+            "board: endpoint {id} leaves, the store was available as {name} reports."
         );
     }
 }
 
-/// By this daemon's clock; `None` for what was before its host started.
-fn hear_contact(told: digest::Contact, now: Instant) -> Option<Span> {
+/// The times by this daemon's clock; `None` if one lies before the start of its host.
+fn decode_contact(contact: digest::Contact, now: Instant) -> Option<Span> {
     let at = |age: u32| now.checked_sub(Duration::from_millis(age.into()));
     Some(Span {
-        since: at(told.since_ms)?,
-        heard: at(told.heard_ms)?,
+        since: at(contact.since_ms)?,
+        heard: at(contact.heard_ms)?,
     })
 }
 
-fn tell_move(word: MoveReport) -> digest::Move {
+fn encode_move(report: MoveReport) -> digest::Move {
     let side = |side: VersionCounts| digest::Side {
         all: side.requests,
         bad: side.failures,
         time: side.time_s as f32,
     };
-    let seen = |((route, slot), sides): (Key, Comparison)| digest::Seen {
+    let seen = |((route, slot), comparison): (Key, Comparison)| digest::Seen {
         route,
         slot,
-        old: Some(side(sides.old)),
-        new: Some(side(sides.new)),
+        old: Some(side(comparison.old)),
+        new: Some(side(comparison.new)),
     };
-    let outcome = match word.outcome {
+    let outcome = match report.outcome {
         Outcome::Running => digest::Outcome::Running,
         Outcome::Completed => digest::Outcome::Completed,
         Outcome::RolledBack => digest::Outcome::RolledBack,
     };
     digest::Move {
-        service: word.order.service.to_string(),
-        target: word.order.target.to_string(),
-        revision: word.order.revision,
-        begin_ms: word.begin,
-        finish_ms: word.finish,
+        service: report.order.service.to_string(),
+        target: report.order.target.to_string(),
+        revision: report.order.revision,
+        begin_ms: report.begin,
+        finish_ms: report.finish,
         outcome: outcome.into(),
-        seen: word.comparisons.into_iter().map(seen).collect(),
+        seen: report.comparisons.into_iter().map(seen).collect(),
     }
 }
 
-fn hear_move(told: digest::Move) -> MoveReport {
+fn decode_move(message: digest::Move) -> MoveReport {
     let side = |side: Option<digest::Side>| {
         side.map_or(VersionCounts::default(), |side| VersionCounts {
             requests: side.all,
@@ -345,37 +353,37 @@
             time_s: f64::from(side.time),
         })
     };
-    let outcome = match told.outcome() {
+    let outcome = match message.outcome() {
         digest::Outcome::Running => Outcome::Running,
         digest::Outcome::Completed => Outcome::Completed,
         digest::Outcome::RolledBack => Outcome::RolledBack,
     };
     let seen = |seen: digest::Seen| {
-        let sides = Comparison {
+        let comparison = Comparison {
             old: side(seen.old),
             new: side(seen.new),
         };
-        ((seen.route, seen.slot), sides)
+        ((seen.route, seen.slot), comparison)
     };
     MoveReport {
         order: Order {
-            service: told.service.into(),
-            target: told.target.into(),
-            revision: told.revision,
+            service: message.service.into(),
+            target: message.target.into(),
+            revision: message.revision,
         },
-        begin: told.begin_ms,
-        finish: told.finish_ms,
+        begin: message.begin_ms,
+        finish: message.finish_ms,
         outcome,
-        comparisons: told.seen.into_iter().map(seen).collect(),
+        comparisons: message.seen.into_iter().map(seen).collect(),
     }
 }
 
-/// Takes in what a watcher of another zone tells of it as a whole.
-fn hear_zone(
+/// Merges the summary of another zone that one of its watchers sent.
+fn merge_zone(
     state: &State,
     zone: ZoneHash,
-    told: &digest::ZoneUse,
-    silent: Duration,
+    zone_use: &digest::ZoneUse,
+    timeout: Duration,
     now: Instant,
 ) {
     let row = |row: &digest::TeamUse| TeamRates {
@@ -383,63 +391,66 @@
         rate: f64::from(row.rate),
         demand: f64::from(row.asked),
     };
-    let mut uses: Vec<TeamRates> = told.teams.iter().map(row).collect();
+    let mut uses: Vec<TeamRates> = zone_use.teams.iter().map(row).collect();
     uses.sort_by_key(|row| row.team);
     let summary = ZoneSummary {
-        unresponsive: told.silent,
+        unresponsive: zone_use.silent,
         teams: uses,
     };
     state
         .quota
         .borrow_mut()
-        .merge_zone(zone, summary, silent, now);
-    let uses = told.endpoints.iter().map(hear_use).collect();
+        .merge_zone(zone, summary, timeout, now);
+    let loads = zone_use.endpoints.iter().map(decode_load).collect();
     let mut table = state.endpoints.borrow_mut();
-    table.apply_report(Reporter::Zone(zone), uses, now);
+    table.apply_report(Reporter::Zone(zone), loads, now);
 }
 
-/// Takes in which report another daemon fixed. One of a window that has not begun would keep
-/// all reports until then from being sent.
-fn hear_fixed(usage: &mut Usage, told: UsageRecord, current: WindowId, name: &str) {
-    if told.number > current {
+/// Merges a usage report that another daemon finalized. One for a window that has not begun is
+/// ignored, as it would keep all reports up to that window from being sent.
+fn merge_finalized(usage: &mut Usage, record: UsageRecord, current: WindowId, name: &str) {
+    if record.number > current {
         log::warn!(
-            "duty: window {} that {name} tells has not begun.",
-            told.number
+            "duty: ignored a usage report from {name} for window {}, which has not begun.",
+            record.number
         );
         return;
     }
     usage.merge_finalized(Report {
-        window: told.number,
-        counts: told.counts.into(),
+        window: record.number,
+        counts: record.counts.into(),
     });
 }
 
-fn count((team, runs): &(CompactString, u32)) -> digest::Count {
+fn encode_count((team, runs): &(CompactString, u32)) -> digest::Count {
     digest::Count {
         team: team.to_string(),
         runs: *runs,
     }
 }
 
-fn hear(state: &State, from: Ipv4Addr, digest: Digest) {
+/// Applies a digest to the shared state, unless a newer one of its sender was received before.
+fn apply_digest(state: &State, from: Ipv4Addr, digest: Digest) {
     let now = Instant::now();
     let name = CompactString::from(digest.name);
-    let contact = digest.contact.and_then(|told| hear_contact(told, now));
+    let contact = digest
+        .contact
+        .and_then(|contact| decode_contact(contact, now));
     {
         let mut peers = state.peers.borrow_mut();
         if !peers.hear(from, &name, digest.incarnation, digest.sequence, now) {
             return;
         }
-        if let Some(told) = digest.zone_use {
-            let silent = peers.near_silent();
+        if let Some(zone_use) = digest.zone_use {
+            let timeout = peers.near_silent();
             drop(peers);
-            return hear_zone(state, digest.zone, &told, silent, now);
+            return merge_zone(state, digest.zone, &zone_use, timeout, now);
         }
-        let place = Place {
+        let location = Place {
             zone: digest.zone,
             memory: digest.memory,
         };
-        peers.tell(from, place, contact);
+        peers.tell(from, location, contact);
         for peer in digest.peers {
             peers.learn(Ipv4Addr::from(peer), now);
         }
@@ -448,25 +459,25 @@
         end_doubt(state, &name, span, now);
     }
     state.clock.borrow_mut().hear(&name, digest.wall_ms, now);
-    match digest.news.map(news::hear) {
-        Some(Some(news)) => take_news(state, news, now),
-        Some(None) => log::warn!("peers: news of {name} is not read."),
+    match digest.news.map(change_feed::decode) {
+        Some(Some(feed)) => apply_feed(state, feed, now),
+        Some(None) => log::warn!("peers: ignored the changes from {name}, a port is invalid."),
         None => {}
     }
-    for told in &digest.limits {
-        hear_limit(state, &name, told, now);
+    for limit in &digest.limits {
+        merge_limit(state, &name, limit, now);
     }
-    for told in digest.crashes {
-        crash::hear(state, &name, told);
+    for row in digest.crashes {
+        crash::hear(state, &name, row);
     }
-    for content in digest.cleared {
-        crash::hear_cleared(state, &name, content);
+    for fingerprint in digest.cleared {
+        crash::hear_cleared(state, &name, fingerprint);
     }
-    let uses = digest.endpoints.iter().map(hear_use).collect();
-    let teller = Reporter::Daemon(digest.zone, name.clone());
-    state.endpoints.borrow_mut().apply_report(teller, uses, now);
+    let loads = digest.endpoints.iter().map(decode_load).collect();
+    let peer = Reporter::Daemon(digest.zone, name.clone());
+    state.endpoints.borrow_mut().apply_report(peer, loads, now);
     for id in state.endpoints.borrow_mut().mark_leaving(&digest.left) {
-        log::info!("board: endpoint {id} leaves, {name} tells.");
+        log::info!("board: endpoint {id} leaves, {name} reports.");
     }
     let work = digest.services.iter().map(|row| {
         let work = Work {
@@ -476,12 +487,12 @@
         (row.service, work)
     });
     state.demand.borrow_mut().merge(&name, work.collect(), now);
-    for told in digest.moves {
-        let heard = hear_move(told);
-        if state.rollouts.borrow_mut().merge(&name, &heard) {
-            let order = &heard.order;
+    for message in digest.moves {
+        let report = decode_move(message);
+        if state.rollouts.borrow_mut().merge(&name, &report) {
+            let order = &report.order;
             log::info!(
-                "rollout: {} to version {} has ended, {name} tells.",
+                "rollout: {} to version {} has ended, {name} reports.",
                 order.service,
                 order.target
             );
@@ -489,8 +500,8 @@
         }
     }
     let mut usage = state.usage.borrow_mut();
-    if let Some(told) = digest.fixed {
-        hear_fixed(&mut usage, told, state.window_at(now), &name);
+    if let Some(record) = digest.fixed {
+        merge_finalized(&mut usage, record, state.window_at(now), &name);
     }
     for window in digest.windows {
         let row = |count: digest::Count| (CompactString::from(count.team), count.runs);
@@ -506,7 +517,7 @@
     };
     let mut uses: Vec<TeamUse> = digest.teams.iter().map(row).collect();
     uses.sort_by_key(|row| row.team);
-    let told = PeerReport {
+    let report = PeerReport {
         name,
         zone: digest.zone,
         incarnation: digest.incarnation,
@@ -516,6 +527,6 @@
             .unwrap_or(now),
         uses,
     };
-    let silent = state.peers.borrow().silent(told.zone);
-    state.quota.borrow_mut().merge_report(&told, silent);
+    let timeout = state.peers.borrow().silent(report.zone);
+    state.quota.borrow_mut().merge_report(&report, timeout);
 }
--- a/daemon/src/relay/peers/news.rs
+++ b/daemon/src/relay/peers/change_feed.rs
@@ -1,4 +1,5 @@
-//! News of the store as daemons tell it to one another.
+//! Conversion of the change feed between the digest and the library's types. By it the daemons
+//! that watch the store forward the changes of the registry to the others.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -8,33 +9,33 @@
 use poplarvale_lib::relay::follow::{Entry, News};
 use poplarvale_lib::relay::listing::Listing;
 
-pub(super) fn tell(news: News) -> digest::News {
+pub(super) fn encode(feed: News) -> digest::News {
     digest::News {
-        after: news.after,
-        revision: news.revision,
-        age_ms: u32::try_from(news.age.as_millis()).unwrap_or(u32::MAX),
-        orders: news.orders,
-        entries: news.entries.into_iter().map(tell_entry).collect(),
-        check: news.check,
+        after: feed.after,
+        revision: feed.revision,
+        age_ms: u32::try_from(feed.age.as_millis()).unwrap_or(u32::MAX),
+        orders: feed.orders,
+        entries: feed.entries.into_iter().map(encode_change).collect(),
+        check: feed.check,
     }
 }
 
-/// `None` if it holds an entry with an impossible address.
-pub(super) fn hear(told: digest::News) -> Option<News> {
-    let entries: Option<Vec<_>> = told.entries.into_iter().map(hear_entry).collect();
+/// `None` if the port of an entry is out of range.
+pub(super) fn decode(message: digest::News) -> Option<News> {
+    let changes: Option<Vec<_>> = message.entries.into_iter().map(decode_change).collect();
     Some(News {
-        after: told.after,
-        revision: told.revision,
-        age: Duration::from_millis(told.age_ms.into()),
-        orders: told.orders,
-        entries: entries?,
-        check: told.check,
+        after: message.after,
+        revision: message.revision,
+        age: Duration::from_millis(message.age_ms.into()),
+        orders: message.orders,
+        entries: changes?,
+        check: message.check,
     })
 }
 
-fn tell_entry((revision, entry): (Revision, Entry)) -> digest::Entry {
-    let (id, listing) = match entry {
-        Entry::Put(listing) => (listing.id.to_string(), Some(tell_listing(listing))),
+fn encode_change((revision, change): (Revision, Entry)) -> digest::Entry {
+    let (id, listing) = match change {
+        Entry::Put(listing) => (listing.id.to_string(), Some(encode_listing(listing))),
         Entry::Gone(id) => (id.to_string(), None),
     };
     digest::Entry {
@@ -44,9 +45,9 @@
     }
 }
 
-fn hear_entry(told: digest::Entry) -> Option<(Revision, Entry)> {
-    let id = told.id.into();
-    let entry = match told.listing {
+fn decode_change(entry: digest::Entry) -> Option<(Revision, Entry)> {
+    let id = entry.id.into();
+    let change = match entry.listing {
         None => Entry::Gone(id),
         Some(listing) => Entry::Put(Listing {
             id,
@@ -64,13 +65,13 @@
             count: listing.count,
         }),
     };
-    Some((told.revision, entry))
+    Some((entry.revision, change))
 }
 
-fn tell_listing(listing: Listing) -> digest::Listing {
+fn encode_listing(listing: Listing) -> digest::Listing {
     let ip = match listing.address.ip() {
         IpAddr::V4(ip) => ip,
-        // The platform's network has no others.
+        // The platform's network has IPv4 addresses only.
         IpAddr::V6(_) => Ipv4Addr::UNSPECIFIED,
     };
     digest::Listing {
--- a/daemon/src/relay/run.rs
+++ b/daemon/src/relay/run.rs
@@ -15,7 +15,7 @@
 use super::caller::serve_caller;
 use super::crash::keep_quarantined;
 use super::duties::serve_duties;
-use super::peers::{receive, send, tell_last};
+use super::peers::{receive, send, send_last_digest};
 use super::probe::serve_probe;
 use super::state::State;
 use super::status::serve_status;
@@ -132,7 +132,7 @@
         let active = state.active.get();
         log::info!("daemon: begins nothing more, with {active} requests in progress.");
         until_closed(state, closing).await;
-        tell_last(state, &self.peers);
+        send_last_digest(state, &self.peers);
         let active = state.active.get();
         log::info!("daemon: ends with {active} requests in progress.");
     }
--- a/daemon/src/relay/watch.rs
+++ b/daemon/src/relay/watch.rs
@@ -286,7 +286,7 @@
 }
 
 /// Takes in what a watcher of this zone tells.
-pub(crate) fn take_news(state: &State, news: News, now: Instant) {
+pub(crate) fn apply_feed(state: &State, news: News, now: Instant) {
     if state.peers.borrow().is_watcher(now) {
         return;
     }
