--- a/daemon/src/relay/client.rs
+++ b/daemon/src/relay/client.rs
@@ -92,7 +92,7 @@
             self.wire = Some(wire);
         }
         let era = match &self.eras {
-            Some(eras) => eras.see(read_era(&head)).ok_or(CallError::Over)?,
+            Some(eras) => eras.record(read_era(&head)).ok_or(CallError::Over)?,
             None => 0,
         };
         Ok(Reply {
--- a/daemon/src/relay/duties.rs
+++ b/daemon/src/relay/duties.rs
@@ -76,7 +76,7 @@
     // Who held the duties before a return of the store does not know yet that it is over.
     let is_over = !state
         .eras
-        .may_outlast(state.settings.bounds.lease, Instant::now());
+        .old_lease_valid(state.settings.bounds.lease, Instant::now());
     state.listed.get() && state.life().is_serving() && is_free && is_over
 }
 
--- a/daemon/src/relay/peers.rs
+++ b/daemon/src/relay/peers.rs
@@ -276,7 +276,10 @@
         .borrow_mut()
         .merge_limit(limit.endpoint, announced)
     {
-        log::info!(endpoint = limit.endpoint, now:? = rate; "limit: an endpoint announced a new limit, {name} reports.");
+        log::info!(
+            endpoint = limit.endpoint, now:? = rate;
+            "limit: an endpoint announced a new limit, {name} reports."
+        );
     }
 }
 
--- a/daemon/src/relay/run.rs
+++ b/daemon/src/relay/run.rs
@@ -20,7 +20,7 @@
 use super::state::State;
 use super::status::serve_status;
 use super::trail::last_lines;
-use super::watch::follow;
+use super::watch::watch_store;
 
 /// Connections that may wait to be accepted; a burst after a restart must not
 /// overflow it, as the next try of a dropped opening packet comes seconds later.
@@ -80,7 +80,7 @@
             peers: socket,
         };
         let state = || Rc::clone(&relay.state);
-        actix_web::rt::spawn(follow(state()));
+        actix_web::rt::spawn(watch_store(state()));
         actix_web::rt::spawn(accept(state(), callers, serve_caller));
         actix_web::rt::spawn(accept(state(), ready, serve_probe));
         if let Some(status) = status {
--- a/daemon/src/relay/watch.rs
+++ b/daemon/src/relay/watch.rs
@@ -1,9 +1,9 @@
-//! Follows the configuration and the list of endpoints in the store.
+//! Watches the configuration and the registry of endpoints in the store.
 //!
-//! Watchers follow both themselves; the other daemons do so only while no watcher tells
-//! them enough. The store answers at once when something changes, and calls cost, so
-//! after an answer the next watch waits a little and then gets all that came meanwhile
-//! in one.
+//! The watchers of a zone always watch both themselves; the other daemons do so only while they
+//! receive no sufficient change feed from a watcher. The store answers a watch as soon as
+//! something changes, and each call is paid for, so the next watch starts after a pause and
+//! returns all changes since the last one in a single answer.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -26,30 +26,30 @@
 use super::duties::{LEADER, OWN};
 use super::state::State;
 
-/// How long the store may hold a watch open. A connection to a store that went
-/// silent stays silent after its return, so this bounds how long a daemon does not
-/// know that endpoints left.
-const WAIT: Duration = Duration::from_secs(1);
-/// How much longer than that an answer may take: its way and a slow store.
-const SLACK: Duration = Duration::from_millis(600);
-/// How long a page of a list may take to be read. A call that a silent store swallowed
-/// holds the next try up for this long, and with [`MOST_RETRY`] it bounds how late a
-/// daemon hears of the store's return: operators and leaving endpoints count on two
-/// seconds. A slow store takes up to half a second.
-const READ: Duration = Duration::from_millis(900);
-/// Pause between watches of few daemons. An endpoint that leaves must get nothing
-/// new two seconds later; entries are renewed every second or so, and each watch is
-/// paid for.
-const PAUSE: Duration = Duration::from_millis(600);
-/// Longer pause for each other daemon, up to the most: whoever sees first that an
-/// endpoint leaves tells the others at once, so together they look often enough.
-const PAUSE_EACH: Duration = Duration::from_millis(12);
-const MOST_PAUSE: Duration = Duration::from_millis(1300);
-/// Pause after a failed call, doubled after each further one up to the most.
-const RETRY: Duration = Duration::from_millis(150);
-const MOST_RETRY: Duration = Duration::from_millis(700);
-/// Beginning of all keys that are followed.
-const FOLLOWED: &str = "";
+/// How long the store may hold a watch open. A connection on which the store stopped answering
+/// stays unanswered after the store's return, so this bounds how long a daemon does not know
+/// that endpoints left.
+const WATCH_TIME: Duration = Duration::from_secs(1);
+/// How much longer than [`WATCH_TIME`] an answer may take, for the network and a slow store.
+const WATCH_SLACK: Duration = Duration::from_millis(600);
+/// Timeout for reading one page of a list. A call that an unresponsive store does not answer
+/// delays the next attempt by this time. Together with [`MAX_RETRY_DELAY`] this bounds how late
+/// a daemon notices the store's return: operators and leaving endpoints rely on two seconds. A
+/// slow store takes up to half a second.
+const READ_TIMEOUT: Duration = Duration::from_millis(900);
+/// Pause between two watches where there are few daemons. An endpoint that leaves must get no
+/// new request two seconds later. A shorter pause would cost more: entries are rewritten about
+/// every second, so that a watch returns soon, and each watch is paid for.
+const WATCH_PAUSE: Duration = Duration::from_millis(600);
+/// Added to the pause for each other daemon, up to [`MAX_PAUSE`]. The daemon that is first to see
+/// an endpoint leave sends that to the others at once, so together they watch often enough.
+const PAUSE_PER_PEER: Duration = Duration::from_millis(12);
+const MAX_PAUSE: Duration = Duration::from_millis(1300);
+/// Delay after a failed call, doubled after each further failure up to [`MAX_RETRY_DELAY`].
+const RETRY_DELAY: Duration = Duration::from_millis(150);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(700);
+/// Prefix of all watched keys; empty, as all keys are watched.
+const WATCH_PREFIX: &str = "";
 
 #[derive(Debug, thiserror::Error)]
 enum WatchError {
@@ -59,80 +59,81 @@
     Store(#[from] StoreError),
 }
 
-/// Follows the store until the process ends.
-pub(crate) async fn follow(state: Rc<State>) {
+/// Watches the store, or waits while the change feed of a watcher suffices, until the process
+/// ends.
+pub(crate) async fn watch_store(state: Rc<State>) {
     let mut client = Client::of_store(&state);
-    let mut retry = RETRY;
+    let mut delay = RETRY_DELAY;
     let mut failing = false;
     loop {
         let began = Instant::now();
         let revision = state.follow.borrow_mut().begin();
-        let step = match revision {
+        let result = match revision {
             None => read_all(&state, &mut client).await,
             Some(after) => watch_once(&state, &mut client, after).await,
         };
         state.follow.borrow_mut().end();
-        match step {
+        match result {
             Ok(()) => {
                 let now = Instant::now();
                 if failing {
-                    let silence = state.contact.get().silence(now);
-                    log::info!("store: back after {silence:?}.");
+                    let outage = state.contact.get().silence(now);
+                    log::info!("store: available again after {outage:?}.");
                     failing = false;
                 }
                 state.store_answered(now);
                 state.measure(|metrics| metrics.called("store", "done"));
-                retry = RETRY;
-                until_due(&state, now + pause(&state)).await;
+                delay = RETRY_DELAY;
+                wait_until_due(&state, now + watch_pause(&state)).await;
             }
             Err(error) => {
                 state.measure(|metrics| metrics.called("store", "failed"));
                 if !failing {
-                    log::warn!("store: away, {error}.");
+                    log::warn!("store: unavailable, {error}; retrying.");
                     failing = true;
                 }
                 if matches!(error, WatchError::Store(StoreError::Compacted)) {
-                    log::info!("store: its history is gone, everything is read anew.");
+                    log::info!("store: its history was compacted; reading everything again.");
                     state.follow.borrow_mut().lost();
                     continue;
                 }
                 if matches!(error, WatchError::Store(StoreError::Returned)) {
-                    log::info!("store: it came back from an older copy, everything is read anew.");
+                    log::info!("store: restored from an older copy; reading everything again.");
                     state.follow.borrow_mut().lost();
                     state.crashes.borrow_mut().mark_unsaved();
                     state.quarantined.notify_one();
                     continue;
                 }
-                // After an outage the whole list is read: a removal may have been missed.
+                // After an outage the whole list is read again, as a removal may have been missed.
                 state.store_failed(began);
                 if !state.contact.get().is_unbroken() {
                     state.follow.borrow_mut().lost();
                 }
-                tokio::time::sleep(retry).await;
-                retry = (retry * 2).min(MOST_RETRY);
+                tokio::time::sleep(delay).await;
+                delay = (delay * 2).min(MAX_RETRY_DELAY);
             }
         }
     }
 }
 
-/// Time until a daemon that follows the store looks again.
-fn pause(state: &State) -> Duration {
+/// Pause until the next watch of a daemon that watches the store itself.
+fn watch_pause(state: &State) -> Duration {
     let peers = state.peers.borrow();
     let mut others = peers.rows().len();
     if peers.is_watcher(Instant::now()) {
         others = others.min(WATCHERS * state.settings.zones.len());
     }
-    (PAUSE + PAUSE_EACH * others as u32).min(MOST_PAUSE)
+    (WATCH_PAUSE + PAUSE_PER_PEER * others as u32).min(MAX_PAUSE)
 }
 
-/// Waits until this daemon has to look for itself: at the moment `due`, or later if it
-/// is told enough meanwhile.
-async fn until_due(state: &State, due: Instant) {
+/// Waits until this daemon has to read the store itself: at `due`, or later if it receives
+/// sufficient change feeds meanwhile.
+async fn wait_until_due(state: &State, due: Instant) {
     loop {
         let now = Instant::now();
-        let told = state.follow.borrow().told(now);
-        let told = told.filter(|_| !state.peers.borrow().is_watcher(now));
-        let until = told.map_or(due, |told| told.max(due));
+        let fed = state.follow.borrow().told(now);
+        let fed = fed.filter(|_| !state.peers.borrow().is_watcher(now));
+        let until = fed.map_or(due, |fed| fed.max(due));
         if now >= until {
             return;
         }
@@ -143,21 +144,21 @@
     }
 }
 
-/// Reads the configuration and the whole list.
+/// Reads the configuration, the version moves, the keys of the daemons and the whole registry.
 async fn read_all(state: &State, client: &mut Client) -> Result<(), WatchError> {
     let (items, revision) = list(client, OPERATORS).await?;
     for item in &items {
-        take_order(state, item);
+        apply_config_item(state, item);
     }
     let moves = !state.rollouts.borrow().is_empty();
     if moves {
         let (items, _) = list(client, STATUS).await?;
         for item in &items {
-            take_status(state, item);
+            apply_status(state, item);
         }
     }
     let (items, _) = list(client, OWN).await?;
-    take_leader(state, items.iter().find(|item| item.key == LEADER));
+    set_duty_holder(state, items.iter().find(|item| item.key == LEADER));
     for item in items.iter().filter(|item| item.key.starts_with(CRASHES)) {
         crash::restore(state, &item.value);
     }
@@ -173,36 +174,38 @@
         return Err(StoreError::Returned.into());
     }
     let now = Instant::now();
-    let returned = state.eras.read_in(era_of(revision));
-    let listings = items.iter().filter_map(listing).collect();
+    let restored = state.eras.record_read(era_of(revision));
+    let listings = items.iter().filter_map(read_entry).collect();
     let changes = {
         let mut table = state.endpoints.borrow_mut();
         let contact = state.contact.get();
         if state.listed.get() && !contact.is_unbroken() {
             table.registry_back(now);
-        } else if state.listed.get() && returned {
-            // Entries of living endpoints are missing in an older copy too. It came back
-            // after the last answer; reckoned from its first, one that left since would
-            // stay in use for too long.
+        } else if state.listed.get() && restored {
+            // An older copy lacks entries of running endpoints too. The store was restored some
+            // time after its last answer in the former era. If the grace started at its first
+            // answer in the new one, an endpoint that left since would stay in use for too long.
             table.registry_back(contact.heard());
         }
         table.replace(listings, now)
     };
     for (id, change) in changes {
-        tell(state, &id, change);
+        announce(state, &id, change);
     }
     state.listed.set(true);
     state.follow.borrow_mut().read(revision, now);
     Ok(())
 }
 
-/// Reads all pages of a list, with the revision of the first.
+/// Reads all pages of a list; returns its items and the revision of the first page.
 async fn list(client: &mut Client, prefix: &str) -> Result<(Vec<Item>, u64), WatchError> {
     let mut all: Vec<Item> = Vec::new();
     let mut first = None;
     loop {
         let after = all.last().map(|item| item.key.clone()).unwrap_or_default();
-        let reply = client.call(&range(prefix, &after, false), READ).await?;
+        let reply = client
+            .call(&range(prefix, &after, false), READ_TIMEOUT)
+            .await?;
         let (items, more, revision) = read_range(&reply)?;
         let first = *first.get_or_insert(revision);
         let empty = items.is_empty();
@@ -213,45 +216,46 @@
     }
 }
 
+/// Waits for the changes after a revision once and applies them.
 async fn watch_once(state: &State, client: &mut Client, after: u64) -> Result<(), WatchError> {
-    let call = watch(FOLLOWED, after, WAIT);
-    let reply: Reply = client.call(&call, WAIT + SLACK).await?;
+    let call = watch(WATCH_PREFIX, after, WATCH_TIME);
+    let reply: Reply = client.call(&call, WATCH_TIME + WATCH_SLACK).await?;
     let watched = read_watched(&reply, after)?;
     for change in &watched.changes {
-        take_change(state, change);
+        apply_change(state, change);
     }
     let mut follow = state.follow.borrow_mut();
     follow.watched(watched.revision, Instant::now());
     Ok(())
 }
 
-fn take_change(state: &State, change: &Change) {
+fn apply_change(state: &State, change: &Change) {
     match change {
         Change::Put(item) if item.key.starts_with(OPERATORS) => {
             state.follow.borrow_mut().saw_order(item.revision);
-            take_order(state, item);
+            apply_config_item(state, item);
         }
         Change::Put(item) if item.key.starts_with(STATUS) => {
             state.follow.borrow_mut().saw_order(item.revision);
-            take_status(state, item);
+            apply_status(state, item);
         }
         Change::Put(item) if item.key.starts_with(REGISTRY) => {
-            if let Some(listing) = listing(item) {
-                let entry = Entry::Put(listing);
-                take_entry(state, item.revision, entry);
+            if let Some(listing) = read_entry(item) {
+                let change = Entry::Put(listing);
+                apply_watched(state, item.revision, change);
             }
         }
         Change::Put(item) if item.key == LEADER => {
             state.follow.borrow_mut().saw_order(item.revision);
-            take_leader(state, Some(item));
+            set_duty_holder(state, Some(item));
         }
         Change::Gone(key, revision) if key == LEADER => {
             state.follow.borrow_mut().saw_order(*revision);
-            take_leader(state, None);
+            set_duty_holder(state, None);
         }
         Change::Gone(key, revision) => {
             if let Some(id) = key.strip_prefix(REGISTRY) {
-                take_entry(state, *revision, Entry::Gone(id.into()));
+                apply_watched(state, *revision, Entry::Gone(id.into()));
             }
         }
         Change::Put(item) if item.key.starts_with(CRASHES) => crash::restore(state, &item.value),
@@ -259,79 +263,84 @@
     }
 }
 
-/// Takes a change of the registry in that this daemon saw itself, to be told on.
-fn take_entry(state: &State, revision: u64, entry: Entry) {
+/// Applies a registry change that this daemon read from the store itself, and records it for the
+/// change feed.
+fn apply_watched(state: &State, revision: u64, change: Entry) {
     let now = Instant::now();
-    let is_news = match &entry {
+    let is_change = match &change {
         Entry::Put(listing) => state.endpoints.borrow().is_change(listing),
         Entry::Gone(_) => true,
     };
-    if is_news {
+    if is_change {
         let mut follow = state.follow.borrow_mut();
-        follow.saw(revision, entry.clone(), now);
+        follow.saw(revision, change.clone(), now);
     }
-    let (id, change) = apply(state, entry, now);
-    tell(state, &id, change);
+    let (id, effect) = apply(state, change, now);
+    announce(state, &id, effect);
 }
 
-fn apply(state: &State, entry: Entry, now: Instant) -> (EndpointId, Changed) {
+/// Applies a registry change to the endpoint table.
+fn apply(state: &State, change: Entry, now: Instant) -> (EndpointId, Changed) {
     let mut table = state.endpoints.borrow_mut();
-    match entry {
+    match change {
         Entry::Put(listing) => (listing.id.clone(), table.put(listing)),
         Entry::Gone(id) => {
-            let change = table.entry_removed(&id, now);
-            (id, change)
+            let effect = table.entry_removed(&id, now);
+            (id, effect)
         }
     }
 }
 
-/// Takes in what a watcher of this zone tells.
-pub(crate) fn apply_feed(state: &State, news: News, now: Instant) {
+/// Applies the change feed of a watcher of this zone.
+pub(crate) fn apply_feed(state: &State, feed: News, now: Instant) {
     if state.peers.borrow().is_watcher(now) {
         return;
     }
-    let (answered, check) = (now.checked_sub(news.age), news.check);
-    let silent = state.peers.borrow().near_silent();
-    let heard = state.follow.borrow_mut().hear(news, silent, now);
-    let entries = match heard {
-        Heard::Take(entries) => entries,
+    let (answered, checksum) = (now.checked_sub(feed.age), feed.check);
+    let timeout = state.peers.borrow().near_silent();
+    let action = state.follow.borrow_mut().hear(feed, timeout, now);
+    let changes = match action {
+        Heard::Take(changes) => changes,
         Heard::Look => return state.look.notify_one(),
         Heard::Nothing => return,
     };
     if let Some(answered) = answered {
         state.store_answered(answered);
     }
-    for entry in entries {
-        let (id, change) = apply(state, entry, now);
-        log_change(state, &id, change);
+    for change in changes {
+        let (id, effect) = apply(state, change, now);
+        log_change(state, &id, effect);
     }
-    let mine = state.endpoints.borrow().checksum();
-    if !state.follow.borrow_mut().compare(check, mine) {
-        log::warn!("store: what is told differs, everything is read anew.");
+    let own = state.endpoints.borrow().checksum();
+    if !state.follow.borrow_mut().compare(checksum, own) {
+        log::warn!("store: endpoints differ from the change feed; reading everything again.");
         state.look.notify_one();
     }
 }
 
-/// Takes in what operators wrote: the configuration or a version move.
-fn take_order(state: &State, item: &Item) {
+/// Applies a value that operators wrote: the configuration or the order of a version move.
+fn apply_config_item(state: &State, item: &Item) {
     if item.key == CONFIG_KEY {
-        take_config(state, item);
+        apply_config(state, item);
     } else if item.key.starts_with(ROLLOUTS) {
-        take_rollout(state, item);
+        apply_rollout(state, item);
     }
 }
 
-fn take_rollout(state: &State, item: &Item) {
-    let (service, target, life) = match read_rollout(&item.value) {
+fn apply_rollout(state: &State, item: &Item) {
+    let (service, target, limit) = match read_rollout(&item.value) {
         Ok(order) => order,
         Err(error) => {
-            log::warn!("rollout: revision {} skipped, {error}.", item.revision);
+            log::warn!(
+                "rollout: ignored the order of revision {}, {error}.",
+                item.revision
+            );
             return;
         }
     };
     let now = state.true_ms();
-    let life_ms = u64::try_from(life.as_millis()).unwrap_or(u64::MAX);
-    let finish = now.saturating_add(life_ms);
+    let limit_ms = u64::try_from(limit.as_millis()).unwrap_or(u64::MAX);
+    let finish = now.saturating_add(limit_ms);
     let order = Order {
         service,
         target,
@@ -339,11 +348,11 @@
     };
     let (service, target) = (order.service.clone(), order.target.clone());
     if state.rollouts.borrow_mut().add_order(order, now, finish) {
-        log::info!("rollout: {service} is to go to version {target} within {life:?}.");
+        log::info!("rollout: {service} is to move to version {target} within {limit:?}.");
     }
 }
 
-fn take_status(state: &State, item: &Item) {
+fn apply_status(state: &State, item: &Item) {
     let Some(service) = item.key.strip_prefix(STATUS) else {
         return;
     };
@@ -352,18 +361,18 @@
             let mut rollouts = state.rollouts.borrow_mut();
             rollouts.apply_status(service, &target, outcome, item.revision);
         }
-        Err(error) => log::warn!("rollout: state of {service} skipped, {error}."),
+        Err(error) => log::warn!("rollout: ignored the stored state of {service}, {error}."),
     }
 }
 
-/// Notes who holds the duties.
-fn take_leader(state: &State, item: Option<&Item>) {
+/// Records which daemon holds the duties.
+fn set_duty_holder(state: &State, item: Option<&Item>) {
     let name = item.map(|item| String::from_utf8_lossy(&item.value).into());
     *state.leader.borrow_mut() = name;
 }
 
-/// Tells the other daemons of an endpoint that leaves.
-fn tell(state: &State, id: &str, change: Changed) {
+/// Logs a change; if an endpoint leaves, has that sent to the other daemons at once.
+fn announce(state: &State, id: &str, change: Changed) {
     log_change(state, id, change);
     if change == Changed::Left {
         state.left.borrow_mut().push(name_hash(id));
@@ -378,46 +387,50 @@
         Changed::Doubted(until) => {
             let left = until.saturating_duration_since(Instant::now());
             log::info!(
-                until_ms = left.as_millis() as u64, in_touch = in_touch(state);
-                "board: endpoint {id} is missing after an outage and stays in use."
+                until_ms = left.as_millis() as u64, in_touch = connected_peers(state);
+                "board: endpoint {id} has no entry after an outage and stays in use for now."
             );
         }
         Changed::Nothing => {}
     }
 }
 
-/// How many of the daemons heard lately say that the store answers them.
-fn in_touch(state: &State) -> usize {
+/// How many of the daemons that sent a digest recently report that they can reach the store.
+fn connected_peers(state: &State) -> usize {
     let peers = state.peers.borrow();
     let rows = peers.heard_lately(Instant::now());
     rows.filter(|row| row.contact.is_some()).count()
 }
 
-/// Brings a newer configuration into force; an older one is never taken.
-fn take_config(state: &State, item: &Item) {
+/// Puts a newer configuration into force; an older one is ignored.
+fn apply_config(state: &State, item: &Item) {
     let catalog = match read_config(&item.value) {
         Ok(catalog) => catalog,
         Err(error) => {
-            log::warn!("config: revision {} skipped, {error}.", item.revision);
+            log::warn!(
+                "config: ignored the configuration of revision {}, {error}.",
+                item.revision
+            );
             return;
         }
     };
-    let mut held = state.catalog.borrow_mut();
-    if held
+    let mut current = state.catalog.borrow_mut();
+    if current
         .as_ref()
-        .is_none_or(|held| held.version < catalog.version)
+        .is_none_or(|current| current.version < catalog.version)
     {
         log::info!("config: version {} in force.", catalog.version);
-        *held = Some(Rc::new(catalog));
+        *current = Some(Rc::new(catalog));
     }
 }
 
-fn listing(item: &Item) -> Option<Listing> {
+/// The endpoint of a registry item; `None` if the item cannot be read.
+fn read_entry(item: &Item) -> Option<Listing> {
     let id = item.key.strip_prefix(REGISTRY)?;
     match read_listing(id, &item.value) {
         Ok(listing) => Some(listing),
         Err(error) => {
-            log::debug!("board: entry {id} skipped, {error}.");
+            log::debug!("board: ignored the registry entry {id}, {error}.");
             None
         }
     }
