--- a/daemon/src/relay/checkpoint.rs
+++ b/daemon/src/relay/checkpoint.rs
@@ -39,7 +39,7 @@
     });
     let mut written = Checkpoint {
         wall_ms: state.true_ms(),
-        daemons: state.peers.borrow().lately(now).len() as u32 + 1,
+        daemons: state.peers.borrow().recent_addresses(now).len() as u32 + 1,
         spent: spent.collect(),
         ..Checkpoint::default()
     };
--- a/daemon/src/relay/duties.rs
+++ b/daemon/src/relay/duties.rs
@@ -87,9 +87,9 @@
     let turn = |place: usize| VACANT + TURN * place as u32;
     let left = BEHIND.saturating_sub(state.started.elapsed());
     if left.is_zero() {
-        return turn(peers.heard_before(Instant::now()));
+        return turn(peers.recent_rank(Instant::now()));
     }
-    match peers.learned_before() {
+    match peers.known_rank() {
         0 => VACANT,
         place => left + turn(place),
     }
@@ -286,7 +286,7 @@
 /// good by the next.
 async fn save(state: &State, store: &mut Client, holder: &mut Holder) {
     let now = Instant::now();
-    holder.save = now + state.peers.borrow().near_period() * DIGESTS;
+    holder.save = now + state.peers.borrow().local_period() * DIGESTS;
     if state.catalog.borrow().is_none() || !holder.held.may_act(now) {
         return;
     }
--- a/daemon/src/relay/peers.rs
+++ b/daemon/src/relay/peers.rs
@@ -7,9 +7,9 @@
 use compact_str::CompactString;
 use poplarvale_lib::ZoneHash;
 use poplarvale_lib::protos::relay::{Digest, UsageRecord, digest};
-use poplarvale_lib::relay::contact::Span;
+use poplarvale_lib::relay::connectivity::ReachableSpan;
 use poplarvale_lib::relay::demand::Work;
-use poplarvale_lib::relay::digest::{Peer, Place, Turn, Turns};
+use poplarvale_lib::relay::digest::{DueDigests, Location, Peer, Schedule};
 use poplarvale_lib::relay::endpoint_table::{Load, Reporter};
 use poplarvale_lib::relay::limit::{Said, Sharers};
 use poplarvale_lib::relay::quota::{Told, Use, ZoneSummary, ZoneUse};
@@ -46,19 +46,19 @@
 
 /// Sends digests until the process ends.
 pub(crate) async fn send(state: Rc<State>, socket: Rc<UdpSocket>) {
-    let mut turns = Turns::new(state.started);
+    let mut turns = Schedule::new(state.started);
     let mut urgent = false;
     loop {
         let now = Instant::now();
         state.peers.borrow_mut().expire(now);
         share_limits(&state, now);
-        let rounds = state.peers.borrow().rounds();
+        let rounds = state.peers.borrow().remote_every();
         urgent |= !state.left.borrow().is_empty();
         tell(&state, &socket, turns.next(rounds, urgent, now));
         if rounds > 1 && state.peers.borrow().is_watcher(now) {
             tell_zone(&state, &socket, now);
         }
-        let period = state.peers.borrow().near_period();
+        let period = state.peers.borrow().local_period();
         tokio::select! {
             () = tokio::time::sleep(period) => urgent = false,
             () = state.news.notified() => urgent = true,
@@ -70,8 +70,8 @@
 fn share_limits(state: &State, now: Instant) {
     let peers = state.peers.borrow();
     let sharers = Sharers {
-        me: peers.me(),
-        others: peers.lately(now),
+        me: peers.own_address(),
+        others: peers.recent_addresses(now),
     };
     state.endpoints.borrow_mut().set_sharers(sharers, now);
 }
@@ -79,40 +79,40 @@
 /// Sends the last digest of a daemon that ends. What it counted since the last whole one
 /// would be lost with it, and teams charged for less than they used.
 pub(crate) fn tell_last(state: &State, socket: &UdpSocket) {
-    let turn = Turn {
-        near: true,
-        far: Some(true),
+    let turn = DueDigests {
+        local: true,
+        remote: Some(true),
     };
     tell(state, socket, turn);
 }
 
 /// Sends a digest to the daemons of this zone, to those that were never heard, and at some
 /// turns to those of other zones.
-fn tell(state: &State, socket: &UdpSocket, turn: Turn) {
+fn tell(state: &State, socket: &UdpSocket, turn: DueDigests) {
     let now = Instant::now();
     let sequence = state.next_digest();
     let left = std::mem::take(&mut *state.left.borrow_mut());
     let peers = state.peers.borrow();
-    if let Some(whole) = turn.far {
+    if let Some(whole) = turn.remote {
         let bytes = digest(state, sequence, whole, &left, now).encode_to_vec();
-        let far = peers.rows().iter().filter(|peer| peers.is_far(peer));
+        let far = peers.rows().iter().filter(|peer| peers.is_remote(peer));
         far.for_each(|peer| send_to(state, socket, peer, &bytes));
     }
-    let mut digest = digest(state, sequence, turn.near, &left, now);
+    let mut digest = digest(state, sequence, turn.local, &left, now);
     if peers.is_watcher(now) {
         let check = state.endpoints.borrow().checksum();
-        let news = state.follow.borrow().tell(check, now);
+        let news = state.follow.borrow().feed(check, now);
         digest.news = news.map(news::tell);
     }
     let bytes = digest.encode_to_vec();
-    let near = peers.rows().iter().filter(|peer| !peers.is_far(peer));
+    let near = peers.rows().iter().filter(|peer| !peers.is_remote(peer));
     near.for_each(|peer| send_to(state, socket, peer, &bytes));
 }
 
 /// Tells the other zones what this one does as a whole.
 fn tell_zone(state: &State, socket: &UdpSocket, now: Instant) {
     let peers = state.peers.borrow();
-    let place = peers.place();
+    let place = peers.own_location();
     let summary = state.quota.borrow().tell_zone(place.zone, now);
     let teams = summary.uses.into_iter().map(|row| digest::TeamUse {
         team: row.team,
@@ -131,12 +131,12 @@
         incarnation: state.incarnation,
         sequence: state.next_digest(),
         zone: place.zone,
-        memory: place.memory,
+        memory: place.memory_mb,
         zone_use: Some(zone_use),
         ..Digest::default()
     };
     let bytes = digest.encode_to_vec();
-    let far = peers.heard_lately(now).filter(|peer| peers.is_far(peer));
+    let far = peers.recent(now).filter(|peer| peers.is_remote(peer));
     far.for_each(|peer| send_to(state, socket, peer, &bytes));
 }
 
@@ -192,18 +192,18 @@
             write: work.write as u32,
         });
     let others = if whole {
-        state.peers.borrow().lately(now)
+        state.peers.borrow().recent_addresses(now)
     } else {
         Vec::new()
     };
-    let place = state.peers.borrow().place();
+    let place = state.peers.borrow().own_location();
     let crashes = state.crashes.borrow();
     Digest {
         name: state.settings.name.to_string(),
         incarnation: state.incarnation,
         sequence,
         zone: place.zone,
-        memory: place.memory,
+        memory: place.memory_mb,
         news: None,
         zone_use: None,
         wall_ms: State::wall(),
@@ -272,19 +272,19 @@
     }
 }
 
-fn tell_contact(span: Span, now: Instant) -> digest::Contact {
+fn tell_contact(span: ReachableSpan, now: Instant) -> digest::Contact {
     let age = |at: Instant| now.saturating_duration_since(at).as_millis();
     let age = |at| u32::try_from(age(at)).unwrap_or(u32::MAX);
     digest::Contact {
         since_ms: age(span.since),
-        heard_ms: age(span.heard),
+        heard_ms: age(span.last_answer),
     }
 }
 
 /// Ends doubt about endpoints, or shortens it, if another daemon had the store while
 /// this one did not.
-fn end_doubt(state: &State, name: &str, span: Span, now: Instant) {
-    let Some(since) = state.contact.get().well_since(span) else {
+fn end_doubt(state: &State, name: &str, span: ReachableSpan, now: Instant) {
+    let Some(since) = state.contact.get().available_since(span) else {
         return;
     };
     let well = now.saturating_duration_since(since);
@@ -301,11 +301,11 @@
 }
 
 /// By this daemon's clock; `None` for what was before its host started.
-fn hear_contact(told: digest::Contact, now: Instant) -> Option<Span> {
+fn hear_contact(told: digest::Contact, now: Instant) -> Option<ReachableSpan> {
     let at = |age: u32| now.checked_sub(Duration::from_millis(age.into()));
-    Some(Span {
+    Some(ReachableSpan {
         since: at(told.since_ms)?,
-        heard: at(told.heard_ms)?,
+        last_answer: at(told.heard_ms)?,
     })
 }
 
@@ -427,21 +427,21 @@
     let contact = digest.contact.and_then(|told| hear_contact(told, now));
     {
         let mut peers = state.peers.borrow_mut();
-        if !peers.hear(from, &name, digest.incarnation, digest.sequence, now) {
+        if !peers.record_digest(from, &name, digest.incarnation, digest.sequence, now) {
             return;
         }
         if let Some(told) = digest.zone_use {
-            let silent = peers.near_silent();
+            let silent = peers.local_timeout();
             drop(peers);
             return hear_zone(state, digest.zone, &told, silent, now);
         }
-        let place = Place {
+        let place = Location {
             zone: digest.zone,
-            memory: digest.memory,
+            memory_mb: digest.memory,
         };
-        peers.tell(from, place, contact);
+        peers.update(from, place, contact);
         for peer in digest.peers {
-            peers.learn(Ipv4Addr::from(peer), now);
+            peers.add(Ipv4Addr::from(peer), now);
         }
     }
     if let Some(span) = contact {
@@ -516,6 +516,6 @@
             .unwrap_or(now),
         uses,
     };
-    let silent = state.peers.borrow().silent(told.zone);
+    let silent = state.peers.borrow().timeout(told.zone);
     state.quota.borrow_mut().hear(&told, silent);
 }
--- a/daemon/src/relay/peers/news.rs
+++ b/daemon/src/relay/peers/news.rs
@@ -5,37 +5,37 @@
 
 use poplarvale_lib::Revision;
 use poplarvale_lib::protos::relay::digest;
-use poplarvale_lib::relay::follow::{Entry, News};
+use poplarvale_lib::relay::change_feed::{ChangeFeed, RegistryChange};
 use poplarvale_lib::relay::listing::Listing;
 
-pub(super) fn tell(news: News) -> digest::News {
+pub(super) fn tell(news: ChangeFeed) -> digest::News {
     digest::News {
         after: news.after,
         revision: news.revision,
         age_ms: u32::try_from(news.age.as_millis()).unwrap_or(u32::MAX),
-        orders: news.orders,
-        entries: news.entries.into_iter().map(tell_entry).collect(),
-        check: news.check,
+        orders: news.config_revision,
+        entries: news.changes.into_iter().map(tell_entry).collect(),
+        check: news.checksum,
     }
 }
 
 /// `None` if it holds an entry with an impossible address.
-pub(super) fn hear(told: digest::News) -> Option<News> {
+pub(super) fn hear(told: digest::News) -> Option<ChangeFeed> {
     let entries: Option<Vec<_>> = told.entries.into_iter().map(hear_entry).collect();
-    Some(News {
+    Some(ChangeFeed {
         after: told.after,
         revision: told.revision,
         age: Duration::from_millis(told.age_ms.into()),
-        orders: told.orders,
-        entries: entries?,
-        check: told.check,
+        config_revision: told.orders,
+        changes: entries?,
+        checksum: told.check,
     })
 }
 
-fn tell_entry((revision, entry): (Revision, Entry)) -> digest::Entry {
+fn tell_entry((revision, entry): (Revision, RegistryChange)) -> digest::Entry {
     let (id, listing) = match entry {
-        Entry::Put(listing) => (listing.id.to_string(), Some(tell_listing(listing))),
-        Entry::Gone(id) => (id.to_string(), None),
+        RegistryChange::Put(listing) => (listing.id.to_string(), Some(tell_listing(listing))),
+        RegistryChange::Removed(id) => (id.to_string(), None),
     };
     digest::Entry {
         revision,
@@ -44,11 +44,11 @@
     }
 }
 
-fn hear_entry(told: digest::Entry) -> Option<(Revision, Entry)> {
+fn hear_entry(told: digest::Entry) -> Option<(Revision, RegistryChange)> {
     let id = told.id.into();
     let entry = match told.listing {
-        None => Entry::Gone(id),
-        Some(listing) => Entry::Put(Listing {
+        None => RegistryChange::Removed(id),
+        Some(listing) => RegistryChange::Put(Listing {
             id,
             service: listing.service.into(),
             address: SocketAddr::new(
--- a/daemon/src/relay/serve.rs
+++ b/daemon/src/relay/serve.rs
@@ -219,7 +219,7 @@
         request = head.id.as_str(), path = head.path.as_str(), code, ran = refused.ran.word(),
         again_ms = refused.again.map_or(0, |again| again.as_millis() as u64),
         catalog = state.catalog.borrow().as_ref().map_or(0, |held| held.version),
-        store_heard_ms = state.contact.get().silence(Std::now()).as_millis() as u64;
+        store_heard_ms = state.contact.get().since_answer(Std::now()).as_millis() as u64;
         "refuse: {}", refused.code.title()
     );
     // Those who are refused at one moment must not come back at one moment.
--- a/daemon/src/relay/state.rs
+++ b/daemon/src/relay/state.rs
@@ -8,13 +8,13 @@
 use compact_str::CompactString;
 use poplarvale_lib::relay::budget::Budget;
 use poplarvale_lib::relay::catalog::Catalog;
+use poplarvale_lib::relay::change_feed::StoreProgress;
 use poplarvale_lib::relay::clock::Clock;
-use poplarvale_lib::relay::contact::Contact;
+use poplarvale_lib::relay::connectivity::Connectivity;
 use poplarvale_lib::relay::crash::Crashes;
 use poplarvale_lib::relay::demand::Demand;
-use poplarvale_lib::relay::digest::{Peers, Place};
+use poplarvale_lib::relay::digest::{Location, Peers};
 use poplarvale_lib::relay::endpoint_table::EndpointTable;
-use poplarvale_lib::relay::follow::Follow;
 use poplarvale_lib::relay::life::Life;
 use poplarvale_lib::relay::quota::{Quota, short};
 use poplarvale_lib::relay::rollout::Rollouts;
@@ -51,7 +51,7 @@
     pub(crate) clock: RefCell<Clock>,
     pub(crate) peers: RefCell<Peers>,
     /// How the store is followed.
-    pub(crate) follow: RefCell<Follow>,
+    pub(crate) follow: RefCell<StoreProgress>,
     /// Told when this daemon has to look into the store itself.
     pub(crate) look: Notify,
     pub(crate) eras: Rc<Eras>,
@@ -63,7 +63,7 @@
     /// Whether the list of endpoints was read at least once.
     pub(crate) listed: Cell<bool>,
     pub(crate) upstreams: Upstreams,
-    pub(crate) contact: Cell<Contact>,
+    pub(crate) contact: Cell<Connectivity>,
     pub(crate) metrics: Option<Metrics>,
     /// Which requests that went well are told.
     pub(crate) sampler: Sampler,
@@ -90,9 +90,9 @@
         let incarnation = fastrand::u64(..);
         let me = v4(&settings.peers.ip()).unwrap_or(Ipv4Addr::LOCALHOST);
         let seeds: Vec<Ipv4Addr> = settings.seeds.iter().filter_map(v4).collect();
-        let place = Place {
+        let place = Location {
             zone: short(&settings.zone),
-            memory: u32::try_from(settings.memory / MEGABYTE).unwrap_or(u32::MAX),
+            memory_mb: u32::try_from(settings.memory / MEGABYTE).unwrap_or(u32::MAX),
         };
         let quota = Quota::new(
             settings.bounds.quota_window,
@@ -125,7 +125,7 @@
             settings,
             listed: Cell::new(false),
             upstreams: Upstreams::default(),
-            contact: Cell::new(Contact::new(started)),
+            contact: Cell::new(Connectivity::new(started)),
             metrics: Metrics::new(),
             sampler: Sampler::new(started),
             active: Cell::new(0),
@@ -165,14 +165,14 @@
     /// Notes that the store answered.
     pub(crate) fn store_answered(&self, now: Instant) {
         let mut contact = self.contact.get();
-        contact.answered(now);
+        contact.record_answer(now);
         self.contact.set(contact);
     }
 
     /// Notes that the store did not answer a call which began at a moment.
     pub(crate) fn store_failed(&self, began: Instant) {
         let mut contact = self.contact.get();
-        contact.failed(began, Instant::now());
+        contact.record_failure(began, Instant::now());
         self.contact.set(contact);
     }
 
@@ -181,7 +181,7 @@
         let now = Instant::now();
         let mut peers = self.peers.borrow_mut();
         for seed in settings.seeds.iter().filter_map(v4) {
-            peers.learn(seed, now);
+            peers.add(seed, now);
         }
     }
 
--- a/daemon/src/relay/status.rs
+++ b/daemon/src/relay/status.rs
@@ -5,7 +5,7 @@
 
 use bytes::BytesMut;
 use poplarvale_lib::http1::Request;
-use poplarvale_lib::relay::contact::Span;
+use poplarvale_lib::relay::connectivity::ReachableSpan;
 use poplarvale_lib::relay::endpoint_table::{Endpoint, EndpointState};
 use poplarvale_lib::relay::limit::Limit;
 use poplarvale_lib::{Code, Ran};
@@ -47,10 +47,10 @@
         .rows()
         .iter()
         .map(|row| {
-            let name = row.known.as_ref().map(|known| known.0.as_str());
+            let name = row.identity.as_ref().map(|known| known.0.as_str());
             json!({"address": row.address.to_string(), "name": name,
-                   "heard_ms": now.duration_since(row.heard).as_millis() as u64,
-                   "store_steady_ms": steady(row.contact, now)})
+                   "heard_ms": now.duration_since(row.received).as_millis() as u64,
+                   "store_steady_ms": steady(row.store, now)})
         })
         .collect();
     let crashes = state.crashes.borrow();
@@ -65,7 +65,7 @@
         "ending": !state.life().is_serving(),
         "active": state.active.get(),
         "catalog": state.catalog.borrow().as_ref().map(|held| held.version),
-        "store_heard_ms": state.contact.get().silence(now).as_millis() as u64,
+        "store_heard_ms": state.contact.get().since_answer(now).as_millis() as u64,
         "store_steady_ms": steady(state.contact.get().span(), now),
         "holder": state.leader.borrow().as_deref(),
         "log_lines_dropped": super::trail::dropped(),
@@ -76,7 +76,7 @@
 }
 
 /// For how long the store has been answering without a break.
-fn steady(span: Option<Span>, now: Instant) -> Option<u64> {
+fn steady(span: Option<ReachableSpan>, now: Instant) -> Option<u64> {
     let since = span?.since;
     Some(now.saturating_duration_since(since).as_millis() as u64)
 }
--- a/daemon/src/relay/watch.rs
+++ b/daemon/src/relay/watch.rs
@@ -8,9 +8,9 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
+use poplarvale_lib::relay::change_feed::{ChangeFeed, FeedAction, RegistryChange};
 use poplarvale_lib::relay::digest::WATCHERS;
 use poplarvale_lib::relay::endpoint_table::Changed;
-use poplarvale_lib::relay::follow::{Entry, Heard, News};
 use poplarvale_lib::relay::listing::Listing;
 use poplarvale_lib::relay::quota::short;
 use poplarvale_lib::relay::rollout::Order;
@@ -66,17 +66,17 @@
     let mut failing = false;
     loop {
         let began = Instant::now();
-        let revision = state.follow.borrow_mut().begin();
+        let revision = state.follow.borrow_mut().begin_read();
         let step = match revision {
             None => read_all(&state, &mut client).await,
             Some(after) => watch_once(&state, &mut client, after).await,
         };
-        state.follow.borrow_mut().end();
+        state.follow.borrow_mut().end_read();
         match step {
             Ok(()) => {
                 let now = Instant::now();
                 if failing {
-                    let silence = state.contact.get().silence(now);
+                    let silence = state.contact.get().since_answer(now);
                     log::info!("store: back after {silence:?}.");
                     failing = false;
                 }
@@ -93,20 +93,20 @@
                 }
                 if matches!(error, WatchError::Store(StoreError::Compacted)) {
                     log::info!("store: its history is gone, everything is read anew.");
-                    state.follow.borrow_mut().lost();
+                    state.follow.borrow_mut().invalidate();
                     continue;
                 }
                 if matches!(error, WatchError::Store(StoreError::Returned)) {
                     log::info!("store: it came back from an older copy, everything is read anew.");
-                    state.follow.borrow_mut().lost();
+                    state.follow.borrow_mut().invalidate();
                     state.crashes.borrow_mut().lost_saved();
                     state.quarantined.notify_one();
                     continue;
                 }
                 // After an outage the whole list is read: a removal may have been missed.
                 state.store_failed(began);
-                if !state.contact.get().is_unbroken() {
-                    state.follow.borrow_mut().lost();
+                if !state.contact.get().is_reachable() {
+                    state.follow.borrow_mut().invalidate();
                 }
                 tokio::time::sleep(retry).await;
                 retry = (retry * 2).min(MOST_RETRY);
@@ -130,7 +130,7 @@
 async fn until_due(state: &State, due: Instant) {
     loop {
         let now = Instant::now();
-        let told = state.follow.borrow().told(now);
+        let told = state.follow.borrow().fed_until(now);
         let told = told.filter(|_| !state.peers.borrow().is_watcher(now));
         let until = told.map_or(due, |told| told.max(due));
         if now >= until {
@@ -178,13 +178,13 @@
     let changes = {
         let mut table = state.endpoints.borrow_mut();
         let contact = state.contact.get();
-        if state.listed.get() && !contact.is_unbroken() {
+        if state.listed.get() && !contact.is_reachable() {
             table.registry_back(now);
         } else if state.listed.get() && returned {
             // Entries of living endpoints are missing in an older copy too. It came back
             // after the last answer; reckoned from its first, one that left since would
             // stay in use for too long.
-            table.registry_back(contact.heard());
+            table.registry_back(contact.last_answer());
         }
         table.replace(listings, now)
     };
@@ -192,7 +192,7 @@
         tell(state, &id, change);
     }
     state.listed.set(true);
-    state.follow.borrow_mut().read(revision, now);
+    state.follow.borrow_mut().record_snapshot(revision, now);
     Ok(())
 }
 
@@ -221,37 +221,46 @@
         take_change(state, change);
     }
     let mut follow = state.follow.borrow_mut();
-    follow.watched(watched.revision, Instant::now());
+    follow.record_watch(watched.revision, Instant::now());
     Ok(())
 }
 
 fn take_change(state: &State, change: &Change) {
     match change {
         Change::Put(item) if item.key.starts_with(OPERATORS) => {
-            state.follow.borrow_mut().saw_order(item.revision);
+            state
+                .follow
+                .borrow_mut()
+                .record_config_change(item.revision);
             take_order(state, item);
         }
         Change::Put(item) if item.key.starts_with(STATUS) => {
-            state.follow.borrow_mut().saw_order(item.revision);
+            state
+                .follow
+                .borrow_mut()
+                .record_config_change(item.revision);
             take_status(state, item);
         }
         Change::Put(item) if item.key.starts_with(REGISTRY) => {
             if let Some(listing) = listing(item) {
-                let entry = Entry::Put(listing);
+                let entry = RegistryChange::Put(listing);
                 take_entry(state, item.revision, entry);
             }
         }
         Change::Put(item) if item.key == LEADER => {
-            state.follow.borrow_mut().saw_order(item.revision);
+            state
+                .follow
+                .borrow_mut()
+                .record_config_change(item.revision);
             take_leader(state, Some(item));
         }
         Change::Gone(key, revision) if key == LEADER => {
-            state.follow.borrow_mut().saw_order(*revision);
+            state.follow.borrow_mut().record_config_change(*revision);
             take_leader(state, None);
         }
         Change::Gone(key, revision) => {
             if let Some(id) = key.strip_prefix(REGISTRY) {
-                take_entry(state, *revision, Entry::Gone(id.into()));
+                take_entry(state, *revision, RegistryChange::Removed(id.into()));
             }
         }
         Change::Put(item) if item.key.starts_with(CRASHES) => crash::restore(state, &item.value),
@@ -260,25 +269,25 @@
 }
 
 /// Takes a change of the registry in that this daemon saw itself, to be told on.
-fn take_entry(state: &State, revision: u64, entry: Entry) {
+fn take_entry(state: &State, revision: u64, entry: RegistryChange) {
     let now = Instant::now();
     let is_news = match &entry {
-        Entry::Put(listing) => state.endpoints.borrow().is_change(listing),
-        Entry::Gone(_) => true,
+        RegistryChange::Put(listing) => state.endpoints.borrow().is_change(listing),
+        RegistryChange::Removed(_) => true,
     };
     if is_news {
         let mut follow = state.follow.borrow_mut();
-        follow.saw(revision, entry.clone(), now);
+        follow.record_change(revision, entry.clone(), now);
     }
     let (id, change) = apply(state, entry, now);
     tell(state, &id, change);
 }
 
-fn apply(state: &State, entry: Entry, now: Instant) -> (EndpointId, Changed) {
+fn apply(state: &State, entry: RegistryChange, now: Instant) -> (EndpointId, Changed) {
     let mut table = state.endpoints.borrow_mut();
     match entry {
-        Entry::Put(listing) => (listing.id.clone(), table.put(listing)),
-        Entry::Gone(id) => {
+        RegistryChange::Put(listing) => (listing.id.clone(), table.put(listing)),
+        RegistryChange::Removed(id) => {
             let change = table.entry_removed(&id, now);
             (id, change)
         }
@@ -286,17 +295,17 @@
 }
 
 /// Takes in what a watcher of this zone tells.
-pub(crate) fn take_news(state: &State, news: News, now: Instant) {
+pub(crate) fn take_news(state: &State, news: ChangeFeed, now: Instant) {
     if state.peers.borrow().is_watcher(now) {
         return;
     }
-    let (answered, check) = (now.checked_sub(news.age), news.check);
-    let silent = state.peers.borrow().near_silent();
-    let heard = state.follow.borrow_mut().hear(news, silent, now);
+    let (answered, check) = (now.checked_sub(news.age), news.checksum);
+    let silent = state.peers.borrow().local_timeout();
+    let heard = state.follow.borrow_mut().merge(news, silent, now);
     let entries = match heard {
-        Heard::Take(entries) => entries,
-        Heard::Look => return state.look.notify_one(),
-        Heard::Nothing => return,
+        FeedAction::Apply(entries) => entries,
+        FeedAction::Read => return state.look.notify_one(),
+        FeedAction::Ignore => return,
     };
     if let Some(answered) = answered {
         state.store_answered(answered);
@@ -389,8 +398,8 @@
 /// How many of the daemons heard lately say that the store answers them.
 fn in_touch(state: &State) -> usize {
     let peers = state.peers.borrow();
-    let rows = peers.heard_lately(Instant::now());
-    rows.filter(|row| row.contact.is_some()).count()
+    let rows = peers.recent(Instant::now());
+    rows.filter(|row| row.store.is_some()).count()
 }
 
 /// Brings a newer configuration into force; an older one is never taken.
--- a/lib/src/relay.rs
+++ b/lib/src/relay.rs
@@ -9,8 +9,9 @@
 pub mod admit;
 pub mod budget;
 pub mod catalog;
+pub mod change_feed;
 pub mod clock;
-pub mod contact;
+pub mod connectivity;
 pub mod crash;
 pub mod demand;
 pub mod digest;
@@ -20,7 +21,6 @@
 pub mod engine;
 pub mod evidence;
 pub mod fleet;
-pub mod follow;
 pub mod life;
 pub mod limit;
 pub mod listing;
