--- a/daemon/src/relay/attempt.rs
+++ b/daemon/src/relay/attempt.rs
@@ -139,9 +139,9 @@
         finish(state, address, wire, &answer).await;
         return Ended::NotRun;
     }
-    let is_stream = job.route.repeat.is_stream() && answer.head.status == OK;
+    let is_stream = job.route.retry_policy.is_stream() && answer.head.status == OK;
     let mut first = None;
-    passed.events.restart();
+    passed.events.drop_partial();
     let events = passed.events.count();
     let ended = if is_stream && answer.said.sealed {
         let number = booked.number;
@@ -158,7 +158,12 @@
         match pass_on(&mut wire, &answer, passed, write, &mut patience, began).await {
             StreamEnd::Whole => {
                 let events = passed.events.count().saturating_sub(events + 1) as u32;
-                let tokens = events * job.service.engine.as_ref().map_or(0, |row| row.stride);
+                let tokens = events
+                    * job
+                        .service
+                        .engine
+                        .as_ref()
+                        .map_or(0, |row| row.event_tokens);
                 let mut table = state.endpoints.borrow_mut();
                 table.record_stream(&choice.id, number, tokens, Std::now());
                 Ended::Streamed
--- a/daemon/src/relay/caller.rs
+++ b/daemon/src/relay/caller.rs
@@ -55,7 +55,7 @@
     idle: Instant,
 ) -> bool {
     while buffer.is_empty() {
-        let limit = limits(state).idle;
+        let limit = limits(state).idle_timeout;
         let until = state.life().idle_end(idle.into_std(), limit);
         tokio::select! {
             biased;
@@ -133,9 +133,9 @@
     buffer: &mut BytesMut,
     limits: &CallerLimits,
 ) -> Option<Result<Request, Code>> {
-    let slow = Instant::now() + limits.slow;
+    let slow = Instant::now() + limits.header_timeout;
     loop {
-        match Request::take(buffer, limits.head) {
+        match Request::take(buffer, limits.header_bytes) {
             Ok(Some(request)) => return Some(Ok(request)),
             Ok(None) => {}
             Err(HeadError::TooLarge) => return Some(Err(Code::LargeHead)),
@@ -163,11 +163,11 @@
     limits: &CallerLimits,
 ) -> Option<Result<Bytes, Code>> {
     if let Framing::Length(length) = framing
-        && length > limits.body as u64
+        && length > limits.body_bytes as u64
     {
         return Some(Err(Code::LargeBody));
     }
-    let until = Instant::now() + limits.slow + BODY;
+    let until = Instant::now() + limits.header_timeout + BODY;
     let mut body = Body::new(framing);
     let mut bytes = BytesMut::new();
     loop {
@@ -178,7 +178,7 @@
                 Ok(None) => break,
                 Err(_) => return Some(Err(Code::BadBody)),
             }
-            if bytes.len() > limits.body {
+            if bytes.len() > limits.body_bytes {
                 return Some(Err(Code::LargeBody));
             }
         }
--- a/daemon/src/relay/dispatch.rs
+++ b/daemon/src/relay/dispatch.rs
@@ -108,7 +108,7 @@
         write: &mut WriteHalf<'_>,
     ) -> Ended {
         self.avoid.push(choice.id.clone());
-        let more = job.route.repeat.may_repeat()
+        let more = job.route.retry_policy.allows_retry()
             && self.runs + 1 < job.route.attempts
             && self.sends + 1 < MOST_SENDS;
         let (avoid, reserved) = (&self.avoid, &mut self.reserved);
@@ -132,7 +132,7 @@
         if !matches!(ended, Ended::NotSent) {
             self.sends += 1;
         }
-        let repeats = job.route.repeat.may_repeat();
+        let repeats = job.route.retry_policy.allows_retry();
         match ended {
             Ended::Streamed => {
                 told(state, job, &choice.id, 200, self.sends);
@@ -258,7 +258,7 @@
     let first = (wait * 3).max(job.route.target * 3 / 2).max(LEAST_SILENCE);
     Patience {
         first: Instant::now() + first,
-        pause: job.route.pause.unwrap_or(job.route.target) * 3,
+        pause: job.route.pause_target.unwrap_or(job.route.target) * 3,
         deadline: job.deadline,
         moves,
     }
@@ -269,7 +269,7 @@
 fn told(state: &State, job: &Job<'_>, endpoint: &str, status: u16, sends: u32) {
     let took = job.arrived.elapsed();
     state.measure(|metrics| metrics.ended(&job.route.name, 0, took));
-    let late = !job.route.repeat.is_stream() && took > job.route.target;
+    let late = !job.route.retry_policy.is_stream() && took > job.route.target;
     if status < FAILED && !late && !state.sampler.lets(Std::now()) {
         return;
     }
--- a/daemon/src/relay/duties.rs
+++ b/daemon/src/relay/duties.rs
@@ -502,7 +502,7 @@
         return;
     };
     for service in &catalog.services {
-        let boot = service.scaling.as_ref().map(|scaling| scaling.boot);
+        let boot = service.scaling.as_ref().map(|scaling| scaling.boot_time);
         let now = Instant::now();
         let work = state.demand.borrow().total(&service.name, now);
         let zones = &state.settings.zones;
--- a/daemon/src/relay/peers.rs
+++ b/daemon/src/relay/peers.rs
@@ -447,7 +447,7 @@
     if let Some(span) = contact {
         end_doubt(state, &name, span, now);
     }
-    state.clock.borrow_mut().hear(&name, digest.wall_ms, now);
+    state.clock.borrow_mut().record(&name, digest.wall_ms, now);
     match digest.news.map(news::hear) {
         Some(Some(news)) => take_news(state, news, now),
         Some(None) => log::warn!("peers: news of {name} is not read."),
--- a/daemon/src/relay/stream.rs
+++ b/daemon/src/relay/stream.rs
@@ -120,7 +120,7 @@
             }
         }
         let done = body.is_done();
-        if done && passed.events.is_torn() {
+        if done && passed.events.has_partial() {
             return StreamEnd::Broken;
         }
         if passed.events.count() > first {
--- a/lib/src/relay.rs
+++ b/lib/src/relay.rs
@@ -1,10 +1,9 @@
-//! Relaying requests byte for byte to endpoints, under one configuration.
+//! Decisions of the relay, a reverse proxy that passes requests byte for byte to endpoints.
 //!
-//! These are the decisions of a daemon that stands between callers and endpoints
-//! of a platform that keeps its configuration and its list of endpoints in a
-//! key-value service. An adapter decodes what the platform says into the types of
-//! [`catalog`] and [`listing`]; the daemon's connections act on what the other
-//! modules decide. Nothing here reads a socket or a clock.
+//! A daemon relays requests between callers and the endpoints of a platform that keeps its
+//! configuration and its list of endpoints in a key-value store. An adapter decodes the data of
+//! the platform into the types of [`catalog`] and [`listing`]; the connections of the daemon
+//! execute what the other modules decide. Nothing here reads from a socket or a clock.
 
 pub mod admit;
 pub mod budget;
--- a/lib/src/relay/catalog.rs
+++ b/lib/src/relay/catalog.rs
@@ -1,8 +1,8 @@
-//! The configuration in force: routes, services, teams and limits.
+//! The active configuration: routes, services, teams and limits.
 //!
-//! A catalog is decoded whole, checked once and then only read. A request keeps
-//! the catalog that was in force when it arrived, so a change never mixes two
-//! versions within one request.
+//! A catalog is decoded as a whole, checked once and then immutable. A request keeps the
+//! catalog that was active when it arrived, so a configuration change never mixes two versions
+//! within one request.
 
 use std::time::Duration;
 
@@ -10,13 +10,13 @@
 
 use crate::{CustomerId, ServiceId, ZoneId};
 
-/// Number of a configuration; grows with each change.
+/// Number of a configuration; increases with each change.
 pub type CatalogVersion = u64;
 
-/// One whole configuration.
+/// A complete configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Catalog {
-    /// Its number.
+    /// Number of this configuration.
     pub version: CatalogVersion,
     /// Routes, sorted by host and then by prefix.
     pub routes: Vec<Route>,
@@ -26,32 +26,32 @@
     pub teams: Vec<Team>,
     /// API keys, sorted, with the index of their team.
     pub keys: Vec<(CompactString, usize)>,
-    /// Limits on what callers send.
+    /// Limits on requests and connections of callers.
     pub limits: CallerLimits,
 }
 
-/// What may be done with a request when its outcome is not known.
+/// Whether a request may be retried when its outcome is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetryPolicy {
     /// May run more than once.
-    Safe,
+    Idempotent,
     /// May run at most once.
-    Once,
-    /// A stream that may go on at another endpoint after its last whole event.
-    Resumable,
+    NonIdempotent,
+    /// A stream that may be resumed at another endpoint after its last complete event.
+    ResumableStream,
     /// A stream that may run at most once.
-    OnceStream,
+    NonIdempotentStream,
 }
 
-impl Repeat {
-    /// Whether a second run is allowed.
-    pub fn may_repeat(self) -> bool {
-        matches!(self, Self::Safe | Self::Resumable)
+impl RetryPolicy {
+    /// Whether a request whose outcome is unknown may be sent again.
+    pub fn allows_retry(self) -> bool {
+        matches!(self, Self::Idempotent | Self::ResumableStream)
     }
 
-    /// Whether the answer is a stream of events.
+    /// Whether the response is a stream of events.
     pub fn is_stream(self) -> bool {
-        matches!(self, Self::Resumable | Self::OnceStream)
+        matches!(self, Self::ResumableStream | Self::NonIdempotentStream)
     }
 }
 
@@ -60,42 +60,42 @@
 pub struct Route {
     /// Name, for logs.
     pub name: CompactString,
-    /// Host that it belongs to, in lower case.
+    /// Host whose requests it serves, in lower case.
     pub host: CompactString,
-    /// Beginning of the paths that it serves.
+    /// Prefix of the paths that it serves.
     pub prefix: CompactString,
-    /// What may be repeated.
-    pub repeat: Repeat,
-    /// Longest time that a caller is kept waiting.
+    /// Whether its requests may be retried.
+    pub retry_policy: RetryPolicy,
+    /// Longest time that a caller waits for the response.
     pub timeout: Duration,
-    /// Time within which an answer, or the first event of a stream, is on time.
+    /// Latency target of a response, or of the first event of a stream.
     pub target: Duration,
-    /// Longest pause between events that is on time.
-    pub pause: Option<Duration>,
-    /// Rank; 0 is the most urgent.
+    /// Target for the pause between two events of a stream.
+    pub pause_target: Option<Duration>,
+    /// Priority; 0 is the most urgent.
     pub rank: u8,
-    /// Services that its requests go to, with their weights.
+    /// Services that its requests are routed to, with their weights.
     pub backends: Vec<Backend>,
-    /// Most endpoints that one request may be sent to.
+    /// Most endpoints that one request may be sent to, retries included.
     pub attempts: u32,
-    /// Whether no API key is asked for.
+    /// Whether it serves requests without an API key.
     pub public: bool,
 }
 
 impl Route {
-    fn leads_to(&self, service: &str) -> bool {
+    fn routes_to(&self, service: &str) -> bool {
         self.backends
             .iter()
             .any(|backend| backend.service == service)
     }
 }
 
-/// A service and its share of a route.
+/// A service and its weight in a route.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Backend {
     /// The service.
     pub service: ServiceId,
-    /// Its weight among those of the route.
+    /// Weight relative to the other services of the route.
     pub weight: u32,
 }
 
@@ -104,99 +104,104 @@
 pub struct Service {
     /// Name.
     pub name: ServiceId,
-    /// Connections that one endpoint takes from all daemons.
+    /// Connections that one endpoint accepts from all daemons together; `None` for no limit.
     pub connections: Option<u32>,
-    /// What its model engines can do; `None` for plain services.
+    /// Capacity of its model engines; `None` for a service without engines.
     pub engine: Option<Engine>,
-    /// How many endpoints may be ordered; `None` if they are not ordered.
+    /// Bounds for scaling its endpoints; `None` if they are not scaled.
     pub scaling: Option<Scaling>,
-    /// Shortest target of the routes that lead to it; `None` if none does.
+    /// Shortest latency target of the routes to it; `None` if there is none.
     pub target: Option<Duration>,
 }
 
-/// Model engines of a service.
+/// Capacity of one model engine of a service.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Engine {
     /// Requests in one batch.
     pub slots: u32,
     /// Tokens that fit into the KV cache.
-    pub tokens: u64,
+    pub kv_tokens: u64,
     /// Tokens in one event of a stream.
-    pub stride: u32,
+    pub event_tokens: u32,
 }
 
-/// Bounds and prices of ordered endpoints.
+/// Bounds and prices for scaling the endpoints of a service.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Scaling {
     /// Fewest endpoints in a zone.
-    pub least: u32,
+    pub min: u32,
     /// Most endpoints in a zone.
-    pub most: u32,
-    /// Time from the order until a new endpoint serves.
-    pub boot: Duration,
-    /// Price of a reclaimable endpoint beside 1 for others; `None` if there are none.
-    pub spot: Option<f64>,
+    pub max: u32,
+    /// Time from the order of a new endpoint until it serves requests.
+    pub boot_time: Duration,
+    /// Price of a reclaimable endpoint relative to an on-demand one; `None` if there are no
+    /// reclaimable ones.
+    pub reclaimable_price: Option<f64>,
     /// Price by zone, sorted by zone.
     pub zones: Vec<(ZoneId, f64)>,
 }
 
-/// One team and what it may use.
+/// A team and its allowance.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Team {
-    /// Name, as endpoints are told.
+    /// Name, as it is passed on to endpoints.
     pub name: CustomerId,
-    /// Rank that goes before the route's; 0 is the most urgent.
+    /// Priority that overrides that of the route; 0 is the most urgent.
     pub rank: Option<u8>,
-    /// Allowance a second, in units; `None` for no limit.
+    /// Allowance in units per second; `None` for no limit.
     pub rate: Option<f64>,
-    /// Units on top, for a burst.
+    /// Units that a burst may use beyond the rate.
     pub burst: f64,
-    /// How requests count.
+    /// Unit in which requests count.
     pub unit: Unit,
 }
 
 /// How a request counts against its team's allowance.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Unit {
-    /// Each as one.
+    /// Each request counts as one.
     #[default]
     Requests,
-    /// By tokens in and out; one that states none counts as the number here.
+    /// By input and output tokens; a request that states none counts as this many.
     Tokens(f64),
 }
 
-/// Limits on what callers send.
+/// Limits on requests and connections of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Longest head, in bytes.
-    pub head: usize,
-    /// Longest body, in bytes.
-    pub body: usize,
-    /// Longest time that a head may take to arrive.
-    pub slow: Duration,
+    /// Longest request header, in bytes.
+    pub header_bytes: usize,
+    /// Longest request body, in bytes.
+    pub body_bytes: usize,
+    /// Longest time that a request header may take to arrive.
+    pub header_timeout: Duration,
     /// Longest time that a connection may stay idle.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for CallerLimits {
-    /// Limits until a configuration states others: what common HTTP servers allow.
+    /// Limits that hold unless the configuration sets others: those of common HTTP servers.
     fn default() -> Self {
         Self {
-            head: 16 * 1024,
-            body: 4 * 1024 * 1024,
-            slow: Duration::from_secs(3),
-            idle: Duration::from_secs(15),
+            header_bytes: 16 * 1024,
+            body_bytes: 4 * 1024 * 1024,
+            header_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
 
 impl Catalog {
-    /// Brings the tables into their order and looks up what services need of the
-    /// routes; to be called once after decoding.
+    /// Sorts the tables and sets the latency target of each service from its routes. Must be
+    /// called once after decoding.
     pub fn sort(&mut self) {
         for service in &mut self.services {
-            let leads = |route: &&Route| route.leads_to(&service.name);
-            let targets = self.routes.iter().filter(leads).map(|route| route.target);
+            let is_routed = |route: &&Route| route.routes_to(&service.name);
+            let targets = self
+                .routes
+                .iter()
+                .filter(is_routed)
+                .map(|route| route.target);
             service.target = targets.min();
         }
         self.routes
@@ -205,12 +210,12 @@
         self.keys.sort();
     }
 
-    /// Route of a host with the longest prefix that begins the path.
+    /// Route of a host with the longest prefix of the path.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
-        let from = self
+        let first = self
             .routes
             .partition_point(|route| route.host.as_str() < host);
-        self.routes[from..]
+        self.routes[first..]
             .iter()
             .take_while(|route| route.host == host)
             .filter(|route| path.starts_with(route.prefix.as_str()))
@@ -225,11 +230,11 @@
         at.ok().map(|at| &self.services[at])
     }
 
-    /// Index of the team that holds an API key.
+    /// Index of the team that an API key belongs to.
     pub fn team_of(&self, key: &str) -> Option<usize> {
         let at = self
             .keys
-            .binary_search_by(|(held, _)| held.as_str().cmp(key));
+            .binary_search_by(|(known, _)| known.as_str().cmp(key));
         at.ok().map(|at| self.keys[at].1)
     }
 }
--- a/lib/src/relay/clock.rs
+++ b/lib/src/relay/clock.rs
@@ -1,27 +1,28 @@
-//! The true time of day, although clocks jump.
+//! Time of day that stays correct when the clocks of some hosts jump.
 //!
-//! The time of day of some hosts jumps by seconds and back. Usage windows are
-//! windows of true time, so a daemon that counted by its own clock would put runs
-//! into the wrong window. All daemons tell one another their time of day; the
-//! median of all is right as long as fewer than half of the clocks are wrong.
+//! The clock of some hosts jumps by seconds and back. Usage windows are windows of the true
+//! time of day, so a daemon that went by its own clock would count runs in the wrong window.
+//! All daemons advertise their time of day to one another; the median of all is correct as
+//! long as fewer than half of the clocks are wrong.
 
 use std::time::{Duration, Instant};
 
 use compact_str::CompactString;
 
-/// After how long another daemon's word on the time is no longer used.
-const FRESH: Duration = Duration::from_secs(4);
+/// Time after which the advertised time of another daemon is no longer used.
+const FRESHNESS_TTL: Duration = Duration::from_secs(4);
 
-/// Time of day of this daemon and the others.
+/// Time of day as the median over this daemon and the others.
 #[derive(Clone, Debug)]
 pub struct Clock {
     start: Instant,
-    /// Unix milliseconds at `start`, as each of the others tells it, sorted by name.
+    /// Name of each other daemon, Unix milliseconds at `start` by its clock, and when it was
+    /// received; sorted by name.
     others: Vec<(CompactString, i64, Instant)>,
 }
 
 impl Clock {
-    /// Begins when the daemon starts.
+    /// Creates the clock of a daemon that starts at `start`.
     pub fn new(start: Instant) -> Self {
         Self {
             start,
@@ -29,28 +30,29 @@
         }
     }
 
-    /// Takes in the time of day that another daemon tells.
-    pub fn hear(&mut self, name: &CompactString, wall: u64, now: Instant) {
-        let row = (name.clone(), self.base(wall, now), now);
-        match self.others.binary_search_by(|(held, ..)| held.cmp(name)) {
+    /// Records the time of day that another daemon advertises, in Unix milliseconds.
+    pub fn record(&mut self, name: &CompactString, wall_ms: u64, now: Instant) {
+        let row = (name.clone(), self.base_ms(wall_ms, now), now);
+        match self.others.binary_search_by(|(known, ..)| known.cmp(name)) {
             Ok(at) => self.others[at] = row,
             Err(at) => self.others.insert(at, row),
         }
     }
 
-    /// Unix milliseconds now, from this daemon's own time of day and the others'.
-    pub fn now(&self, own: u64, now: Instant) -> u64 {
+    /// Median time of day in Unix milliseconds; `own_ms` is that of this daemon's own clock.
+    pub fn now(&self, own_ms: u64, now: Instant) -> u64 {
         let fresh = self.others.iter();
-        let fresh = fresh.filter(|(_, _, heard)| now.duration_since(*heard) <= FRESH);
+        let fresh = fresh.filter(|(_, _, received)| now.duration_since(*received) <= FRESHNESS_TTL);
         let mut bases: Vec<i64> = fresh.map(|(_, base, _)| *base).collect();
-        bases.push(self.base(own, now));
+        bases.push(self.base_ms(own_ms, now));
         bases.sort_unstable();
         let median = bases[bases.len() / 2];
-        let since = now.duration_since(self.start).as_millis() as i64;
-        (median + since).max(0) as u64
+        let elapsed_ms = now.duration_since(self.start).as_millis() as i64;
+        (median + elapsed_ms).max(0) as u64
     }
 
-    fn base(&self, wall: u64, now: Instant) -> i64 {
-        wall.cast_signed() - now.duration_since(self.start).as_millis() as i64
+    /// Unix milliseconds at `start` by a clock that reads `wall_ms` at `now`.
+    fn base_ms(&self, wall_ms: u64, now: Instant) -> i64 {
+        wall_ms.cast_signed() - now.duration_since(self.start).as_millis() as i64
     }
 }
--- a/lib/src/relay/endpoint_table.rs
+++ b/lib/src/relay/endpoint_table.rs
@@ -14,7 +14,7 @@
 use compact_str::CompactString;
 
 use super::ended::Ended;
-use super::engine::{Pace, Speed};
+use super::engine::{EngineSpeed, ServiceSpeed};
 use super::evidence::Evidence;
 use super::limit::{Limit, Said, Sharers};
 use super::listing::Listing;
@@ -98,7 +98,7 @@
     /// Load from all other daemons.
     pub remote_load: Load,
     /// Learned speed.
-    pub speed: Speed,
+    pub speed: EngineSpeed,
     /// Evidence of failures.
     pub evidence: Evidence,
     /// Prompt prefixes that it probably has in its KV cache.
@@ -132,9 +132,9 @@
 pub struct EndpointTable {
     rows: Vec<Endpoint>,
     /// Learned speed of the engines of each service, sorted by service.
-    paces: Vec<(ServiceId, Pace)>,
+    paces: Vec<(ServiceId, ServiceSpeed)>,
     /// Speed of services for which none was learned yet.
-    default_pace: Pace,
+    default_pace: ServiceSpeed,
     /// Current load reports, sorted by reporter.
     reports: Vec<LoadReport>,
     /// Until when missing entries make their endpoints doubtful, after an outage.
@@ -185,16 +185,17 @@
     }
 
     /// Learned speed of a service's engines.
-    pub fn pace(&self, service: &str) -> &Pace {
+    pub fn pace(&self, service: &str) -> &ServiceSpeed {
         match self.find_pace(service) {
             Ok(at) => &self.paces[at].1,
             Err(_) => &self.default_pace,
         }
     }
 
-    fn pace_mut(&mut self, service: &ServiceId) -> &mut Pace {
+    fn pace_mut(&mut self, service: &ServiceId) -> &mut ServiceSpeed {
         let at = self.find_pace(service).unwrap_or_else(|at| {
-            self.paces.insert(at, (service.clone(), Pace::default()));
+            self.paces
+                .insert(at, (service.clone(), ServiceSpeed::default()));
             at
         });
         &mut self.paces[at].1
@@ -374,7 +375,7 @@
         }
         let last = row.map(|row| &row.listing);
         let last = last.or_else(|| self.ended.last(&listing.id));
-        last.is_some_and(|last| listing.is_known_by(last))
+        last.is_some_and(|last| listing.is_redundant_to(last))
     }
 
     /// Applies a load report: load by hash of the endpoint's id. The report of a zone replaces
@@ -544,7 +545,7 @@
     pub fn expire(&mut self, now: Instant) -> Vec<EndpointId> {
         let dropped = self.drop_doubtful(now);
         for row in &mut self.rows {
-            row.speed.fade();
+            row.speed.recover();
         }
         let is_over =
             |row: &Endpoint| row.state == EndpointState::Leaving && row.in_flight.is_empty();
@@ -607,7 +608,7 @@
             state,
             in_flight: Vec::new(),
             remote_load: reported_load(reports, hash),
-            speed: Speed::default(),
+            speed: EngineSpeed::default(),
             evidence: Evidence::default(),
             cache: PrefixCache::default(),
             full_until: None,
--- a/lib/src/relay/engine.rs
+++ b/lib/src/relay/engine.rs
@@ -1,72 +1,74 @@
-//! How fast the model engines of a service are, learned from what they answer.
+//! Learns the speed of a service's model engines from their responses.
 //!
-//! Load: engines of any speed, behind prompts that differ a hundredfold in length. An
-//! engine reads prompts in chunks between the tokens of the requests that run, so
-//! counting requests tells little, and a fixed speed is wrong on the next service:
-//! where engines were four times slower than a fixed figure said, too few were ordered
-//! and callers were sent to engines that could not answer in time.
+//! Load: engines of any speed, and prompts whose lengths differ by a factor of a hundred. An
+//! engine prefills prompts in chunks between the output tokens of the running requests, so the
+//! number of requests is a poor measure of load, and a fixed speed is wrong for the next
+//! service: where engines were four times slower than a fixed figure, too few were ordered,
+//! and requests were sent to engines that could not answer in time.
 //!
-//! For predictions a straight line is fitted for each service, with weights that fade:
-//! the time to the first event over the prompt tokens to be read. Each engine has a
-//! factor on it, so one that turns slow is seen as slow within a few answers and does
-//! not make its service look slow.
+//! For predictions, a straight line is fitted per service with exponentially decaying weights:
+//! the time to the first event over the prompt tokens to prefill. Each engine has a factor
+//! relative to that line, so an engine that turns slow is recognized within a few responses
+//! and does not make its service look slow.
 //!
-//! How many engines the work needs is reckoned from quantiles of what requests saw
-//! that waited for nobody. The line would not do: it rises while engines are
-//! overloaded, as after a wave of reclaims, and far more would be ordered for it than
-//! the work needs.
+//! The number of engines that the work needs is computed from quantiles over the requests that
+//! waited for no other. The line is unsuitable for this: it rises while engines are overloaded,
+//! as after a wave of reclaims, and far more engines would be ordered than the work needs.
 
 use std::time::Duration;
 
-/// Prompt tokens that an engine is taken to read in a millisecond before anything was
-/// observed: the order of size of common engines.
-const READ_RATE: f64 = 50.0;
-/// Milliseconds to the first event beside the reading, before anything was observed.
-const FIRST: f64 = 20.0;
-/// Milliseconds of an output token, before anything was observed.
-const STEP: f64 = 6.0;
-/// Observations that these figures count as. With few, a service that is four times
-/// slower is known after a second of traffic.
-const PRIOR: f64 = 4.0;
-/// Spread of what the prior observations are taken to have been at.
+/// Prompt tokens that an engine prefills in a millisecond, assumed before anything was
+/// observed: the order of magnitude of common engines.
+const DEFAULT_TOKENS_PER_MS: f64 = 50.0;
+/// Milliseconds to the first event besides the prefill, assumed before anything was observed.
+const DEFAULT_FIRST_MS: f64 = 20.0;
+/// Milliseconds per output token, assumed before anything was observed.
+const DEFAULT_STEP_MS: f64 = 6.0;
+/// Number of observations that these defaults count as. As it is small, a service that is
+/// four times slower is recognized after a second of traffic.
+const PRIOR_WEIGHT: f64 = 4.0;
+/// Mean number of prompt tokens of the prior observations: half of them are at zero, half at
+/// twice this number.
 const PRIOR_TOKENS: f64 = 4000.0;
-/// Part of its weight that an observation keeps with each further one; about the last
+/// Factor by which the weight of an observation decays with each further one; about the last
 /// hundred count.
-const KEPT: f64 = 0.99;
-/// Factor beyond the prediction at which an observation is cut: single requests wait
-/// for a broken engine or a partition, and would bend the line for all.
-const CUT: f64 = 2.0;
-/// Least slope and least prediction, as shares of the mean observation: noise must not
-/// make longer prompts look quicker, or short ones take no time.
-const LEAST: f64 = 0.05;
-/// Spread of the prompts, beside their mean square, below which no slope can be told.
-const ALIKE: f64 = 1e-6;
-/// Prompt tokens from which on the reading outweighs all else until the first event.
-const LONG: f64 = 1000.0;
-/// Quantiles that the need is reckoned from: of the reading nearly the quickest, as
-/// all else that an engine does meanwhile makes it longer; of output tokens, which
-/// always share their engine with prompts, the lower quarter.
-const READ_SHARE: f64 = 0.1;
-const STEP_SHARE: f64 = 0.25;
-/// Observations that a quantile is taken of, one to three seconds of a daemon's.
+const DECAY: f64 = 0.99;
+/// Factor relative to the prediction to which an observation is clamped: single requests wait
+/// for a broken engine or a partition, and would distort the line of the whole service.
+const OUTLIER_FACTOR: f64 = 2.0;
+/// Lower bounds of the slope and of the prediction, as fractions of those of the mean
+/// observation: noise must not make longer prompts look faster, or short ones take no time.
+const MIN_FRACTION: f64 = 0.05;
+/// Variance of the prompt lengths relative to their mean square, below which no slope can be
+/// determined.
+const MIN_VARIANCE: f64 = 1e-6;
+/// Prompt tokens from which on the prefill dominates the time to the first event.
+const LONG_PROMPT_TOKENS: f64 = 1000.0;
+/// Quantiles from which the number of engines is computed: for the prefill nearly the fastest,
+/// as everything else that an engine does meanwhile makes it longer; for output tokens, which
+/// always share their engine with prompts, the lower quartile.
+const PREFILL_QUANTILE: f64 = 0.1;
+const STEP_QUANTILE: f64 = 0.25;
+/// Observations from which a quantile is taken; a daemon makes them in one to three seconds.
 const BATCH: usize = 24;
-/// Part of the way up that a quantile goes for each batch, so that an overload of ten
-/// seconds raises it by about a quarter of what was seen.
+/// Fraction of the difference by which a quantile rises per batch, so that an overload of ten
+/// seconds raises it by about a quarter of the observed increase.
 const RISE: f64 = 0.06;
-/// Weight of a new observation of one engine's factor; one in five makes a lasting
-/// change known within ten answers and a single odd one harmless.
-const LEARN: f64 = 0.2;
+/// Weight of a new observation of an engine's factor; with one fifth a lasting change is
+/// recognized within ten responses, and a single outlier is harmless.
+const FACTOR_WEIGHT: f64 = 0.2;
 /// Bounds of an engine's factor.
-const SLOWEST: f64 = 40.0;
-const FASTEST: f64 = 0.5;
-/// Share of the way back to its service's speed that an engine's factor goes each
-/// second, so that one that nobody asks any more is tried again.
-const FADE: f64 = 0.02;
+const MAX_FACTOR: f64 = 40.0;
+const MIN_FACTOR: f64 = 0.5;
+/// Fraction by which an engine's factor returns to 1 each second, so that an engine that gets
+/// no requests any more is tried again.
+const RECOVERY: f64 = 0.02;
 
-/// Milliseconds to the first event by prompt tokens to be read: a straight line through
-/// faded observations.
+/// Milliseconds to the first event over the prompt tokens to prefill: a straight line fitted
+/// to observations with decaying weights.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Line {
+pub struct LatencyLine {
+    /// Sum of the weights, followed by the weighted sums of x, y, x * x and x * y.
     weight: f64,
     x: f64,
     y: f64,
@@ -74,9 +76,9 @@
     xy: f64,
 }
 
-impl Line {
-    /// Before anything was observed.
-    pub fn usual() -> Self {
+impl LatencyLine {
+    /// The line before anything was observed.
+    pub fn prior() -> Self {
         let mut line = Self {
             weight: 0.0,
             x: 0.0,
@@ -85,7 +87,11 @@
             xy: 0.0,
         };
         for at in [0.0, PRIOR_TOKENS * 2.0] {
-            line.add(at, FIRST + at / READ_RATE, PRIOR / 2.0);
+            line.add(
+                at,
+                DEFAULT_FIRST_MS + at / DEFAULT_TOKENS_PER_MS,
+                PRIOR_WEIGHT / 2.0,
+            );
         }
         line
     }
@@ -107,65 +113,69 @@
             &mut self.xx,
             &mut self.xy,
         ] {
-            *sum *= KEPT;
+            *sum *= DECAY;
         }
-        self.add(x, y.clamp(expected / CUT, expected * CUT), 1.0);
+        self.add(
+            x,
+            y.clamp(expected / OUTLIER_FACTOR, expected * OUTLIER_FACTOR),
+            1.0,
+        );
     }
 
     fn slope(&self) -> f64 {
-        let spread = self.xx * self.weight - self.x * self.x;
-        if spread <= self.xx * self.weight * ALIKE {
-            return 1.0 / READ_RATE;
+        let variance = self.xx * self.weight - self.x * self.x;
+        if variance <= self.xx * self.weight * MIN_VARIANCE {
+            return 1.0 / DEFAULT_TOKENS_PER_MS;
         }
-        let slope = (self.xy * self.weight - self.x * self.y) / spread;
-        slope.max(self.y / self.x.max(1.0) * LEAST)
+        let slope = (self.xy * self.weight - self.x * self.y) / variance;
+        slope.max(self.y / self.x.max(1.0) * MIN_FRACTION)
     }
 
     fn at(&self, x: f64) -> f64 {
         let slope = self.slope();
         let base = (self.y - slope * self.x) / self.weight;
-        (base + slope * x).max(self.y / self.weight * LEAST)
+        (base + slope * x).max(self.y / self.weight * MIN_FRACTION)
     }
 }
 
-/// A quantile of what was observed lately. It falls at once and rises slowly: what is
-/// observed under an overload is longer than what engines need, and the engines that are
-/// ordered for it come when the overload is over.
+/// A quantile of recent observations. It falls at once and rises slowly: times observed during
+/// an overload are longer than the engines need, and engines that are ordered because of them
+/// arrive when the overload is over.
 #[derive(Clone, Debug, PartialEq)]
 struct Quantile {
-    /// Share of the observations that lie below.
-    share: f64,
+    /// Fraction of the observations that lie below.
+    fraction: f64,
     value: f64,
-    /// Whether the value was observed.
-    known: bool,
-    /// Observations since the value was last looked at.
-    fresh: Vec<f64>,
+    /// Whether the value is from observations rather than the default.
+    is_observed: bool,
+    /// Observations since the value was last updated.
+    batch: Vec<f64>,
 }
 
 impl Quantile {
-    fn new(share: f64, usual: f64) -> Self {
+    fn new(fraction: f64, default: f64) -> Self {
         Self {
-            share,
-            value: usual,
-            known: false,
-            fresh: Vec::new(),
+            fraction,
+            value: default,
+            is_observed: false,
+            batch: Vec::new(),
         }
     }
 
-    fn learn(&mut self, seen: f64) {
-        self.fresh.push(seen);
-        if self.fresh.len() < BATCH {
+    fn learn(&mut self, observed: f64) {
+        self.batch.push(observed);
+        if self.batch.len() < BATCH {
             return;
         }
-        self.fresh.sort_by(f64::total_cmp);
-        let now = self.fresh[(BATCH as f64 * self.share) as usize];
-        self.fresh.clear();
-        if self.known && now > self.value {
+        self.batch.sort_by(f64::total_cmp);
+        let now = self.batch[(BATCH as f64 * self.fraction) as usize];
+        self.batch.clear();
+        if self.is_observed && now > self.value {
             self.value += (now - self.value) * RISE;
         } else {
             self.value = now;
         }
-        self.known = true;
+        self.is_observed = true;
     }
 
     fn value(&self) -> f64 {
@@ -173,93 +183,94 @@
     }
 }
 
-/// Speed of the engines of one service.
+/// Learned speed of the engines of one service.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Pace {
-    /// Milliseconds to the first event, by prompt tokens to be read.
-    first: Line,
-    /// Milliseconds of a prompt token.
-    read: Quantile,
-    /// Milliseconds of an output token.
+pub struct ServiceSpeed {
+    /// Milliseconds to the first event, over the prompt tokens to prefill.
+    first: LatencyLine,
+    /// Milliseconds per prompt token.
+    prefill: Quantile,
+    /// Milliseconds per output token.
     step: Quantile,
 }
 
-impl Default for Pace {
+impl Default for ServiceSpeed {
     fn default() -> Self {
         Self {
-            first: Line::usual(),
-            read: Quantile::new(READ_SHARE, 1.0 / READ_RATE),
-            step: Quantile::new(STEP_SHARE, STEP),
+            first: LatencyLine::prior(),
+            prefill: Quantile::new(PREFILL_QUANTILE, 1.0 / DEFAULT_TOKENS_PER_MS),
+            step: Quantile::new(STEP_QUANTILE, DEFAULT_STEP_MS),
         }
     }
 }
 
-impl Pace {
-    /// Time to the first event.
-    pub fn line(&self) -> Line {
+impl ServiceSpeed {
+    /// Time to the first event over the prompt tokens to prefill.
+    pub fn line(&self) -> LatencyLine {
         self.first
     }
 
-    /// Seconds that an engine works for a prompt token that it reads.
-    pub fn read(&self) -> f64 {
-        self.read.value() / 1000.0
+    /// Seconds of prefill per prompt token.
+    pub fn prefill_s(&self) -> f64 {
+        self.prefill.value() / 1000.0
     }
 
-    /// Seconds that an output token takes.
-    pub fn step(&self) -> f64 {
+    /// Seconds per output token.
+    pub fn step_s(&self) -> f64 {
         self.step.value() / 1000.0
     }
 
-    /// Learns from a stream's pace: a token took this long.
+    /// Learns from the time per output token of a stream.
     pub fn learn_step(&mut self, token: Duration) {
         self.step.learn(token.as_secs_f64() * 1000.0);
     }
 
-    fn learn_first(&mut self, own: f64, ahead: f64, millis: f64) {
-        self.first.learn(own + ahead, millis);
-        if own >= LONG && ahead <= 0.0 {
-            self.read.learn(millis / own);
+    fn learn_first(&mut self, prefill: f64, ahead: f64, millis: f64) {
+        self.first.learn(prefill + ahead, millis);
+        if prefill >= LONG_PROMPT_TOKENS && ahead <= 0.0 {
+            self.prefill.learn(millis / prefill);
         }
     }
 }
 
-/// Learned speed of one engine beside its service's.
+/// Learned speed of one engine relative to its service.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Speed {
-    /// Measured time over the service's, smoothed.
+pub struct EngineSpeed {
+    /// Smoothed ratio of the observed time to the one predicted for the service.
     factor: f64,
 }
 
-impl Default for Speed {
+impl Default for EngineSpeed {
     fn default() -> Self {
         Self { factor: 1.0 }
     }
 }
 
-impl Speed {
-    /// Predicted time until the first event of a request with `own` tokens to read,
-    /// behind `ahead` tokens of others.
-    pub fn first(&self, line: &Line, own: f64, ahead: f64) -> Duration {
-        Duration::from_secs_f64(self.factor * line.at(own + ahead) / 1000.0)
+impl EngineSpeed {
+    /// Predicted time to the first event of a request with `prefill` tokens to prefill, which
+    /// waits for `ahead` tokens of other requests.
+    pub fn time_to_first(&self, line: &LatencyLine, prefill: f64, ahead: f64) -> Duration {
+        Duration::from_secs_f64(self.factor * line.at(prefill + ahead) / 1000.0)
     }
 
-    /// Learns, together with its service, from a first event that came after `took`.
-    pub fn learn(&mut self, pace: &mut Pace, own: f64, ahead: f64, took: Duration) {
+    /// Learns the speed of this engine and of its service from a first event that came after
+    /// `took`.
+    pub fn learn(&mut self, service: &mut ServiceSpeed, prefill: f64, ahead: f64, took: Duration) {
         let millis = took.as_secs_f64() * 1000.0;
-        let seen = millis / pace.first.at(own + ahead);
-        let factor = self.factor + LEARN * (seen - self.factor);
-        self.factor = factor.clamp(FASTEST, SLOWEST);
-        pace.learn_first(own, ahead, millis);
+        let ratio = millis / service.first.at(prefill + ahead);
+        let factor = self.factor + FACTOR_WEIGHT * (ratio - self.factor);
+        self.factor = factor.clamp(MIN_FACTOR, MAX_FACTOR);
+        service.learn_first(prefill, ahead, millis);
     }
 
-    /// Learned factor; 1 for an engine like the others of its service.
+    /// Ratio of this engine's time to that of its service; above 1 if it is slower.
     pub fn factor(&self) -> f64 {
         self.factor
     }
 
-    /// Lets an unfavourable factor fade, so that an engine that nobody asks any
-    /// more is tried again.
-    pub fn fade(&mut self) {
-        self.factor += (1.0 - self.factor) * FADE;
+    /// Moves the factor towards 1, so that an engine that gets no requests any more is tried
+    /// again; called once a second.
+    pub fn recover(&mut self) {
+        self.factor += (1.0 - self.factor) * RECOVERY;
     }
 }
--- a/lib/src/relay/fleet.rs
+++ b/lib/src/relay/fleet.rs
@@ -17,7 +17,7 @@
 use super::catalog::{Scaling, Service};
 use super::demand::Work;
 use super::endpoint_table::{EndpointState, EndpointTable};
-use super::engine::Pace;
+use super::engine::ServiceSpeed;
 use crate::{ServiceId, ZoneId};
 
 /// Share of an engine's slots that is assumed to be in use when the need is computed.
@@ -143,9 +143,9 @@
 }
 
 /// Number of endpoints of the learned speed that one second's work keeps fully busy.
-pub fn endpoints_needed(work: Work, slots: u32, pace: &Pace) -> f64 {
+pub fn endpoints_needed(work: Work, slots: u32, pace: &ServiceSpeed) -> f64 {
     let running = f64::from(slots.max(1)) * SLOT_UTILIZATION;
-    work.read * pace.read() + work.write * pace.step() / running
+    work.read * pace.prefill_s() + work.write * pace.step_s() / running
 }
 
 /// Number of endpoints in use in each zone: on-demand and reclaimable ones.
@@ -181,7 +181,7 @@
 }
 
 fn totals(scaling: &Scaling, level: Option<f64>, serving: &Serving, baseline: u32) -> Totals {
-    let spot = scaling.spot.is_some();
+    let spot = scaling.reclaimable_price.is_some();
     let Some(need) = level else {
         // Reclaimable endpoints are not reduced: a daemon that takes over the duty in the middle
         // of the day does not know the need for a few seconds, and endpoints that it gave up
@@ -386,9 +386,9 @@
         let total = totals(scaling, level, &serving, baseline.total());
         // On-demand endpoints that replace reclaimed ones go to the zones of these. Giving up
         // reclaimable ones elsewhere to make room for them would only raise the price.
-        let room = |zone: &str| scaling.most.saturating_sub(serving.in_zone(zone).1);
+        let room = |zone: &str| scaling.max.saturating_sub(serving.in_zone(zone).1);
         let on_demand = distribute(scaling, zones, total.on_demand, room);
-        let reclaimable = distribute(scaling, zones, total.reclaimable, |_| scaling.most);
+        let reclaimable = distribute(scaling, zones, total.reclaimable, |_| scaling.max);
         let mut counts = Vec::new();
         for ((zone, on_demand), (_, reclaimable)) in on_demand.into_iter().zip(reclaimable) {
             let (held_on_demand, held_reclaimable) = serving.in_zone(&zone);
@@ -403,7 +403,7 @@
                 reclaimable
             };
             let reclaimable =
-                reclaimable.min(scaling.most.saturating_sub(on_demand.max(held_on_demand)));
+                reclaimable.min(scaling.max.saturating_sub(on_demand.max(held_on_demand)));
             for (spot, wanted, held) in [
                 (true, reclaimable, held_reclaimable),
                 (false, on_demand, held_on_demand),
--- a/lib/src/relay/listing.rs
+++ b/lib/src/relay/listing.rs
@@ -1,4 +1,4 @@
-//! What the platform's registry says of one endpoint.
+//! Entries of the platform's registry of endpoints.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 /// One entry of the registry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Listing {
-    /// Its id; a restart mostly brings a new one.
+    /// Id of the endpoint; a restart usually brings a new one.
     pub id: EndpointId,
     /// Service that it serves.
     pub service: ServiceId,
@@ -17,34 +17,34 @@
     pub zone: ZoneId,
     /// Version of its software.
     pub version: VersionId,
-    /// Requests that it works on at once.
+    /// Requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it is leaving and must get nothing new.
+    /// Whether it is draining and must get no new requests.
     pub leaving: bool,
     /// Whether it may be reclaimed at short notice.
     pub spot: bool,
-    /// Unix time of its start, in milliseconds; tells two lives under one id apart.
+    /// Unix time of its start, in milliseconds; distinguishes incarnations with the same id.
     pub born: Option<u64>,
-    /// Entries that it has written since its start, this one included.
+    /// Sequence number: entries that it has written since its start, this one included.
     pub count: u64,
 }
 
 impl Listing {
-    /// Whether it says nothing that another entry of the same id does not say already: it is
-    /// that one, or older.
-    pub fn is_known_by(&self, other: &Self) -> bool {
+    /// Whether another entry of the same id makes this one redundant: both are the same, or
+    /// this one is older.
+    pub fn is_redundant_to(&self, other: &Self) -> bool {
         match (self.born, other.born) {
-            (Some(mine), Some(others)) => (mine, self.count) <= (others, other.count),
+            (Some(own), Some(others)) => (own, self.count) <= (others, other.count),
             _ => false,
         }
     }
 
-    /// Whether it was written before another entry of the same id: in a former life, or
-    /// earlier in the same one. Entries that do not tell their life cannot be compared,
-    /// as each life counts anew.
+    /// Whether it was written before another entry of the same id: in a former incarnation, or
+    /// earlier in the same one. Entries without a start time cannot be compared, as each
+    /// incarnation counts its entries from the beginning.
     pub fn is_older_than(&self, other: &Self) -> bool {
         match (self.born, other.born) {
-            (Some(mine), Some(others)) => (mine, self.count) < (others, other.count),
+            (Some(own), Some(others)) => (own, self.count) < (others, other.count),
             _ => false,
         }
     }
--- a/lib/src/relay/selection.rs
+++ b/lib/src/relay/selection.rs
@@ -19,7 +19,7 @@
 use super::admit::{LATEST, Limits};
 use super::catalog::Service;
 use super::endpoint_table::{Endpoint, EndpointTable, InFlight};
-use super::engine::Pace;
+use super::engine::ServiceSpeed;
 use super::prefix_cache::{PrefixHash, prefix_hashes};
 use super::request::Prompt;
 use super::rollout::Versions;
@@ -194,7 +194,7 @@
         return;
     };
     let (kv_tokens, capacity) = match (criteria.prompt, &criteria.service.engine) {
-        (Some(prompt), Some(engine)) => (kv_tokens(prompt), engine.tokens),
+        (Some(prompt), Some(engine)) => (kv_tokens(prompt), engine.kv_tokens),
         _ => (0, 0),
     };
     row.add_request(InFlight {
@@ -278,7 +278,7 @@
 /// Cost of sending the request to this endpoint, in seconds, and the choice that it would be.
 fn evaluate(
     row: &Endpoint,
-    pace: &Pace,
+    pace: &ServiceSpeed,
     criteria: &Criteria<'_>,
     shared: &[(PrefixHash, u32)],
     preferred: Option<&str>,
@@ -312,14 +312,14 @@
     let cached = recorded.max(presumed);
     let prefill = (f64::from(prompt.input) - cached).max(1.0);
     let ahead = row.backlog();
-    let wait = row.speed.first(&pace.line(), prefill, ahead);
+    let wait = row.speed.time_to_first(&pace.line(), prefill, ahead);
     let seconds = wait.as_secs_f64();
     let late = (seconds - criteria.target.as_secs_f64() * ON_TIME_SHARE).max(0.0);
     let repeated = (f64::from(total) - cached).max(0.0);
     let running = f64::from(row.active_requests());
     let cost = seconds
         + late * LATE_FACTOR
-        + repeated * REPEATED_PREFILL_FACTOR * pace.read()
+        + repeated * REPEATED_PREFILL_FACTOR * pace.prefill_s()
         + running * RUNNING_COST_S
         + crossing;
     (
@@ -329,7 +329,7 @@
             wait,
             prefill,
             ahead,
-            queue: wait.saturating_sub(row.speed.first(&pace.line(), prefill, 0.0)),
+            queue: wait.saturating_sub(row.speed.time_to_first(&pace.line(), prefill, 0.0)),
         },
     )
 }
--- a/lib/src/relay/sse.rs
+++ b/lib/src/relay/sse.rs
@@ -1,28 +1,28 @@
-//! Whole events of a stream, and their order.
+//! Splits a stream of server-sent events into complete events and checks their order.
 //!
-//! An endpoint that dies may stop in the middle of an event, and a stream may go
-//! on at another endpoint. If half an event reached the caller, the next run
-//! could not be joined to it; if an event were missing or came twice, the caller
-//! would read a text that no engine wrote. So only whole events leave this
-//! module, each with the id that follows the one before it.
+//! An endpoint that crashes may stop in the middle of an event, and the stream may be resumed
+//! at another endpoint. If a partial event reached the caller, the resumed stream could not be
+//! joined to it; if an event were missing or duplicated, the caller would read a text that no
+//! engine wrote. So this module passes on only complete events, each with the id that follows
+//! that of the event before it.
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest event, in bytes; engines send a few hundred.
-const MOST_EVENT: usize = 256 * 1024;
+/// Longest event, in bytes; events of engines have a few hundred.
+const MAX_EVENT_BYTES: usize = 256 * 1024;
 
-/// Why a stream cannot be read further.
+/// Why a stream cannot be read any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SseError {
-    /// An event's id does not follow the one before it.
+    /// The id of an event does not follow that of the event before it.
     #[error("event {found} came after event {last}")]
     Order {
         /// Last event passed on.
         last: u64,
-        /// Id that came.
+        /// Id of the event that was received.
         found: u64,
     },
-    /// An event without an id that can be read.
+    /// An event has no id, or one that is not a number.
     #[error("an event has no id")]
     NoId,
     /// An event is longer than allowed.
@@ -30,64 +30,67 @@
     TooLarge,
 }
 
-/// Splits a stream into whole events.
+/// Splits a stream into complete events.
 #[derive(Clone, Debug, Default)]
 pub struct Events {
-    held: BytesMut,
+    /// Bytes of an event that is not complete yet.
+    partial: BytesMut,
     last: Option<u64>,
     count: u64,
 }
 
 impl Events {
-    /// Begins after an event; `None` for a stream from its beginning.
+    /// Starts after the event with id `last`; `None` for a stream from its beginning.
     pub fn after(last: Option<u64>) -> Self {
         Self {
-            held: BytesMut::new(),
+            partial: BytesMut::new(),
             last,
             count: 0,
         }
     }
 
-    /// Id of the last whole event.
+    /// Id of the last complete event.
     pub fn last(&self) -> Option<u64> {
         self.last
     }
 
-    /// How many whole events came.
+    /// Number of complete events received.
     pub fn count(&self) -> u64 {
         self.count
     }
 
-    /// Whether a part of an event is held back.
-    pub fn is_torn(&self) -> bool {
-        !self.held.is_empty()
+    /// Whether part of an event was received that is not complete.
+    pub fn has_partial(&self) -> bool {
+        !self.partial.is_empty()
     }
 
-    /// Begins another run of the same stream: half an event of the run before is
-    /// dropped, as the new run sends that event whole.
-    pub fn restart(&mut self) {
-        self.held.clear();
+    /// Prepares for the same stream from another endpoint: a partial event is dropped, as the
+    /// new attempt sends that event from its beginning.
+    pub fn drop_partial(&mut self) {
+        self.partial.clear();
     }
 
-    /// Takes bytes in and gives the whole events that they complete.
+    /// Adds received bytes and returns the events that they complete.
     ///
     /// # Errors
-    /// If an event is out of order; nothing of it or after it may be passed on.
+    /// If an event is out of order, has no id or is too long; neither it nor anything after it
+    /// may be passed on.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Bytes, SseError> {
-        self.held.extend_from_slice(bytes);
-        let mut whole = 0;
-        while let Some(len) = event_len(&self.held[whole..]) {
-            self.check(whole, len)?;
-            whole += len;
+        self.partial.extend_from_slice(bytes);
+        let mut complete = 0;
+        while let Some(len) = event_len(&self.partial[complete..]) {
+            self.check(complete, len)?;
+            complete += len;
         }
-        if self.held.len() - whole > MOST_EVENT {
+        if self.partial.len() - complete > MAX_EVENT_BYTES {
             return Err(SseError::TooLarge);
         }
-        Ok(self.held.split_to(whole).freeze())
+        Ok(self.partial.split_to(complete).freeze())
     }
 
+    /// Checks that the event at `from` has the id that follows the last one.
     fn check(&mut self, from: usize, len: usize) -> Result<(), SseError> {
-        let found = event_id(&self.held[from..from + len]).ok_or(SseError::NoId)?;
+        let found = event_id(&self.partial[from..from + len]).ok_or(SseError::NoId)?;
         if let Some(last) = self.last
             && found != last + 1
         {
@@ -99,13 +102,13 @@
     }
 }
 
-/// Length of the first event, with the empty line that ends it.
+/// Length in bytes of the first event, including the empty line that ends it.
 fn event_len(bytes: &[u8]) -> Option<usize> {
-    let end = bytes.windows(2).position(|pair| pair == b"\n\n");
+    let lf = bytes.windows(2).position(|pair| pair == b"\n\n");
     let crlf = bytes.windows(4).position(|four| four == b"\r\n\r\n");
-    match (end, crlf) {
-        (Some(end), Some(crlf)) if crlf < end => Some(crlf + 4),
-        (Some(end), _) => Some(end + 2),
+    match (lf, crlf) {
+        (Some(lf), Some(crlf)) if crlf < lf => Some(crlf + 4),
+        (Some(lf), _) => Some(lf + 2),
         (None, crlf) => crlf.map(|crlf| crlf + 4),
     }
 }
--- a/lib/tests/relay_engines.rs
+++ b/lib/tests/relay_engines.rs
@@ -1,9 +1,9 @@
-//! An endpoint table of identical engines.
+//! Endpoint tables of identical engines, for the tests of the relay.
 
 use poplarvale_lib::relay::endpoint_table::EndpointTable;
 use poplarvale_lib::relay::listing::Listing;
 
-/// Engines `e0`, `e1` and so on of the service `pool`, in one zone.
+/// A table of the engines `e0`, `e1` and so on of the service `pool`, in one zone.
 pub(crate) fn engines(count: u32, slots: u32) -> EndpointTable {
     let mut table = EndpointTable::default();
     for number in 0..count {
--- a/lib/tests/test_relay_admit.rs
+++ b/lib/tests/test_relay_admit.rs
@@ -24,8 +24,8 @@
         name: "pool".into(),
         engine: Some(Engine {
             slots: SLOTS,
-            tokens: 6_000_000,
-            stride: 5,
+            kv_tokens: 6_000_000,
+            event_tokens: 5,
         }),
         target: Some(TARGET),
         ..Service::default()
--- a/lib/tests/test_relay_fleet.rs
+++ b/lib/tests/test_relay_fleet.rs
@@ -5,7 +5,7 @@
 use poplarvale_lib::relay::catalog::{Engine, Scaling, Service};
 use poplarvale_lib::relay::demand::Work;
 use poplarvale_lib::relay::endpoint_table::{Endpoint, EndpointTable};
-use poplarvale_lib::relay::engine::Pace;
+use poplarvale_lib::relay::engine::ServiceSpeed;
 use poplarvale_lib::relay::fleet::{DesiredCount, Orders, endpoints_needed};
 use poplarvale_lib::relay::listing::Listing;
 
@@ -18,14 +18,14 @@
         connections: None,
         engine: Some(Engine {
             slots: 64,
-            tokens: 600_000,
-            stride: 5,
+            kv_tokens: 600_000,
+            event_tokens: 5,
         }),
         scaling: Some(Scaling {
-            least: 1,
-            most: 6,
-            boot: Duration::from_secs(4),
-            spot: Some(0.18),
+            min: 1,
+            max: 6,
+            boot_time: Duration::from_secs(4),
+            reclaimable_price: Some(0.18),
             zones: vec![
                 price("espoo", 1.25),
                 price("hanko", 1.0),
@@ -95,7 +95,7 @@
             write: 0.0,
         },
         64,
-        &Pace::default(),
+        &ServiceSpeed::default(),
     );
     Work {
         read: 10_000.0 * 4.0 / one,
--- a/lib/tests/test_relay_selection.rs
+++ b/lib/tests/test_relay_selection.rs
@@ -18,8 +18,8 @@
         name: "pool".into(),
         engine: Some(Engine {
             slots: 4,
-            tokens: 600_000,
-            stride: 5,
+            kv_tokens: 600_000,
+            event_tokens: 5,
         }),
         ..Service::default()
     }
--- a/lib/tests/test_relay_shared.rs
+++ b/lib/tests/test_relay_shared.rs
@@ -514,11 +514,11 @@
     let start = Instant::now();
     let mut clock = Clock::new(start);
     for name in ["b", "c", "d", "e"] {
-        clock.hear(&name.into(), 1_000_000, start);
+        clock.record(&name.into(), 1_000_000, start);
     }
     let later = start + Duration::from_secs(1);
     assert_eq!(clock.now(1_003_400, later), 1_001_000);
-    clock.hear(&"b".into(), 1_003_400, later);
+    clock.record(&"b".into(), 1_003_400, later);
     assert_eq!(clock.now(1_003_400, later), 1_001_000);
 }
 
--- a/lib/tests/test_relay_stream.rs
+++ b/lib/tests/test_relay_stream.rs
@@ -1,4 +1,4 @@
-//! Streams of events that break off, are joined and must stay in order.
+//! Streams of events that are interrupted, resumed at another endpoint and must stay in order.
 
 use poplarvale_lib::relay::sse::{Events, SseError};
 use proptest::prelude::*;
@@ -7,23 +7,25 @@
     format!("id: {id}\ndata: piece {id}\n\n")
 }
 
-/// An engine crashes in the middle of an event, and the stream goes on at another
-/// engine. If the half event were kept, the first event of the second run would be
-/// glued to it and the caller would read a piece that no engine wrote.
+/// An engine crashes in the middle of an event, and the stream is resumed at another engine. If
+/// the partial event were kept, the first event of the second engine would be appended to it,
+/// and the caller would read a piece that no engine wrote.
 #[test]
-fn half_an_event_of_one_run_never_meets_the_next_run() {
+fn a_partial_event_is_dropped_before_the_stream_is_resumed() {
     let mut events = Events::after(None);
     events.push(event(0).as_bytes()).expect("in order");
-    let torn = events.push(b"id: 1\ndata: pie").expect("nothing whole yet");
-    assert!(torn.is_empty());
-    events.restart();
-    let joined = events.push(event(1).as_bytes()).expect("in order");
-    assert_eq!(joined, event(1).as_bytes());
+    let partial = events
+        .push(b"id: 1\ndata: pie")
+        .expect("no complete event yet");
+    assert!(partial.is_empty());
+    events.drop_partial();
+    let resumed = events.push(event(1).as_bytes()).expect("in order");
+    assert_eq!(resumed, event(1).as_bytes());
     assert_eq!(events.last(), Some(1));
 }
 
-/// A second run may begin one event too early or too late. The caller would see a
-/// piece twice or miss one.
+/// A resumed stream may start one event too early or too late. The caller would see a piece
+/// twice or miss one.
 #[test]
 fn an_event_out_of_order_is_not_passed_on() {
     let mut events = Events::after(Some(4));
@@ -35,9 +37,9 @@
 }
 
 proptest! {
-    /// Bytes arrive cut at any place. What comes out is the same events, each whole.
+    /// The bytes arrive split at arbitrary positions. The same events come out, each complete.
     #[test]
-    fn events_come_out_whole_however_they_are_cut(count in 1_u64..12, cuts in prop::collection::vec(1_usize..20, 1..40)) {
+    fn events_are_complete_however_the_bytes_are_split(count in 1_u64..12, cuts in prop::collection::vec(1_usize..20, 1..40)) {
         let text: String = (0..count).map(event).collect();
         let mut events = Events::after(None);
         let mut out = Vec::new();
@@ -47,12 +49,12 @@
                 break;
             }
             let (now, later) = rest.split_at((*cut).min(rest.len()));
-            let whole = events.push(now).expect("in order");
-            prop_assert!(whole.is_empty() || whole.ends_with(b"\n\n"));
-            out.extend_from_slice(&whole);
+            let complete = events.push(now).expect("in order");
+            prop_assert!(complete.is_empty() || complete.ends_with(b"\n\n"));
+            out.extend_from_slice(&complete);
             rest = later;
         }
         prop_assert_eq!(out, text.as_bytes());
-        prop_assert!(!events.is_torn());
+        prop_assert!(!events.has_partial());
     }
 }
