--- a/daemon/src/relay/duties.rs
+++ b/daemon/src/relay/duties.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use compact_str::{CompactString, format_compact};
 use poplarvale_lib::protos::relay::UsageRecord;
-use poplarvale_lib::relay::duty::Held;
+use poplarvale_lib::relay::duty::DutyLease;
 use poplarvale_lib::relay::fleet::{DesiredCount, Orders};
 use poplarvale_lib::relay::rollout::Status;
 use poplarvale_lib::relay::usage::{Counts, Report, WindowId};
@@ -56,7 +56,7 @@
         }
         match acquire(&state, &mut store).await {
             Ok(Some(held)) => {
-                log::info!("duty: held with fence {}.", held.fence);
+                log::info!("duty: held with fence {}.", held.fencing_token);
                 hold(&state, &mut store, cloud.as_mut(), held).await;
                 log::info!("duty: no longer held.");
             }
@@ -96,7 +96,7 @@
 }
 
 /// Makes the leader's key; `None` if another daemon did.
-async fn acquire(state: &State, store: &mut Client) -> Result<Option<Held>, WriteError> {
+async fn acquire(state: &State, store: &mut Client) -> Result<Option<DutyLease>, WriteError> {
     let since = Instant::now();
     let life = state.settings.bounds.lease;
     let lease = read_granted(&store.call(&grant(life), CALL).await?)?;
@@ -118,13 +118,13 @@
                 .map(|item| item.revision)
         }
     };
-    Ok(fence.map(|fence| Held::new(lease, fence, life, since)))
+    Ok(fence.map(|fence| DutyLease::new(lease, fence, life, since)))
 }
 
 /// What the holder remembers.
 #[derive(Debug)]
 struct Holder {
-    held: Held,
+    held: DutyLease,
     /// Era of the store in which the duties were taken up.
     era: Era,
     duty: Duty,
@@ -141,7 +141,7 @@
 }
 
 /// Does the duties until the lease ends or the daemon does.
-async fn hold(state: &State, store: &mut Client, mut cloud: Option<&mut Client>, held: Held) {
+async fn hold(state: &State, store: &mut Client, mut cloud: Option<&mut Client>, held: DutyLease) {
     let Some(mut holder) = begin(state, store, held).await else {
         return;
     };
@@ -150,7 +150,7 @@
         // A lease that is over by this daemon's reckoning may go on in the store, as
         // leases can stand still while it is away. Nobody else holds the duties then, and
         // waiting for its end left them undone for three seconds after each outage.
-        if holder.held.is_due(now) && !renew(store, &mut holder).await {
+        if holder.held.needs_renewal(now) && !renew(store, &mut holder).await {
             return;
         }
         if state.eras.newest() != holder.era {
@@ -178,13 +178,13 @@
 }
 
 /// Reads what the holder before left.
-async fn begin(state: &State, store: &mut Client, held: Held) -> Option<Holder> {
+async fn begin(state: &State, store: &mut Client, held: DutyLease) -> Option<Holder> {
     let duty = Duty {
         holder: state.settings.name.clone(),
-        fence: held.fence,
+        fence: held.fencing_token,
     };
     loop {
-        if held.is_over(Instant::now()) {
+        if held.is_expired(Instant::now()) {
             return None;
         }
         let (record, saved) = match left_behind(store).await {
@@ -200,7 +200,7 @@
             None => (0, None),
         };
         let last = last_report(state, record);
-        let mut orders = Orders::new(state.demand.borrow().first());
+        let mut orders = Orders::new(state.demand.borrow().first_request());
         let saved = saved.and_then(|item| checkpoint::read(&item.value));
         if let Some(saved) = &saved {
             checkpoint::restore_usage(state, saved);
@@ -212,7 +212,7 @@
         let next = last.as_ref().map_or(first, |last| last.window + 1);
         return Some(Holder {
             held,
-            era: era_of(held.fence),
+            era: era_of(held.fencing_token),
             duty,
             revision,
             next,
@@ -245,7 +245,7 @@
 /// Renews the lease; `false` if it has ended.
 async fn renew(store: &mut Client, holder: &mut Holder) -> bool {
     let since = Instant::now();
-    match store.call(&keep_alive(holder.held.lease), CALL).await {
+    match store.call(&keep_alive(holder.held.id), CALL).await {
         Ok(reply) if reply.status == 200 => {
             holder.held.renewed(since);
             true
@@ -319,7 +319,10 @@
         let table = state.endpoints.borrow();
         table.count_other_versions(service, target).1
     };
-    let due = state.rollouts.borrow_mut().due(state.true_ms(), busy);
+    let due = state
+        .rollouts
+        .borrow_mut()
+        .due_statuses(state.true_ms(), busy);
     for status in due {
         if !holder.held.may_act(Instant::now()) {
             return;
@@ -329,7 +332,7 @@
             Ok(Some(revision)) => {
                 log::info!("rollout: {service} told as {outcome:?}.");
                 let mut rollouts = state.rollouts.borrow_mut();
-                rollouts.status(service, &status.target, outcome, revision);
+                rollouts.apply_status(service, &status.target, outcome, revision);
             }
             Ok(None) => log::info!("rollout: {service} not told, the duty is another's."),
             Err(error) => log::info!("rollout: {service} not told, {error}."),
@@ -453,7 +456,7 @@
         window,
         counts: counts.clone(),
     };
-    state.usage.borrow_mut().fix(report, Instant::now());
+    state.usage.borrow_mut().finalize(report, Instant::now());
 }
 
 /// The last report: the record in the store, or what is known to have lain there.
@@ -464,14 +467,14 @@
             window: record.number,
             counts: record.counts.into(),
         };
-        if !usage.hear_fixed(report.clone()) && usage.fixed() != Some(&report) {
+        if !usage.merge_finalized(report.clone()) && usage.finalized() != Some(&report) {
             log::info!(
                 "duty: the record of the last report is of window {}, a newer one is known.",
                 report.window
             );
         }
     }
-    usage.fixed().cloned()
+    usage.finalized().cloned()
 }
 
 fn counts_text(counts: &Counts) -> Result<CompactString, serde_json::Error> {
--- a/daemon/src/relay/serve.rs
+++ b/daemon/src/relay/serve.rs
@@ -100,7 +100,7 @@
     let team = team.map(|at| &catalog.teams[at]);
     let wait = head.timeout.unwrap_or(route.timeout).min(route.timeout);
     let deadline = (arrived + wait).into_std();
-    if !state.life().takes(deadline, Std::now()) {
+    if !state.life().serves(deadline, Std::now()) {
         let refused = Refusal::later(Code::Draining, SOON);
         return refuse(state, write, head, refused, keep).await;
     }
@@ -115,7 +115,7 @@
         return refuse(state, write, head, refused, keep).await;
     }
     let cost = team.map_or(0.0, |team| quota::units(team, head));
-    let allowed = team.map(|team| state.quota.borrow_mut().take(team, cost, Std::now()));
+    let allowed = team.map(|team| state.quota.borrow_mut().admit(team, cost, Std::now()));
     if let Some(Err(again)) = allowed {
         let refused = Refusal::later(Code::TokenRate, again);
         return refuse(state, write, head, refused, keep).await;
@@ -123,7 +123,7 @@
     if let Some(prompt) = &head.prompt {
         let work = demand::work(prompt);
         let mut demand = state.demand.borrow_mut();
-        demand.ask(&service.name, work, Std::now());
+        demand.record(&service.name, work, Std::now());
     }
     let job = Job {
         request,
@@ -149,7 +149,7 @@
         table.count_other_versions(service, version).0
     };
     let mut rollouts = state.rollouts.borrow_mut();
-    rollouts.versions(service, olds, state.true_ms())
+    rollouts.choose_versions(service, olds, state.true_ms())
 }
 
 /// Route and team of a request.
--- a/daemon/src/relay/watch.rs
+++ b/daemon/src/relay/watch.rs
@@ -12,7 +12,7 @@
 use poplarvale_lib::relay::digest::WATCHERS;
 use poplarvale_lib::relay::endpoint_table::Changed;
 use poplarvale_lib::relay::listing::Listing;
-use poplarvale_lib::relay::quota::short;
+use poplarvale_lib::relay::quota::name_hash;
 use poplarvale_lib::relay::rollout::Order;
 use poplarvale_lib::{EndpointId, era_of};
 use poplarvale_platform::{
@@ -99,7 +99,7 @@
                 if matches!(error, WatchError::Store(StoreError::Returned)) {
                     log::info!("store: it came back from an older copy, everything is read anew.");
                     state.follow.borrow_mut().invalidate();
-                    state.crashes.borrow_mut().lost_saved();
+                    state.crashes.borrow_mut().mark_unsaved();
                     state.quarantined.notify_one();
                     continue;
                 }
@@ -347,7 +347,7 @@
         revision: item.revision,
     };
     let (service, target) = (order.service.clone(), order.target.clone());
-    if state.rollouts.borrow_mut().order(order, now, finish) {
+    if state.rollouts.borrow_mut().add_order(order, now, finish) {
         log::info!("rollout: {service} is to go to version {target} within {life:?}.");
     }
 }
@@ -359,7 +359,7 @@
     match read_status(&item.value) {
         Ok((target, outcome)) => {
             let mut rollouts = state.rollouts.borrow_mut();
-            rollouts.status(service, &target, outcome, item.revision);
+            rollouts.apply_status(service, &target, outcome, item.revision);
         }
         Err(error) => log::warn!("rollout: state of {service} skipped, {error}."),
     }
@@ -375,7 +375,7 @@
 fn tell(state: &State, id: &str, change: Changed) {
     log_change(state, id, change);
     if change == Changed::Left {
-        state.left.borrow_mut().push(short(id));
+        state.left.borrow_mut().push(name_hash(id));
         state.news.notify_one();
     }
 }
--- a/lib/src/relay.rs
+++ b/lib/src/relay.rs
@@ -6,6 +6,7 @@
 //! execute what the other modules decide. Nothing here reads from a socket or a clock.
 
 pub mod admit;
+pub mod breaker;
 pub mod budget;
 pub mod catalog;
 pub mod change_feed;
@@ -15,12 +16,9 @@
 pub mod demand;
 pub mod digest;
 pub mod duty;
-pub(crate) mod ended;
 pub mod endpoint_table;
 pub mod engine;
-pub mod evidence;
 pub mod fleet;
-pub mod life;
 pub mod limit;
 pub mod listing;
 pub mod prefix_cache;
@@ -29,5 +27,7 @@
 pub mod rollout;
 pub mod selection;
 pub mod settings;
+pub mod shutdown;
 pub mod sse;
+pub(crate) mod tombstones;
 pub mod usage;
--- a/lib/src/relay/selection.rs
+++ b/lib/src/relay/selection.rs
@@ -16,7 +16,7 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::admit::{LATEST, Limits};
+use super::admit::{Limits, MAX_RETRY_AFTER};
 use super::catalog::Service;
 use super::endpoint_table::{Endpoint, EndpointTable, InFlight};
 use super::engine::ServiceSpeed;
@@ -157,7 +157,7 @@
         }
         None if full => Err(SelectError::Full),
         None => Err(limited.map_or(SelectError::None, |wait| {
-            SelectError::Busy(wait.min(LATEST))
+            SelectError::Busy(wait.min(MAX_RETRY_AFTER))
         })),
     }
 }
--- a/lib/tests/test_relay_endpoint_table.rs
+++ b/lib/tests/test_relay_endpoint_table.rs
@@ -6,7 +6,7 @@
     Changed, EndpointState, EndpointTable, Load, REREGISTER_GRACE, Reporter,
 };
 use poplarvale_lib::relay::listing::Listing;
-use poplarvale_lib::relay::quota::short;
+use poplarvale_lib::relay::quota::name_hash;
 
 pub(crate) fn listing(id: &str) -> Listing {
     Listing {
@@ -101,7 +101,7 @@
     table.put(listing("a"));
     let row = table.get_mut("a").expect("the endpoint is in the table");
     for _ in 0..8 {
-        row.evidence.bad(now);
+        row.evidence.record_failure(now);
     }
     assert!(!usable(&table, "a", now));
     let restarted = Listing {
@@ -119,7 +119,7 @@
     let mut table = EndpointTable::default();
     table.put(listing("a"));
     table.put(listing("b"));
-    assert_eq!(table.mark_leaving(&[short("a")]), vec!["a"]);
+    assert_eq!(table.mark_leaving(&[name_hash("a")]), vec!["a"]);
     assert!(!usable(&table, "a", now));
     assert_eq!(
         table.get("b").map(|row| row.state),
@@ -172,7 +172,7 @@
 
 fn load(id: &str, requests: u32) -> (u32, Load) {
     let tokens = f64::from(requests) * 10.0;
-    (short(id), Load { requests, tokens })
+    (name_hash(id), Load { requests, tokens })
 }
 
 /// Watchers report the load of their whole zone, and its daemons report their own load less
