--- a/daemon/src/relay/peers.rs
+++ b/daemon/src/relay/peers.rs
@@ -10,9 +10,9 @@
 use compact_str::CompactString;
 use poplarvale_lib::ZoneHash;
 use poplarvale_lib::protos::relay::{Digest, UsageRecord, digest};
-use poplarvale_lib::relay::contact::Span;
+use poplarvale_lib::relay::connectivity::ReachableSpan;
 use poplarvale_lib::relay::demand::Work;
-use poplarvale_lib::relay::digest::{Peer, Place, Turn, Turns};
+use poplarvale_lib::relay::digest::{DueDigests, Location, Peer, Schedule};
 use poplarvale_lib::relay::endpoint_table::{Load, Reporter};
 use poplarvale_lib::relay::limit::{AnnouncedLimit, Sharers};
 use poplarvale_lib::relay::quota::{PeerReport, TeamRates, TeamUse, ZoneSummary};
@@ -49,19 +49,19 @@
 
 /// Sends digests until the process ends.
 pub(crate) async fn send(state: Rc<State>, socket: Rc<UdpSocket>) {
-    let mut schedule = Turns::new(state.started);
+    let mut schedule = Schedule::new(state.started);
     let mut urgent = false;
     loop {
         let now = Instant::now();
         state.peers.borrow_mut().expire(now);
         share_limits(&state, now);
-        let remote_every = state.peers.borrow().rounds();
+        let remote_every = state.peers.borrow().remote_every();
         urgent |= !state.left.borrow().is_empty();
         send_digest(&state, &socket, schedule.next(remote_every, urgent, now));
         if remote_every > 1 && state.peers.borrow().is_watcher(now) {
             send_zone_summary(&state, &socket, now);
         }
-        let period = state.peers.borrow().near_period();
+        let period = state.peers.borrow().local_period();
         tokio::select! {
             () = tokio::time::sleep(period) => urgent = false,
             () = state.news.notified() => urgent = true,
@@ -73,8 +73,8 @@
 fn share_limits(state: &State, now: Instant) {
     let peers = state.peers.borrow();
     let sharers = Sharers {
-        me: peers.me(),
-        others: peers.lately(now),
+        me: peers.own_address(),
+        others: peers.recent_addresses(now),
     };
     state.endpoints.borrow_mut().set_sharers(sharers, now);
 }
@@ -82,40 +82,40 @@
 /// Sends a full digest right before the daemon ends. What it counted since its last full digest
 /// would be lost otherwise, and teams would be charged for less than they used.
 pub(crate) fn send_last_digest(state: &State, socket: &UdpSocket) {
-    let due = Turn {
-        near: true,
-        far: Some(true),
+    let due = DueDigests {
+        local: true,
+        remote: Some(true),
     };
     send_digest(state, socket, due);
 }
 
 /// Sends the digests that are due: one to the daemons of this zone and to those that never sent
 /// one, so that their zone is unknown, and in some rounds another to the daemons of other zones.
-fn send_digest(state: &State, socket: &UdpSocket, due: Turn) {
+fn send_digest(state: &State, socket: &UdpSocket, due: DueDigests) {
     let now = Instant::now();
     let sequence = state.next_digest();
     let left = std::mem::take(&mut *state.left.borrow_mut());
     let peers = state.peers.borrow();
-    if let Some(full) = due.far {
+    if let Some(full) = due.remote {
         let bytes = build_digest(state, sequence, full, &left, now).encode_to_vec();
-        let remote = peers.rows().iter().filter(|peer| peers.is_far(peer));
+        let remote = peers.rows().iter().filter(|peer| peers.is_remote(peer));
         remote.for_each(|peer| send_to(state, socket, peer, &bytes));
     }
-    let mut digest = build_digest(state, sequence, due.near, &left, now);
+    let mut digest = build_digest(state, sequence, due.local, &left, now);
     if peers.is_watcher(now) {
         let checksum = state.endpoints.borrow().checksum();
-        let feed = state.follow.borrow().tell(checksum, now);
+        let feed = state.follow.borrow().feed(checksum, now);
         digest.news = feed.map(change_feed::encode);
     }
     let bytes = digest.encode_to_vec();
-    let local = peers.rows().iter().filter(|peer| !peers.is_far(peer));
+    let local = peers.rows().iter().filter(|peer| !peers.is_remote(peer));
     local.for_each(|peer| send_to(state, socket, peer, &bytes));
 }
 
 /// Sends the summed usage and endpoint load of this zone to the daemons of the other zones.
 fn send_zone_summary(state: &State, socket: &UdpSocket, now: Instant) {
     let peers = state.peers.borrow();
-    let location = peers.place();
+    let location = peers.own_location();
     let summary = state.quota.borrow().zone_summary(location.zone, now);
     let teams = summary.teams.into_iter().map(|row| digest::TeamUse {
         team: row.team,
@@ -134,12 +134,12 @@
         incarnation: state.incarnation,
         sequence: state.next_digest(),
         zone: location.zone,
-        memory: location.memory,
+        memory: location.memory_mb,
         zone_use: Some(zone_use),
         ..Digest::default()
     };
     let bytes = digest.encode_to_vec();
-    let remote = peers.heard_lately(now).filter(|peer| peers.is_far(peer));
+    let remote = peers.recent(now).filter(|peer| peers.is_remote(peer));
     remote.for_each(|peer| send_to(state, socket, peer, &bytes));
 }
 
@@ -200,18 +200,18 @@
             write: work.write as u32,
         });
     let others = if full {
-        state.peers.borrow().lately(now)
+        state.peers.borrow().recent_addresses(now)
     } else {
         Vec::new()
     };
-    let location = state.peers.borrow().place();
+    let location = state.peers.borrow().own_location();
     let crashes = state.crashes.borrow();
     Digest {
         name: state.settings.name.to_string(),
         incarnation: state.incarnation,
         sequence,
         zone: location.zone,
-        memory: location.memory,
+        memory: location.memory_mb,
         news: None,
         zone_use: None,
         wall_ms: State::wall(),
@@ -283,19 +283,19 @@
     }
 }
 
-fn encode_contact(span: Span, now: Instant) -> digest::Contact {
+fn encode_contact(span: ReachableSpan, now: Instant) -> digest::Contact {
     let age = |at: Instant| now.saturating_duration_since(at).as_millis();
     let age = |at| u32::try_from(age(at)).unwrap_or(u32::MAX);
     digest::Contact {
         since_ms: age(span.since),
-        heard_ms: age(span.heard),
+        heard_ms: age(span.last_answer),
     }
 }
 
 /// Ends the grace of doubtful endpoints, or shortens it, if another daemon could reach the store
 /// while this one could not.
-fn end_doubt(state: &State, name: &str, span: Span, now: Instant) {
-    let Some(since) = state.contact.get().well_since(span) else {
+fn end_doubt(state: &State, name: &str, span: ReachableSpan, now: Instant) {
+    let Some(since) = state.contact.get().available_since(span) else {
         return;
     };
     let available = now.saturating_duration_since(since);
@@ -312,11 +312,11 @@
 }
 
 /// The times by this daemon's clock; `None` if one lies before the start of its host.
-fn decode_contact(contact: digest::Contact, now: Instant) -> Option<Span> {
+fn decode_contact(contact: digest::Contact, now: Instant) -> Option<ReachableSpan> {
     let at = |age: u32| now.checked_sub(Duration::from_millis(age.into()));
-    Some(Span {
+    Some(ReachableSpan {
         since: at(contact.since_ms)?,
-        heard: at(contact.heard_ms)?,
+        last_answer: at(contact.heard_ms)?,
     })
 }
 
@@ -441,27 +441,27 @@
         .and_then(|contact| decode_contact(contact, now));
     {
         let mut peers = state.peers.borrow_mut();
-        if !peers.hear(from, &name, digest.incarnation, digest.sequence, now) {
+        if !peers.record_digest(from, &name, digest.incarnation, digest.sequence, now) {
             return;
         }
         if let Some(zone_use) = digest.zone_use {
-            let timeout = peers.near_silent();
+            let timeout = peers.local_timeout();
             drop(peers);
             return merge_zone(state, digest.zone, &zone_use, timeout, now);
         }
-        let location = Place {
+        let location = Location {
             zone: digest.zone,
-            memory: digest.memory,
+            memory_mb: digest.memory,
         };
-        peers.tell(from, location, contact);
+        peers.update(from, location, contact);
         for peer in digest.peers {
-            peers.learn(Ipv4Addr::from(peer), now);
+            peers.add(Ipv4Addr::from(peer), now);
         }
     }
     if let Some(span) = contact {
         end_doubt(state, &name, span, now);
     }
-    state.clock.borrow_mut().hear(&name, digest.wall_ms, now);
+    state.clock.borrow_mut().record(&name, digest.wall_ms, now);
     match digest.news.map(change_feed::decode) {
         Some(Some(feed)) => apply_feed(state, feed, now),
         Some(None) => log::warn!("peers: ignored the changes from {name}, a port is invalid."),
@@ -530,6 +530,6 @@
             .unwrap_or(now),
         uses,
     };
-    let timeout = state.peers.borrow().silent(report.zone);
+    let timeout = state.peers.borrow().timeout(report.zone);
     state.quota.borrow_mut().merge_report(&report, timeout);
 }
--- a/daemon/src/relay/peers/change_feed.rs
+++ b/daemon/src/relay/peers/change_feed.rs
@@ -6,37 +6,37 @@
 
 use poplarvale_lib::Revision;
 use poplarvale_lib::protos::relay::digest;
-use poplarvale_lib::relay::follow::{Entry, News};
+use poplarvale_lib::relay::change_feed::{ChangeFeed, RegistryChange};
 use poplarvale_lib::relay::listing::Listing;
 
-pub(super) fn encode(feed: News) -> digest::News {
+pub(super) fn encode(feed: ChangeFeed) -> digest::News {
     digest::News {
         after: feed.after,
         revision: feed.revision,
         age_ms: u32::try_from(feed.age.as_millis()).unwrap_or(u32::MAX),
-        orders: feed.orders,
-        entries: feed.entries.into_iter().map(encode_change).collect(),
-        check: feed.check,
+        orders: feed.config_revision,
+        entries: feed.changes.into_iter().map(encode_change).collect(),
+        check: feed.checksum,
     }
 }
 
 /// `None` if the port of an entry is out of range.
-pub(super) fn decode(message: digest::News) -> Option<News> {
+pub(super) fn decode(message: digest::News) -> Option<ChangeFeed> {
     let changes: Option<Vec<_>> = message.entries.into_iter().map(decode_change).collect();
-    Some(News {
+    Some(ChangeFeed {
         after: message.after,
         revision: message.revision,
         age: Duration::from_millis(message.age_ms.into()),
-        orders: message.orders,
-        entries: changes?,
-        check: message.check,
+        config_revision: message.orders,
+        changes: changes?,
+        checksum: message.check,
     })
 }
 
-fn encode_change((revision, change): (Revision, Entry)) -> digest::Entry {
+fn encode_change((revision, change): (Revision, RegistryChange)) -> digest::Entry {
     let (id, listing) = match change {
-        Entry::Put(listing) => (listing.id.to_string(), Some(encode_listing(listing))),
-        Entry::Gone(id) => (id.to_string(), None),
+        RegistryChange::Put(listing) => (listing.id.to_string(), Some(encode_listing(listing))),
+        RegistryChange::Removed(id) => (id.to_string(), None),
     };
     digest::Entry {
         revision,
@@ -45,11 +45,11 @@
     }
 }
 
-fn decode_change(entry: digest::Entry) -> Option<(Revision, Entry)> {
+fn decode_change(entry: digest::Entry) -> Option<(Revision, RegistryChange)> {
     let id = entry.id.into();
     let change = match entry.listing {
-        None => Entry::Gone(id),
-        Some(listing) => Entry::Put(Listing {
+        None => RegistryChange::Removed(id),
+        Some(listing) => RegistryChange::Put(Listing {
             id,
             service: listing.service.into(),
             address: SocketAddr::new(
--- a/daemon/src/relay/watch.rs
+++ b/daemon/src/relay/watch.rs
@@ -8,9 +8,9 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
+use poplarvale_lib::relay::change_feed::{ChangeFeed, FeedAction, RegistryChange};
 use poplarvale_lib::relay::digest::WATCHERS;
 use poplarvale_lib::relay::endpoint_table::Changed;
-use poplarvale_lib::relay::follow::{Entry, Heard, News};
 use poplarvale_lib::relay::listing::Listing;
 use poplarvale_lib::relay::quota::name_hash;
 use poplarvale_lib::relay::rollout::Order;
@@ -67,17 +67,17 @@
     let mut failing = false;
     loop {
         let began = Instant::now();
-        let revision = state.follow.borrow_mut().begin();
+        let revision = state.follow.borrow_mut().begin_read();
         let result = match revision {
             None => read_all(&state, &mut client).await,
             Some(after) => watch_once(&state, &mut client, after).await,
         };
-        state.follow.borrow_mut().end();
+        state.follow.borrow_mut().end_read();
         match result {
             Ok(()) => {
                 let now = Instant::now();
                 if failing {
-                    let outage = state.contact.get().silence(now);
+                    let outage = state.contact.get().since_answer(now);
                     log::info!("store: available again after {outage:?}.");
                     failing = false;
                 }
@@ -89,25 +89,25 @@
             Err(error) => {
                 state.measure(|metrics| metrics.called("store", "failed"));
                 if !failing {
-                    log::warn!("store: unavailable, {error}; retrying.");
+                    log::warn!("store: call failed, {error}; retrying.");
                     failing = true;
                 }
                 if matches!(error, WatchError::Store(StoreError::Compacted)) {
                     log::info!("store: its history was compacted; reading everything again.");
-                    state.follow.borrow_mut().lost();
+                    state.follow.borrow_mut().invalidate();
                     continue;
                 }
                 if matches!(error, WatchError::Store(StoreError::Returned)) {
                     log::info!("store: restored from an older copy; reading everything again.");
-                    state.follow.borrow_mut().lost();
+                    state.follow.borrow_mut().invalidate();
                     state.crashes.borrow_mut().mark_unsaved();
                     state.quarantined.notify_one();
                     continue;
                 }
                 // After an outage the whole list is read again, as a removal may have been missed.
                 state.store_failed(began);
-                if !state.contact.get().is_unbroken() {
-                    state.follow.borrow_mut().lost();
+                if !state.contact.get().is_reachable() {
+                    state.follow.borrow_mut().invalidate();
                 }
                 tokio::time::sleep(delay).await;
                 delay = (delay * 2).min(MAX_RETRY_DELAY);
@@ -131,7 +131,7 @@
 async fn wait_until_due(state: &State, due: Instant) {
     loop {
         let now = Instant::now();
-        let fed = state.follow.borrow().told(now);
+        let fed = state.follow.borrow().fed_until(now);
         let fed = fed.filter(|_| !state.peers.borrow().is_watcher(now));
         let until = fed.map_or(due, |fed| fed.max(due));
         if now >= until {
@@ -179,13 +179,13 @@
     let changes = {
         let mut table = state.endpoints.borrow_mut();
         let contact = state.contact.get();
-        if state.listed.get() && !contact.is_unbroken() {
+        if state.listed.get() && !contact.is_reachable() {
             table.registry_back(now);
         } else if state.listed.get() && restored {
             // An older copy lacks entries of running endpoints too. The store was restored some
             // time after its last answer in the former era. If the grace started at its first
             // answer in the new one, an endpoint that left since would stay in use for too long.
-            table.registry_back(contact.heard());
+            table.registry_back(contact.last_answer());
         }
         table.replace(listings, now)
     };
@@ -193,7 +193,7 @@
         announce(state, &id, change);
     }
     state.listed.set(true);
-    state.follow.borrow_mut().read(revision, now);
+    state.follow.borrow_mut().record_snapshot(revision, now);
     Ok(())
 }
 
@@ -225,37 +225,46 @@
         apply_change(state, change);
     }
     let mut follow = state.follow.borrow_mut();
-    follow.watched(watched.revision, Instant::now());
+    follow.record_watch(watched.revision, Instant::now());
     Ok(())
 }
 
 fn apply_change(state: &State, change: &Change) {
     match change {
         Change::Put(item) if item.key.starts_with(OPERATORS) => {
-            state.follow.borrow_mut().saw_order(item.revision);
+            state
+                .follow
+                .borrow_mut()
+                .record_config_change(item.revision);
             apply_config_item(state, item);
         }
         Change::Put(item) if item.key.starts_with(STATUS) => {
-            state.follow.borrow_mut().saw_order(item.revision);
+            state
+                .follow
+                .borrow_mut()
+                .record_config_change(item.revision);
             apply_status(state, item);
         }
         Change::Put(item) if item.key.starts_with(REGISTRY) => {
             if let Some(listing) = read_entry(item) {
-                let change = Entry::Put(listing);
+                let change = RegistryChange::Put(listing);
                 apply_watched(state, item.revision, change);
             }
         }
         Change::Put(item) if item.key == LEADER => {
-            state.follow.borrow_mut().saw_order(item.revision);
+            state
+                .follow
+                .borrow_mut()
+                .record_config_change(item.revision);
             set_duty_holder(state, Some(item));
         }
         Change::Gone(key, revision) if key == LEADER => {
-            state.follow.borrow_mut().saw_order(*revision);
+            state.follow.borrow_mut().record_config_change(*revision);
             set_duty_holder(state, None);
         }
         Change::Gone(key, revision) => {
             if let Some(id) = key.strip_prefix(REGISTRY) {
-                apply_watched(state, *revision, Entry::Gone(id.into()));
+                apply_watched(state, *revision, RegistryChange::Removed(id.into()));
             }
         }
         Change::Put(item) if item.key.starts_with(CRASHES) => crash::restore(state, &item.value),
@@ -265,26 +274,26 @@
 
 /// Applies a registry change that this daemon read from the store itself, and records it for the
 /// change feed.
-fn apply_watched(state: &State, revision: u64, change: Entry) {
+fn apply_watched(state: &State, revision: u64, change: RegistryChange) {
     let now = Instant::now();
     let is_change = match &change {
-        Entry::Put(listing) => state.endpoints.borrow().is_change(listing),
-        Entry::Gone(_) => true,
+        RegistryChange::Put(listing) => state.endpoints.borrow().is_change(listing),
+        RegistryChange::Removed(_) => true,
     };
     if is_change {
         let mut follow = state.follow.borrow_mut();
-        follow.saw(revision, change.clone(), now);
+        follow.record_change(revision, change.clone(), now);
     }
     let (id, effect) = apply(state, change, now);
     announce(state, &id, effect);
 }
 
 /// Applies a registry change to the endpoint table.
-fn apply(state: &State, change: Entry, now: Instant) -> (EndpointId, Changed) {
+fn apply(state: &State, change: RegistryChange, now: Instant) -> (EndpointId, Changed) {
     let mut table = state.endpoints.borrow_mut();
     match change {
-        Entry::Put(listing) => (listing.id.clone(), table.put(listing)),
-        Entry::Gone(id) => {
+        RegistryChange::Put(listing) => (listing.id.clone(), table.put(listing)),
+        RegistryChange::Removed(id) => {
             let effect = table.entry_removed(&id, now);
             (id, effect)
         }
@@ -292,17 +301,17 @@
 }
 
 /// Applies the change feed of a watcher of this zone.
-pub(crate) fn apply_feed(state: &State, feed: News, now: Instant) {
+pub(crate) fn apply_feed(state: &State, feed: ChangeFeed, now: Instant) {
     if state.peers.borrow().is_watcher(now) {
         return;
     }
-    let (answered, checksum) = (now.checked_sub(feed.age), feed.check);
-    let timeout = state.peers.borrow().near_silent();
-    let action = state.follow.borrow_mut().hear(feed, timeout, now);
+    let (answered, checksum) = (now.checked_sub(feed.age), feed.checksum);
+    let timeout = state.peers.borrow().local_timeout();
+    let action = state.follow.borrow_mut().merge(feed, timeout, now);
     let changes = match action {
-        Heard::Take(changes) => changes,
-        Heard::Look => return state.look.notify_one(),
-        Heard::Nothing => return,
+        FeedAction::Apply(changes) => changes,
+        FeedAction::Read => return state.look.notify_one(),
+        FeedAction::Ignore => return,
     };
     if let Some(answered) = answered {
         state.store_answered(answered);
@@ -398,8 +407,8 @@
 /// How many of the daemons that sent a digest recently report that they can reach the store.
 fn connected_peers(state: &State) -> usize {
     let peers = state.peers.borrow();
-    let rows = peers.heard_lately(Instant::now());
-    rows.filter(|row| row.contact.is_some()).count()
+    let rows = peers.recent(Instant::now());
+    rows.filter(|row| row.store.is_some()).count()
 }
 
 /// Puts a newer configuration into force; an older one is ignored.
