--- a/daemon/src/relay/attempt.rs
+++ b/daemon/src/relay/attempt.rs
@@ -387,7 +387,7 @@
 }
 
 fn keep(state: &Rc<State>, address: SocketAddr, wire: Wire, answer: &Answer) {
-    if answer.head.keep && answer.sent && wire.buffer.is_empty() {
+    if answer.head.keep_alive && answer.sent && wire.buffer.is_empty() {
         state.upstreams.put(address, wire, answer.said.idle);
     }
 }
--- a/daemon/src/relay/caller.rs
+++ b/daemon/src/relay/caller.rs
@@ -90,7 +90,7 @@
             return Some(reject(write, Code::BadBody, None).await);
         }
     };
-    if request.fields.lists("expect", "100-continue") {
+    if request.fields.contains_token("expect", "100-continue") {
         write
             .write_all(b"HTTP/1.1 100 Continue\r\n\r\n")
             .await
--- a/daemon/src/relay/client.rs
+++ b/daemon/src/relay/client.rs
@@ -88,7 +88,7 @@
         let answer = tokio::time::timeout(limit, exchange).await;
         let answer = answer.map_err(|_elapsed| CallError::Silent).flatten();
         let (head, body) = answer?;
-        if head.keep {
+        if head.keep_alive {
             self.wire = Some(wire);
         }
         let era = match &self.eras {
@@ -127,7 +127,7 @@
         }
         let more = fill(&mut read, &mut wire.buffer).await;
         if more.map_err(CallError::Broken)? == 0 {
-            body.end()?;
+            body.finish()?;
         }
     }
     Ok((head, bytes.freeze()))
--- a/daemon/src/relay/exchange.rs
+++ b/daemon/src/relay/exchange.rs
@@ -121,7 +121,7 @@
             return Ok(bytes.freeze());
         }
         if fill(&mut read, &mut wire.buffer).await? == 0 {
-            body.end().map_err(io::Error::other)?;
+            body.finish().map_err(io::Error::other)?;
         }
     }
 }
--- a/daemon/src/relay/probe.rs
+++ b/daemon/src/relay/probe.rs
@@ -21,7 +21,7 @@
 
 fn answer(state: &State, request: &Request) -> BytesMut {
     if !is_ready_probe(request) {
-        return refusal(Code::NoRoute, Ran::No, None, None, request.keep);
+        return refusal(Code::NoRoute, Ran::No, None, None, request.keep_alive);
     }
     if state.is_ready() {
         return BytesMut::from(READY);
@@ -31,5 +31,5 @@
     } else {
         Code::Draining
     };
-    refusal(code, Ran::No, None, None, request.keep)
+    refusal(code, Ran::No, None, None, request.keep_alive)
 }
--- a/daemon/src/relay/questions.rs
+++ b/daemon/src/relay/questions.rs
@@ -25,7 +25,7 @@
         match Request::take(&mut buffer, MOST_HEAD) {
             Ok(Some(request)) => {
                 let out = answer(&state, &request);
-                if write.write_all(&out).await.is_err() || !request.keep {
+                if write.write_all(&out).await.is_err() || !request.keep_alive {
                     return;
                 }
             }
--- a/daemon/src/relay/serve.rs
+++ b/daemon/src/relay/serve.rs
@@ -87,7 +87,7 @@
     arrived: Instant,
     write: &mut WriteHalf<'_>,
 ) -> After {
-    let keep = request.keep && state.life().is_serving();
+    let keep = request.keep_alive && state.life().is_serving();
     let catalog = state.catalog.borrow().clone();
     let Some(catalog) = catalog else {
         let refused = Refusal::later(Code::NoLists, SOON);
--- a/daemon/src/relay/status.rs
+++ b/daemon/src/relay/status.rs
@@ -28,7 +28,7 @@
             ("text/plain; version=0.0.4", page.unwrap_or_default())
         }
         b"/dump" => ("application/json", dump(state).to_string()),
-        _ => return refusal(Code::NoTable, Ran::No, None, None, request.keep),
+        _ => return refusal(Code::NoTable, Ran::No, None, None, request.keep_alive),
     };
     let head = format!(
         "HTTP/1.1 200 OK\r\nContent-Type: {kind}\r\nContent-Length: {}\r\n\r\n",
--- a/daemon/src/relay/stream.rs
+++ b/daemon/src/relay/stream.rs
@@ -139,7 +139,7 @@
         let is_first = passed.events.count() == first;
         let more = fill(&mut read, &mut wire.buffer);
         match patience.wait(is_first, more).await {
-            Some(Ok(0)) if body.end().is_ok() => {}
+            Some(Ok(0)) if body.finish().is_ok() => {}
             Some(Ok(len)) if len > 0 => {}
             _ => return StreamEnd::Broken,
         }
--- a/daemon/tests/soak.rs
+++ b/daemon/tests/soak.rs
@@ -521,7 +521,7 @@
         let answer = asked.ok().and_then(Result::ok);
         let whole = answer.as_ref().is_some_and(|answer| answer.whole);
         take(&soak, &id, prefix, answer.as_ref(), calm);
-        if whole && answer.is_some_and(|answer| answer.head.keep) {
+        if whole && answer.is_some_and(|answer| answer.head.keep_alive) {
             kept = Some((at, caller));
         }
         tokio::time::sleep(Duration::from_millis(random.u64(1..20))).await;
--- a/daemon/tests/test_relay_callers.rs
+++ b/daemon/tests/test_relay_callers.rs
@@ -20,7 +20,7 @@
     let text = request("POST", "/once/a", "r1", both) + "0\r\n\r\n" + &hidden;
     let answer = ask(site.address(), &text).await.expect("an answer");
     assert_eq!(answer.status, 400);
-    assert!(!answer.head.keep);
+    assert!(!answer.head.keep_alive);
     assert!(endpoint.seen().is_empty());
 }
 
--- a/daemon/tests/test_relay_closing.rs
+++ b/daemon/tests/test_relay_closing.rs
@@ -98,7 +98,7 @@
         let written = write(way, caller, &id).await;
         let last = Instant::now();
         let answer = caller.answer().await;
-        let keeps = answer.as_ref().is_ok_and(|answer| answer.head.keep);
+        let keeps = answer.as_ref().is_ok_and(|answer| answer.head.keep_alive);
         let seen = answer
             .ok()
             .map(|answer: Answer| (answer.status, answer.whole));
--- a/daemon/tests/test_relay_end.rs
+++ b/daemon/tests/test_relay_end.rs
@@ -45,7 +45,7 @@
         let answer = ask(site.address(), &request("GET", "/safe/a", "r2", "")).await;
         let answer = answer.expect("an answer");
         assert_eq!(answer.status, 200);
-        assert!(!answer.head.keep);
+        assert!(!answer.head.keep_alive);
     };
     let (answer, (), ()) = tokio::join!(asked, told, later);
     let answer = answer.expect("an answer");
--- a/lib/src/http1/body.rs
+++ b/lib/src/http1/body.rs
@@ -5,7 +5,7 @@
 use super::Framing;
 
 /// Longest line that states a chunk's size, and longest trailer line, in bytes.
-const MOST_LINE: usize = 1024;
+const MAX_LINE: usize = 1024;
 
 /// Why a body cannot be read further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -25,11 +25,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Length(u64),
-    Size,
-    Chunk(u64),
+    ChunkSize,
+    ChunkData(u64),
     ChunkEnd,
     Trailer,
-    Close,
+    UntilClose,
     Done,
 }
 
@@ -39,8 +39,8 @@
         Self(match framing {
             Framing::None | Framing::Length(0) => State::Done,
             Framing::Length(length) => State::Length(length),
-            Framing::Chunked => State::Size,
-            Framing::Close => State::Close,
+            Framing::Chunked => State::ChunkSize,
+            Framing::Close => State::UntilClose,
         })
     }
 
@@ -58,8 +58,8 @@
         loop {
             match self.0 {
                 State::Done => return Ok(None),
-                State::Close if buffer.is_empty() => return Ok(None),
-                State::Close => return Ok(Some(buffer.split().freeze())),
+                State::UntilClose if buffer.is_empty() => return Ok(None),
+                State::UntilClose => return Ok(Some(buffer.split().freeze())),
                 State::Length(left) => {
                     return Ok(take(buffer, left).inspect(|part| {
                         let left = left - part.len() as u64;
@@ -70,13 +70,13 @@
                         };
                     }));
                 }
-                State::Chunk(left) => {
+                State::ChunkData(left) => {
                     return Ok(take(buffer, left).inspect(|part| {
                         let left = left - part.len() as u64;
                         self.0 = if left == 0 {
                             State::ChunkEnd
                         } else {
-                            State::Chunk(left)
+                            State::ChunkData(left)
                         };
                     }));
                 }
@@ -88,23 +88,23 @@
                         return Err(BodyError::Chunk);
                     }
                     buffer.advance(2);
-                    self.0 = State::Size;
+                    self.0 = State::ChunkSize;
                 }
-                State::Size => match httparse::parse_chunk_size(buffer) {
+                State::ChunkSize => match httparse::parse_chunk_size(buffer) {
                     Ok(httparse::Status::Complete((len, size))) => {
                         buffer.advance(len);
                         self.0 = if size == 0 {
                             State::Trailer
                         } else {
-                            State::Chunk(size)
+                            State::ChunkData(size)
                         };
                     }
-                    Ok(httparse::Status::Partial) if buffer.len() <= MOST_LINE => return Ok(None),
+                    Ok(httparse::Status::Partial) if buffer.len() <= MAX_LINE => return Ok(None),
                     _ => return Err(BodyError::Chunk),
                 },
                 State::Trailer => {
                     let Some(end) = buffer.windows(2).position(|pair| pair == b"\r\n") else {
-                        if buffer.len() > MOST_LINE {
+                        if buffer.len() > MAX_LINE {
                             return Err(BodyError::Chunk);
                         }
                         return Ok(None);
@@ -122,9 +122,9 @@
     ///
     /// # Errors
     /// If the body was not all there.
-    pub fn end(&mut self) -> Result<(), BodyError> {
+    pub fn finish(&mut self) -> Result<(), BodyError> {
         match self.0 {
-            State::Done | State::Close => {
+            State::Done | State::UntilClose => {
                 self.0 = State::Done;
                 Ok(())
             }
--- a/lib/src/http1/fields.rs
+++ b/lib/src/http1/fields.rs
@@ -48,18 +48,18 @@
     }
 
     /// Whether a field that holds a list of words holds this one.
-    pub fn lists(&self, name: &str, word: &str) -> bool {
+    pub fn contains_token(&self, name: &str, token: &str) -> bool {
         self.all(name)
             .flat_map(|value| value.split(|byte| *byte == b','))
-            .any(|part| part.trim_ascii().eq_ignore_ascii_case(word.as_bytes()))
+            .any(|part| part.trim_ascii().eq_ignore_ascii_case(token.as_bytes()))
     }
 
     /// Whether a field concerns the connection only: by its name, or because the
     /// sender's `Connection` field names it.
-    pub fn is_hop(&self, name: &[u8]) -> bool {
+    pub fn is_hop_by_hop(&self, name: &[u8]) -> bool {
         HOP_BY_HOP
             .iter()
             .any(|hop| name.eq_ignore_ascii_case(hop.as_bytes()))
-            || std::str::from_utf8(name).is_ok_and(|name| self.lists("connection", name))
+            || std::str::from_utf8(name).is_ok_and(|name| self.contains_token("connection", name))
     }
 }
--- a/lib/src/http1/head.rs
+++ b/lib/src/http1/head.rs
@@ -5,9 +5,9 @@
 use super::Fields;
 
 /// Most header fields of a message.
-const MOST_FIELDS: usize = 96;
+const MAX_FIELDS: usize = 96;
 /// Longest head of a response, in bytes; endpoints send a few hundred.
-const RESPONSE_HEAD: usize = 32 * 1024;
+const MAX_RESPONSE_HEAD: usize = 32 * 1024;
 
 /// Why a head is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -48,7 +48,7 @@
     /// How the body ends.
     pub framing: Framing,
     /// Whether the sender keeps the connection open afterwards.
-    pub keep: bool,
+    pub keep_alive: bool,
 }
 
 /// Head of a response.
@@ -61,18 +61,18 @@
     /// How the body ends.
     pub framing: Framing,
     /// Whether the sender keeps the connection open afterwards.
-    pub keep: bool,
+    pub keep_alive: bool,
 }
 
 impl Request {
     /// Takes a whole head off the buffer; `None` if it is not all there yet.
     ///
     /// # Errors
-    /// If the bytes are not a head of at most `most` bytes with clear framing.
-    pub fn take(buffer: &mut BytesMut, most: usize) -> Result<Option<Self>, HeadError> {
-        let mut slots = [httparse::EMPTY_HEADER; MOST_FIELDS];
-        let mut parsed = httparse::Request::new(&mut slots);
-        let Some(len) = whole(parsed.parse(buffer), buffer.len(), most)? else {
+    /// If the bytes are not a head of at most `max_bytes` bytes with clear framing.
+    pub fn take(buffer: &mut BytesMut, max_bytes: usize) -> Result<Option<Self>, HeadError> {
+        let mut headers = [httparse::EMPTY_HEADER; MAX_FIELDS];
+        let mut parsed = httparse::Request::new(&mut headers);
+        let Some(len) = complete_len(parsed.parse(buffer), buffer.len(), max_bytes)? else {
             return Ok(None);
         };
         check_lines(&buffer[..len])?;
@@ -85,7 +85,7 @@
         let target = span(base, path.as_bytes());
         let spans = spans(base, parsed.headers);
         let head = buffer.split_to(len).freeze();
-        let fields = cut(&head, &spans);
+        let fields = slice_fields(&head, &spans);
         let framing = match body_framing(&fields)? {
             Some(Framing::Chunked) if minor == 0 => return Err(HeadError::Framing),
             Some(framing) => framing,
@@ -95,7 +95,7 @@
             method: head.slice(method.0..method.1),
             target: head.slice(target.0..target.1),
             framing,
-            keep: keeps(&fields, minor),
+            keep_alive: is_keep_alive(&fields, minor),
             fields,
         }))
     }
@@ -107,9 +107,9 @@
     /// # Errors
     /// If the bytes are not a head with clear framing.
     pub fn take(buffer: &mut BytesMut) -> Result<Option<Self>, HeadError> {
-        let mut slots = [httparse::EMPTY_HEADER; MOST_FIELDS];
-        let mut parsed = httparse::Response::new(&mut slots);
-        let Some(len) = whole(parsed.parse(buffer), buffer.len(), RESPONSE_HEAD)? else {
+        let mut headers = [httparse::EMPTY_HEADER; MAX_FIELDS];
+        let mut parsed = httparse::Response::new(&mut headers);
+        let Some(len) = complete_len(parsed.parse(buffer), buffer.len(), MAX_RESPONSE_HEAD)? else {
             return Ok(None);
         };
         let (Some(status), Some(minor)) = (parsed.code, parsed.version) else {
@@ -118,7 +118,7 @@
         let base = buffer.as_ptr() as usize;
         let spans = spans(base, parsed.headers);
         let head = buffer.split_to(len).freeze();
-        let fields = cut(&head, &spans);
+        let fields = slice_fields(&head, &spans);
         let framing = match body_framing(&fields)? {
             _ if status < 200 || status == 204 || status == 304 => Framing::None,
             Some(framing) => framing,
@@ -126,7 +126,7 @@
         };
         Ok(Some(Self {
             status,
-            keep: keeps(&fields, minor) && framing != Framing::Close,
+            keep_alive: is_keep_alive(&fields, minor) && framing != Framing::Close,
             framing,
             fields,
         }))
@@ -134,15 +134,15 @@
 }
 
 /// Length of a head that is all there.
-fn whole(
+fn complete_len(
     parsed: httparse::Result<usize>,
-    held: usize,
-    most: usize,
+    buffered: usize,
+    max_bytes: usize,
 ) -> Result<Option<usize>, HeadError> {
     match parsed {
-        Ok(httparse::Status::Complete(len)) if len > most => Err(HeadError::TooLarge),
+        Ok(httparse::Status::Complete(len)) if len > max_bytes => Err(HeadError::TooLarge),
         Ok(httparse::Status::Complete(len)) => Ok(Some(len)),
-        Ok(httparse::Status::Partial) if held > most => Err(HeadError::TooLarge),
+        Ok(httparse::Status::Partial) if buffered > max_bytes => Err(HeadError::TooLarge),
         Ok(httparse::Status::Partial) => Ok(None),
         Err(httparse::Error::TooManyHeaders) => Err(HeadError::TooLarge),
         Err(_) => Err(HeadError::Malformed),
@@ -173,7 +173,7 @@
     headers.iter().map(pair).collect()
 }
 
-fn cut(head: &Bytes, spans: &[(Span, Span)]) -> Fields {
+fn slice_fields(head: &Bytes, spans: &[(Span, Span)]) -> Fields {
     let field =
         |(name, value): &(Span, Span)| (head.slice(name.0..name.1), head.slice(value.0..value.1));
     Fields(spans.iter().map(field).collect())
@@ -206,10 +206,10 @@
     }
 }
 
-fn keeps(fields: &Fields, minor: u8) -> bool {
+fn is_keep_alive(fields: &Fields, minor: u8) -> bool {
     if minor == 0 {
-        fields.lists("connection", "keep-alive")
+        fields.contains_token("connection", "keep-alive")
     } else {
-        !fields.lists("connection", "close")
+        !fields.contains_token("connection", "close")
     }
 }
--- a/lib/tests/test_http1.rs
+++ b/lib/tests/test_http1.rs
@@ -47,9 +47,9 @@
 fn fields_that_a_connection_field_names_stay_on_that_connection() {
     let text = "GET / HTTP/1.1\r\nConnection: close, X-Own\r\nX-Own: 1\r\nX-Other: 2\r\n\r\n";
     let head = request(text).expect("well formed").expect("whole");
-    assert!(head.fields.is_hop(b"x-own"));
-    assert!(!head.fields.is_hop(b"X-Other"));
-    assert!(!head.keep);
+    assert!(head.fields.is_hop_by_hop(b"x-own"));
+    assert!(!head.fields.is_hop_by_hop(b"X-Other"));
+    assert!(!head.keep_alive);
 }
 
 /// An endpoint dies in the middle of its answer. The caller must not take what came
@@ -61,7 +61,7 @@
         let mut buffer = BytesMut::from("5\r\nabc");
         while body.take(&mut buffer).expect("in the protocol").is_some() {}
         assert!(!body.is_done());
-        assert_eq!(body.end(), Err(BodyError::Truncated));
+        assert_eq!(body.finish(), Err(BodyError::Truncated));
     }
 }
 
