--- a/daemon/src/callers/services.rs
+++ b/daemon/src/callers/services.rs
@@ -57,7 +57,7 @@
     };
     let named = request.headers().get("idempotency-key");
     if let (Some(claim), false) = (named, ask.repeatable) {
-        let claim = claim.to_str().ok().and_then(Key::read);
+        let claim = claim.to_str().ok().and_then(Key::parse);
         let claim = claim.ok_or_else(|| Problem::new(Code::BadKey))?;
         return once(shared, request, key, claim, ask).await;
     }
--- a/daemon/src/claims.rs
+++ b/daemon/src/claims.rs
@@ -20,7 +20,8 @@
     WrapFuture as _,
 };
 use poplarvale_lib::claims::{
-    self, Claimer, Command, End, HandOver, Holder, Input, Key, Permit, Question, Refusal, Reply,
+    self, Claimer, Command, HandOver, Input, Key, Peer, Permit, Question, Rejection, Reply,
+    RunResult,
 };
 use poplarvale_lib::store::{Failure, Store as _};
 use poplarvale_lib::{Code, CustomerId, Ending, Incarnation, Ran, RequestId, Row, Table, joined};
@@ -50,7 +51,7 @@
     /// Another daemon has to do it.
     Elsewhere(SocketAddr),
     /// It is refused.
-    Refused(Refusal),
+    Refused(Rejection),
 }
 
 /// A caller that waits for its claim.
@@ -143,7 +144,7 @@
         match command {
             Command::Dispatch(permit) => self.dispatch(permit, ctx),
             Command::Answer { request, answer } => self.tell(request, Outcome::Kept(answer)),
-            Command::Refuse(refusal) => self.tell(refusal.request, Outcome::Refused(refusal)),
+            Command::Reject(refusal) => self.tell(refusal.request, Outcome::Refused(refusal)),
             Command::Forward { request, to } => self.forward(request, to),
             Command::Question { to, question } => self.ask(to, question, ctx),
             Command::Write { number, write } => {
@@ -187,12 +188,12 @@
         let address = self.daemons.get(&to).and_then(|daemon| daemon.callers);
         let outcome = match address {
             Some(address) => Outcome::Elsewhere(address),
-            None => Outcome::Refused(Refusal {
+            None => Outcome::Refused(Rejection {
                 request,
                 code: Code::NoClaim,
                 ran: Ran::No,
-                again: None,
-                other: None,
+                retry_at: None,
+                running: None,
             }),
         };
         self.tell(request, outcome);
@@ -201,7 +202,7 @@
     /// Lets the core run a request, once, and waits for its end.
     fn dispatch(&mut self, permit: Permit, ctx: &mut Context<Self>) {
         let Some(waiting) = self.waiting.remove(&permit.request()) else {
-            self.take(Input::Ended(permit, End::Unsent), ctx);
+            self.take(Input::Ended(permit, RunResult::Unsent), ctx);
             return;
         };
         let core = self.parts.core.clone();
@@ -220,9 +221,9 @@
                 Ok(Err(why)) => {
                     let refusal = refusal(permit.request(), why);
                     let _ = waiting.caller.send(Outcome::Refused(refusal));
-                    End::Unsent
+                    RunResult::Unsent
                 }
-                Err(_closed) => End::Unsent,
+                Err(_closed) => RunResult::Unsent,
             };
             Input::Ended(permit, end)
         };
@@ -243,7 +244,7 @@
     }
 
     fn tell_holds(&self) {
-        let holds = self.claimer.holds();
+        let holds = self.claimer.inherited_issuers();
         self.parts.gossip.do_send(Put {
             kind: HOLDS,
             name: "".into(),
@@ -253,11 +254,11 @@
 }
 
 /// What a request's ending means to its claim.
-fn end(view: &View) -> End {
+fn end(view: &View) -> RunResult {
     match &view.ending {
-        Some(Ending::Whole { status }) => End::Answered(kept(*status, view)),
-        Some(Ending::Failed { ran: Ran::No, .. }) => End::Unsent,
-        _ => End::Unknown,
+        Some(Ending::Whole { status }) => RunResult::Answered(kept(*status, view)),
+        Some(Ending::Failed { ran: Ran::No, .. }) => RunResult::Unsent,
+        _ => RunResult::Unknown,
     }
 }
 
@@ -274,13 +275,13 @@
     }
 }
 
-fn refusal(request: RequestId, code: Code) -> Refusal {
-    Refusal {
+fn refusal(request: RequestId, code: Code) -> Rejection {
+    Rejection {
         request,
         code,
         ran: Ran::No,
-        again: None,
-        other: None,
+        retry_at: None,
+        running: None,
     }
 }
 
@@ -316,8 +317,8 @@
     fn handle(&mut self, msg: Begin, ctx: &mut Self::Context) -> Self::Result {
         self.count += 1;
         let id = joined(self.parts.incarnation, CLAIMED | self.count);
-        let ask = claims::Ask {
-            request: id,
+        let ask = claims::KeyedRequest {
+            id,
             customer: msg.customer,
             key: msg.claim,
             digest: msg.digest,
@@ -393,13 +394,13 @@
     type Result = ();
 
     fn handle(&mut self, msg: SetDaemons, ctx: &mut Self::Context) {
-        let holders = msg.0.iter().map(|daemon| Holder {
+        let holders = msg.0.iter().map(|daemon| Peer {
             incarnation: daemon.incarnation,
             holds: daemon.holds.clone(),
         });
         let holders = holders.collect();
         self.daemons = msg.0.into_iter().collect();
-        self.take(Input::Holders(holders), ctx);
+        self.take(Input::Peers(holders), ctx);
     }
 }
 
--- a/daemon/src/config/pull.rs
+++ b/daemon/src/config/pull.rs
@@ -10,7 +10,7 @@
 
 use poplarvale_lib::config::{Pull, Pulled};
 use poplarvale_lib::protos::peer::Part;
-use poplarvale_lib::store::MOST_VALUE;
+use poplarvale_lib::store::MAX_VALUE_BYTES;
 use prost::Message as _;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -19,7 +19,7 @@
 /// Bytes of a part; with its own fields it stays below a frame.
 const PART_BYTES: usize = 96 * 1024;
 /// Largest answer: both lists at their largest, and what names them.
-const MOST_BYTES: u64 = 3 * MOST_VALUE as u64;
+const MOST_BYTES: u64 = 3 * MAX_VALUE_BYTES as u64;
 
 /// The part of an answer that begins at a byte.
 pub(super) fn part(pulled: Pulled, from: u64) -> Part {
--- a/daemon/src/moves.rs
+++ b/daemon/src/moves.rs
@@ -19,7 +19,9 @@
 use poplarvale_lib::moves::evidence::Row;
 use poplarvale_lib::moves::{Action, Event, Reach, Record, Source, Stored, Verdict, Watch};
 use poplarvale_lib::protos::moves::{BadVersion, EvidenceRow, NewsRow, RecordRow, VersionMove};
-use poplarvale_lib::store::{Condition, Failure, Held, Put as StorePut, Snapshot, Store as _};
+use poplarvale_lib::store::{
+    Condition, Failure, Put as StorePut, Snapshot, Store as _, StoredValue,
+};
 use poplarvale_lib::store::{Write, Written};
 use poplarvale_lib::{Incarnation, Input, Revision, ServiceId, config, from_hex, hex};
 use prost::Message as _;
@@ -245,7 +247,7 @@
             let result = store.write(write).await;
             match result {
                 // Whatever became of it, what stands there now is what counts.
-                Err(Failure::Unknown) => store.get(&key).await.ok().map(Written::Differs),
+                Err(Failure::Unknown) => store.get(&key).await.ok().map(Written::Conflict),
                 other => other.ok(),
             }
         };
@@ -253,7 +255,7 @@
             call.into_actor(self)
                 .map(move |written, moves, _| match written {
                     Some(Written::Done(revision)) => moves.learn(&Stored { revision, record }),
-                    Some(Written::Differs(snapshot)) => moves.learn_all(&snapshot),
+                    Some(Written::Conflict(snapshot)) => moves.learn_all(&snapshot),
                     None => {}
                 }),
         );
@@ -354,7 +356,7 @@
     format!("{PREFIX}{service}")
 }
 
-fn stored(held: &Held) -> Option<Stored> {
+fn stored(held: &StoredValue) -> Option<Stored> {
     let wire = VersionMove::decode(held.value.clone()).ok()?;
     let record = Record::from_stored(&wire).ok()?;
     Some(Stored {
--- a/daemon/src/moves/ask.rs
+++ b/daemon/src/moves/ask.rs
@@ -160,7 +160,7 @@
     let revision: Revision = standing.map_or(0, |stored| stored.revision);
     match store.write(put_record(revision, &record)).await {
         Ok(Written::Done(revision)) => Ok(Some(Stored { revision, record })),
-        Ok(Written::Differs(_)) | Err(Failure::Unknown) => Ok(None),
+        Ok(Written::Conflict(_)) | Err(Failure::Unknown) => Ok(None),
         Err(Failure::NotDone) => Err(no_store()),
     }
 }
--- a/daemon/src/moves/holder.rs
+++ b/daemon/src/moves/holder.rs
@@ -124,7 +124,7 @@
     };
     match store.write(write).await {
         Ok(Written::Done(fence)) => Called::Held(Grant { lease, fence }),
-        Ok(Written::Differs(_)) => {
+        Ok(Written::Conflict(_)) => {
             // Another daemon holds it. If this call fails the unused lease lapses.
             if let Err(failure) = store.revoke(lease.id).await {
                 log::debug!("moves: an unused lease stays until it lapses, {failure:?}.");
--- a/daemon/src/platform/store.rs
+++ b/daemon/src/platform/store.rs
@@ -16,8 +16,8 @@
 use poplarvale_lib::Revision;
 use poplarvale_lib::protos::platform as wire;
 use poplarvale_lib::store::{
-    Allow, Breaker, Condition, Failure, Held, Lease, LeaseId, MOST_VALUE, Put, Snapshot, Store,
-    Write, Written, from_base64, to_base64,
+    Allow, Breaker, Condition, Failure, Lease, LeaseId, MAX_VALUE_BYTES, Put, Snapshot, Store,
+    StoredValue, Write, Written, from_base64, to_base64,
 };
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -29,7 +29,7 @@
 /// and few enough that a service which hangs holds little memory here.
 const MOST_RUNNING: u32 = 16;
 /// Largest answer: both lists in base64, with some room.
-const MOST_ANSWER: usize = 4 * MOST_VALUE;
+const MOST_ANSWER: usize = 4 * MAX_VALUE_BYTES;
 
 /// Client of the key-value service.
 #[derive(Debug)]
@@ -65,7 +65,7 @@
 
     /// Whether the service counts as out.
     pub fn is_out(&self) -> bool {
-        self.breaker.borrow().is_out()
+        self.breaker.borrow().is_open()
     }
 
     async fn call<A: DeserializeOwned>(
@@ -87,7 +87,7 @@
 
     fn note(&self, sent: Instant, answered: bool) {
         let mut breaker = self.breaker.borrow_mut();
-        breaker.note(Instant::now(), sent, answered);
+        breaker.record(Instant::now(), sent, answered);
     }
 
     fn place(&self) -> Result<Place<'_>, Failure> {
@@ -127,7 +127,7 @@
         &self,
         sent: Instant,
         ask: &wire::WatchRequest,
-        on_change: &mut impl FnMut(Held),
+        on_change: &mut impl FnMut(StoredValue),
     ) -> Result<(), Failure> {
         let client = client();
         let request = client.post(self.url("/v3/watch")).send_json(ask);
@@ -172,7 +172,11 @@
     }
 
     async fn write(&self, write: Write) -> Result<Written, Failure> {
-        if write.puts.iter().any(|put| put.value.len() > MOST_VALUE) {
+        if write
+            .puts
+            .iter()
+            .any(|put| put.value.len() > MAX_VALUE_BYTES)
+        {
             return Err(Failure::NotDone);
         }
         let reads = write.conditions.iter().map(|c| wire::RequestOp {
@@ -190,7 +194,7 @@
         }
         let found = done.responses.into_iter().filter_map(|r| r.response_range);
         let kvs: Vec<_> = found.flat_map(|range| range.kvs).collect();
-        Ok(Written::Differs(snapshot(done.header.as_ref(), &kvs)?))
+        Ok(Written::Conflict(snapshot(done.header.as_ref(), &kvs)?))
     }
 
     async fn grant(&self, lasts: Duration) -> Result<Lease, Failure> {
@@ -227,7 +231,12 @@
         Ok(())
     }
 
-    async fn watch(&self, key: &str, from: Revision, mut on_change: impl FnMut(Held)) -> Failure {
+    async fn watch(
+        &self,
+        key: &str,
+        from: Revision,
+        mut on_change: impl FnMut(StoredValue),
+    ) -> Failure {
         let sent = Instant::now();
         if let Allow::No(_) = self.breaker.borrow_mut().allow(sent) {
             return Failure::NotDone;
@@ -272,7 +281,7 @@
     }
 }
 
-fn told(line: &[u8], on_change: &mut impl FnMut(Held)) -> Result<(), Failure> {
+fn told(line: &[u8], on_change: &mut impl FnMut(StoredValue)) -> Result<(), Failure> {
     let line: wire::WatchLine =
         serde_json::from_slice(line).map_err(|_malformed| Failure::Unknown)?;
     let events = line.result.unwrap_or_default().events;
@@ -325,11 +334,11 @@
     })
 }
 
-fn held(kv: &wire::KeyValue) -> Result<Held, Failure> {
+fn held(kv: &wire::KeyValue) -> Result<StoredValue, Failure> {
     let key = from_base64(&kv.key).ok_or(Failure::Unknown)?;
     let key = String::from_utf8(key).map_err(|_invalid| Failure::Unknown)?;
     let value = from_base64(&kv.value).ok_or(Failure::Unknown)?;
-    Ok(Held {
+    Ok(StoredValue {
         key: key.into(),
         value: Bytes::from(value),
         created: number(&kv.create_revision)?,
--- a/daemon/src/problem.rs
+++ b/daemon/src/problem.rs
@@ -4,7 +4,7 @@
 
 use actix_web::HttpResponse;
 use actix_web::http::StatusCode;
-use poplarvale_lib::claims::Refusal;
+use poplarvale_lib::claims::Rejection;
 use poplarvale_lib::protos::caller;
 use poplarvale_lib::{Code, Ending, Ran, RequestId, hex};
 
@@ -59,15 +59,15 @@
     }
 
     /// Refusal of a request with an idempotency key.
-    pub fn refused(refusal: &Refusal) -> Self {
+    pub fn refused(refusal: &Rejection) -> Self {
         let other = refusal
-            .other
+            .running
             .map(|id| format!("the key belongs to request {}", hex(id)));
         Self {
             code: refusal.code,
             detail: other.unwrap_or_default(),
             ran: refusal.ran,
-            again: refusal.again,
+            again: refusal.retry_at,
             request: Some(refusal.request),
         }
     }
--- a/daemon/tests/test_platform.rs
+++ b/daemon/tests/test_platform.rs
@@ -7,11 +7,11 @@
 
 use bytes::Bytes;
 use poplarvale_lib::Lists;
-use poplarvale_lib::claims::{self, Answer, Ask, Claimer, End, Key};
+use poplarvale_lib::claims::{self, Answer, Claimer, Key, KeyedRequest, RunResult};
 use poplarvale_lib::config;
 use poplarvale_lib::protos::platform as wire;
 use poplarvale_lib::store::{
-    Condition, Failure, Held, MOST_VALUE, Put, Store as _, Write, Written,
+    Condition, Failure, MAX_VALUE_BYTES, Put, Store as _, StoredValue, Write, Written,
 };
 use poplarvaled::platform::perform;
 use poplarvaled::platform::store::StoreClient;
@@ -56,7 +56,7 @@
         panic!("{done:?}");
     };
     let again = client.write(create("a/1", "two")).await.unwrap();
-    let Written::Differs(found) = again else {
+    let Written::Conflict(found) = again else {
         panic!("{again:?}");
     };
     assert_eq!(found.rows[0].value, "one");
@@ -65,7 +65,7 @@
         puts: vec![put("a/1", "three")],
     };
     let wrong = client.write(replace(revision + 1)).await.unwrap();
-    assert!(matches!(wrong, Written::Differs(_)));
+    assert!(matches!(wrong, Written::Conflict(_)));
     let right = client.write(replace(revision)).await.unwrap();
     assert_eq!(right, Written::Done(revision + 1));
     let held = client.get("a/1").await.unwrap().rows;
@@ -75,7 +75,7 @@
 #[actix_web::test]
 async fn a_range_holds_the_prefix_and_large_values_pass() {
     let (_, client) = started();
-    let large = Bytes::from(vec![7; MOST_VALUE]);
+    let large = Bytes::from(vec![7; MAX_VALUE_BYTES]);
     for key in ["a/1", "a/2", "b/1"] {
         let write = Write {
             conditions: Vec::new(),
@@ -88,7 +88,7 @@
     assert_eq!(found.get("a/2").unwrap().value, large);
     let over = Write {
         conditions: Vec::new(),
-        puts: vec![put("a/3", vec![7; MOST_VALUE + 1])],
+        puts: vec![put("a/3", vec![7; MAX_VALUE_BYTES + 1])],
     };
     assert_eq!(client.write(over).await, Err(Failure::NotDone));
 }
@@ -166,7 +166,7 @@
     let (tell, mut told) = tokio::sync::mpsc::unbounded_channel();
     let watcher = Rc::clone(&client);
     actix_web::rt::spawn(async move {
-        let on_change = |held: Held| tell.send(held.value).unwrap();
+        let on_change = |held: StoredValue| tell.send(held.value).unwrap();
         watcher.watch("a", 1, on_change).await
     });
     for value in ["one", "two"] {
@@ -371,10 +371,10 @@
     let (_, client) = started();
     let now = Instant::now();
     let ask = |request| {
-        claims::Input::Begin(Ask {
-            request,
+        claims::Input::Begin(KeyedRequest {
+            id: request,
             customer: "a".into(),
-            key: Key::read("board-7").unwrap(),
+            key: Key::parse("board-7").unwrap(),
             digest: 1,
             deadline: now + Duration::from_mins(1),
             forwarded: false,
@@ -390,10 +390,10 @@
         content: "text/plain".into(),
         body: b"board 7 is yours".to_vec(),
     };
-    let end = claims::Input::Ended(permit, End::Answered(answer.clone()));
+    let end = claims::Input::Ended(permit, RunResult::Answered(answer.clone()));
     claimed(&mut first, &client, now, end).await;
     let later = now + Duration::from_secs(1);
-    let none = claims::Input::Holders(Vec::new());
+    let none = claims::Input::Peers(Vec::new());
     claimed(&mut first, &client, later, none).await;
     let mut second = Claimer::new(2, 2);
     let commands = claimed(&mut second, &client, later, ask(11)).await;
--- a/lib/benches/claims.rs
+++ b/lib/benches/claims.rs
@@ -7,7 +7,7 @@
 
 use std::time::{Duration, Instant};
 
-use poplarvale_lib::claims::{Ask, Claimer, Input, Key};
+use poplarvale_lib::claims::{Claimer, Input, Key, KeyedRequest};
 use testutils::platform::bookings::Bookings;
 
 const SECONDS: u64 = 30;
@@ -34,11 +34,11 @@
     }
 }
 
-fn ask(now: Instant, n: u128) -> Ask {
-    Ask {
-        request: n,
+fn ask(now: Instant, n: u128) -> KeyedRequest {
+    KeyedRequest {
+        id: n,
         customer: "a".into(),
-        key: Key::read(&format!("k{n}")).expect("the key is well-formed"),
+        key: Key::parse(&format!("k{n}")).expect("the key is well-formed"),
         digest: 1,
         deadline: now + Duration::from_secs(10),
         forwarded: false,
@@ -66,7 +66,7 @@
         // A booking in each tick of 5 ms with the probability of the rate.
         let mut share = rate as f64 / 200.0;
         while rng.f64() < share {
-            let key = Key::read(&format!("k{booked}")).expect("the key is well-formed");
+            let key = Key::parse(&format!("k{booked}")).expect("the key is well-formed");
             bookings.book(rng.usize(0..daemons), "a", &key, 1);
             booked += 1;
             share -= 1.0;
--- a/lib/benches/config.rs
+++ b/lib/benches/config.rs
@@ -9,7 +9,7 @@
 
 use bytes::Bytes;
 use poplarvale_lib::config::{HEAD, Input, Keeper, Peer, Proposal, Pull, Pulled, Update};
-use poplarvale_lib::store::{Held, Snapshot};
+use poplarvale_lib::store::{Snapshot, StoredValue};
 use poplarvale_lib::{Accepted, Customer, Lists, Plan};
 use testutils::platform::fleet::Fleet;
 
@@ -139,7 +139,7 @@
 
 /// What the service answers for a head at a revision.
 fn head(revision: u64) -> Snapshot {
-    let held = Held {
+    let held = StoredValue {
         key: HEAD.into(),
         value: Bytes::new(),
         created: revision,
--- a/lib/src/claims.rs
+++ b/lib/src/claims.rs
@@ -12,7 +12,7 @@
 //! The argument rests on create-if-absent and on incarnations that are never
 //! used again; no clock, lease or timeout decides whether a request may run.
 //! What can't be known is told as unknown. Rows of callers' keys stay for a day
-//! at least ([`KEPT`]); a key must not be reused later than that.
+//! at least ([`MIN_RETENTION`]); a key must not be reused later than that.
 
 mod batch;
 mod claim;
@@ -31,13 +31,13 @@
 
 pub use batch::WRITE_RATE;
 pub use claim::Permit;
-pub use claimer::{Claimer, PATIENCE};
-pub use issued::{HandOver, MOST_USED, UsedKey};
-pub use key::{Key, MOST_KEY};
-pub use row::MOST_BODY;
+pub use claimer::{CLAIM_TIMEOUT, Claimer};
+pub use issued::{HandOver, MAX_USED_KEYS, UsedKey};
+pub use key::{Key, MAX_KEY_BYTES};
+pub use row::MAX_STORED_BODY;
 
 /// Time for which rows of callers' keys stay at least.
-pub const KEPT: Duration = Duration::from_hours(24);
+pub const MIN_RETENTION: Duration = Duration::from_hours(24);
 
 /// What names a claim: the key in the service, or an issued key's text.
 pub type ClaimId = CompactString;
@@ -49,9 +49,9 @@
 /// A request that may run at most once.
 #[proc_macros::row]
 #[derive(Eq)]
-pub struct Ask {
+pub struct KeyedRequest {
     /// Its id.
-    pub request: RequestId,
+    pub id: RequestId,
     /// Customer.
     pub customer: CustomerId,
     /// Its key.
@@ -79,7 +79,7 @@
 /// How a dispatched request ended.
 #[proc_macros::row]
 #[derive(Eq)]
-pub enum End {
+pub enum RunResult {
     /// Answered in full.
     Answered(Answer),
     /// No byte of it left for an endpoint.
@@ -91,7 +91,7 @@
 /// A live daemon, and whose issued keys it holds besides its own.
 #[proc_macros::setting]
 #[derive(Eq)]
-pub struct Holder {
+pub struct Peer {
     /// Its incarnation.
     pub incarnation: Incarnation,
     /// Incarnations whose keys were handed over to it.
@@ -126,11 +126,11 @@
 #[derive(Debug)]
 pub enum Input {
     /// A request came.
-    Begin(Ask),
+    Begin(KeyedRequest),
     /// A caller went away before its request was dispatched.
-    Left(RequestId),
+    CallerLeft(RequestId),
     /// A dispatched request ended.
-    Ended(Permit, End),
+    Ended(Permit, RunResult),
     /// A write ended.
     Written {
         /// Its number.
@@ -148,7 +148,7 @@
         reply: Option<Reply>,
     },
     /// The daemons that live, without oneself.
-    Holders(Vec<Holder>),
+    Peers(Vec<Peer>),
     /// This daemon will be reclaimed: begins nothing more.
     Freeze,
 }
@@ -165,8 +165,8 @@
         /// The answer.
         answer: Answer,
     },
-    /// Refuse a request.
-    Refuse(Refusal),
+    /// Reject a request.
+    Reject(Rejection),
     /// Let another daemon do a request.
     Forward {
         /// Request.
@@ -195,7 +195,7 @@
 /// A refused request.
 #[proc_macros::row]
 #[derive(Eq)]
-pub struct Refusal {
+pub struct Rejection {
     /// Request.
     pub request: RequestId,
     /// Why.
@@ -203,7 +203,7 @@
     /// Whether it ran.
     pub ran: Ran,
     /// When coming back helps.
-    pub again: Option<Instant>,
+    pub retry_at: Option<Instant>,
     /// Request that has the key.
-    pub other: Option<RequestId>,
+    pub running: Option<RequestId>,
 }
--- a/lib/src/claims/batch.rs
+++ b/lib/src/claims/batch.rs
@@ -10,21 +10,21 @@
 use std::time::{Duration, Instant};
 
 use super::{ClaimId, Sequence};
-use crate::store::MOST_PUTS;
+use crate::store::MAX_PUTS;
 
 /// Writes a second of all daemons together; the service handles several hundred
 /// and also takes edits, moves and leases.
 pub const WRITE_RATE: f64 = 300.0;
 /// Writes that a daemon has to spare at most.
-const BURST: f64 = 8.0;
+const MAX_BURST: f64 = 8.0;
 /// Time that an end waits for a claim to ride along with. Should the holder
 /// crash in it, repeats of the key are told "unknown" in place of the answer.
-const END_WAIT: Duration = Duration::from_millis(500);
+const RESULT_DELAY: Duration = Duration::from_millis(500);
 /// Pause after a write that failed.
-const PAUSE: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Time after which an answer is no longer waited for; the client of the service
 /// gives up earlier.
-const FLIGHT: Duration = Duration::from_secs(3);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A claim that a write was made for.
 #[proc_macros::row]
@@ -39,25 +39,25 @@
 #[derive(Debug)]
 pub(crate) struct Batch {
     queue: Vec<(ClaimId, Instant)>,
-    flight: Vec<Item>,
+    in_flight: Vec<Item>,
     /// Number of the latest write.
     number: u64,
-    late: Option<Instant>,
-    pause: Option<Instant>,
-    spare: f64,
-    filled: Option<Instant>,
+    deadline: Option<Instant>,
+    paused_until: Option<Instant>,
+    tokens: f64,
+    refilled_at: Option<Instant>,
 }
 
 impl Batch {
     pub fn new() -> Self {
         Self {
             queue: Vec::new(),
-            flight: Vec::new(),
+            in_flight: Vec::new(),
             number: 0,
-            late: None,
-            pause: None,
-            spare: BURST,
-            filled: None,
+            deadline: None,
+            paused_until: None,
+            tokens: MAX_BURST,
+            refilled_at: None,
         }
     }
 
@@ -67,8 +67,8 @@
     }
 
     /// Queues an end.
-    pub fn push_end(&mut self, now: Instant, id: ClaimId) {
-        self.queue.push((id, now + END_WAIT));
+    pub fn push_result(&mut self, now: Instant, id: ClaimId) {
+        self.queue.push((id, now + RESULT_DELAY));
     }
 
     /// Whether anything waits that is due.
@@ -78,52 +78,52 @@
 
     /// The claims for a write that may go out now.
     pub fn take(&mut self, now: Instant, daemons: usize) -> Vec<ClaimId> {
-        self.fill(now, daemons);
-        let paused = self.pause.is_some_and(|until| now < until);
-        if self.late.is_some() || paused || self.spare < 1.0 || !self.is_due(now) {
+        self.refill(now, daemons);
+        let paused = self.paused_until.is_some_and(|until| now < until);
+        if self.deadline.is_some() || paused || self.tokens < 1.0 || !self.is_due(now) {
             return Vec::new();
         }
-        let most = self.queue.len().min(MOST_PUTS);
-        let mut ids: Vec<_> = self.queue.drain(..most).map(|(id, _)| id).collect();
+        let count = self.queue.len().min(MAX_PUTS);
+        let mut ids: Vec<_> = self.queue.drain(..count).map(|(id, _)| id).collect();
         ids.sort();
         ids.dedup();
         ids
     }
 
     /// Notes that a write goes out, and numbers it.
-    pub fn sent(&mut self, now: Instant, items: Vec<Item>) -> u64 {
-        self.spare -= 1.0;
-        self.flight = items;
-        self.late = Some(now + FLIGHT);
+    pub fn record_sent(&mut self, now: Instant, items: Vec<Item>) -> u64 {
+        self.tokens -= 1.0;
+        self.in_flight = items;
+        self.deadline = Some(now + WRITE_TIMEOUT);
         self.number += 1;
         self.number
     }
 
     /// Ends the write under way; empty if the number is of an earlier one, whose
     /// late end would make claims look written that are not.
-    pub fn landed(&mut self, number: u64) -> Vec<Item> {
+    pub fn complete(&mut self, number: u64) -> Vec<Item> {
         if number != self.number {
             return Vec::new();
         }
-        self.late = None;
-        std::mem::take(&mut self.flight)
+        self.deadline = None;
+        std::mem::take(&mut self.in_flight)
     }
 
     /// Number of the write under way, if it was not answered in time.
-    pub fn late(&self, now: Instant) -> Option<u64> {
-        self.late.filter(|until| *until <= now)?;
+    pub fn timed_out(&self, now: Instant) -> Option<u64> {
+        self.deadline.filter(|until| *until <= now)?;
         Some(self.number)
     }
 
     /// Waits before the next write, as one failed.
-    pub fn pause(&mut self, now: Instant) {
-        self.pause = Some(now + PAUSE);
+    pub fn back_off(&mut self, now: Instant) {
+        self.paused_until = Some(now + RETRY_DELAY);
     }
 
-    fn fill(&mut self, now: Instant, daemons: usize) {
-        let since = self.filled.replace(now).unwrap_or(now);
+    fn refill(&mut self, now: Instant, daemons: usize) {
+        let since = self.refilled_at.replace(now).unwrap_or(now);
         let rate = WRITE_RATE / daemons.max(1) as f64;
-        let gained = now.duration_since(since).as_secs_f64() * rate;
-        self.spare = (self.spare + gained).min(BURST);
+        let refill = now.duration_since(since).as_secs_f64() * rate;
+        self.tokens = (self.tokens + refill).min(MAX_BURST);
     }
 }
--- a/lib/src/claims/claim.rs
+++ b/lib/src/claims/claim.rs
@@ -8,7 +8,7 @@
 use std::time::Instant;
 
 use super::row::{ClaimRow, Stage};
-use super::{Answer, Ask, ClaimId, Digest, End, Reply, Sequence};
+use super::{Answer, ClaimId, Digest, KeyedRequest, Reply, RunResult, Sequence};
 use crate::ids::{Incarnation, RequestId, Revision};
 use crate::table::Row;
 
@@ -51,12 +51,12 @@
 #[proc_macros::row]
 pub(crate) struct Claiming {
     /// When the caller is told that it was not run.
-    pub until: Instant,
+    pub deadline: Instant,
     /// Revision of a row whose holder released it.
-    pub over: Option<Revision>,
+    pub replaces: Option<Revision>,
     /// Sequence of an own claim of the key that was released. Its row may still
     /// stand, when the daemon that asked died before it replaced it.
-    pub given: Option<Sequence>,
+    pub released: Option<Sequence>,
 }
 
 /// It was dispatched.
@@ -73,35 +73,35 @@
     pub answer: Option<Answer>,
     /// Revision of the row that has to be changed; 0 if none has to.
     pub revision: Revision,
-    /// When it may be forgotten, once the row tells it.
-    pub until: Instant,
+    /// When it may be forgotten, once the row records the result.
+    pub forget_at: Instant,
 }
 
 /// It was not dispatched; whether its row stands is not known.
 #[proc_macros::row]
 pub(crate) struct Abandoned {
     /// When it may be forgotten.
-    pub until: Instant,
+    pub forget_at: Instant,
 }
 
 /// It was not dispatched and never will be, as another daemon was promised.
 #[proc_macros::row]
 pub(crate) struct Released {
     /// When it may be forgotten.
-    pub until: Instant,
+    pub forget_at: Instant,
 }
 
 /// Another daemon has the row and is being asked.
 #[proc_macros::row]
 pub(crate) struct Asking {
-    /// When the holder counts as gone.
-    pub until: Instant,
+    /// When the holder is considered gone, unless it replies.
+    pub reply_by: Instant,
     /// Revision of its row.
     pub revision: Revision,
     /// Sequence of its row.
-    pub theirs: Sequence,
+    pub holder_sequence: Sequence,
     /// When the caller is told that it was not run.
-    pub patience: Instant,
+    pub deadline: Instant,
 }
 
 /// A claim in whichever state it is.
@@ -116,7 +116,7 @@
 }
 
 impl<S> Claim<S> {
-    fn at<T>(self, state: T) -> Claim<T> {
+    fn enter<T>(self, state: T) -> Claim<T> {
         Claim {
             id: self.id,
             sequence: self.sequence,
@@ -127,7 +127,7 @@
     }
 
     /// Whether a row is this claim's own.
-    pub fn is_mine(&self, me: Incarnation, row: &ClaimRow) -> bool {
+    pub fn is_own_row(&self, me: Incarnation, row: &ClaimRow) -> bool {
         row.holder == me && row.sequence == self.sequence
     }
 
@@ -145,71 +145,76 @@
 
 impl Claim<Claiming> {
     /// A claim for a request.
-    pub fn new(id: ClaimId, ask: &Ask, sequence: Sequence, until: Instant) -> Self {
+    pub fn new(id: ClaimId, request: &KeyedRequest, sequence: Sequence, deadline: Instant) -> Self {
         Self {
             id,
             sequence,
-            digest: ask.digest,
-            request: ask.request,
+            digest: request.digest,
+            request: request.id,
             state: Claiming {
-                until,
-                over: None,
-                given: None,
+                deadline,
+                replaces: None,
+                released: None,
             },
         }
     }
 
     /// Whether a row is that of an own claim that was released.
-    pub fn is_given(&self, me: Incarnation, row: &ClaimRow) -> bool {
-        row.holder == me && self.state.given == Some(row.sequence)
+    pub fn is_released_row(&self, me: Incarnation, row: &ClaimRow) -> bool {
+        row.holder == me && self.state.released == Some(row.sequence)
     }
 
     /// Its row stands.
-    pub fn won(self, revision: Revision) -> (Claim<Running>, Permit) {
-        permitted(self.at(Running { revision }))
+    pub fn into_running(self, revision: Revision) -> (Claim<Running>, Permit) {
+        with_permit(self.enter(Running { revision }))
     }
 
     /// Nobody waits for it any more.
-    pub fn abandon(self, until: Instant) -> Claim<Abandoned> {
-        self.at(Abandoned { until })
+    pub fn abandon(self, forget_at: Instant) -> Claim<Abandoned> {
+        self.enter(Abandoned { forget_at })
     }
 
     /// Another daemon has the row.
-    pub fn ask(self, until: Instant, revision: Revision, theirs: Sequence) -> Claim<Asking> {
-        let patience = self.state.until;
-        self.at(Asking {
-            until,
+    pub fn ask_holder(
+        self,
+        reply_by: Instant,
+        revision: Revision,
+        holder_sequence: Sequence,
+    ) -> Claim<Asking> {
+        let deadline = self.state.deadline;
+        self.enter(Asking {
+            reply_by,
             revision,
-            theirs,
-            patience,
+            holder_sequence,
+            deadline,
         })
     }
 }
 
 impl Claim<Running> {
     /// An issued key that nobody used; it needs no row.
-    pub fn unused(id: ClaimId, ask: &Ask, sequence: Sequence) -> (Self, Permit) {
-        permitted(Self {
+    pub fn for_issued(id: ClaimId, request: &KeyedRequest, sequence: Sequence) -> (Self, Permit) {
+        with_permit(Self {
             id,
             sequence,
-            digest: ask.digest,
-            request: ask.request,
+            digest: request.digest,
+            request: request.id,
             state: Running { revision: 0 },
         })
     }
 
     /// Takes its end.
-    pub fn end(self, end: End, until: Instant) -> AnyClaim {
+    pub fn finish(self, result: RunResult, forget_at: Instant) -> AnyClaim {
         let revision = self.state.revision;
-        let answer = match end {
-            End::Unsent => return AnyClaim::Abandoned(self.at(Abandoned { until })),
-            End::Answered(answer) => Some(answer),
-            End::Unknown => None,
+        let answer = match result {
+            RunResult::Unsent => return AnyClaim::Abandoned(self.enter(Abandoned { forget_at })),
+            RunResult::Answered(answer) => Some(answer),
+            RunResult::Unknown => None,
         };
-        AnyClaim::Ended(self.at(Ended {
+        AnyClaim::Ended(self.enter(Ended {
             answer,
             revision,
-            until,
+            forget_at,
         }))
     }
 }
@@ -217,42 +222,47 @@
 impl Claim<Abandoned> {
     /// Claims it for another request with the same key. The sequence stays, so
     /// that a row which came late shows as its own.
-    pub fn again(self, ask: &Ask, until: Instant) -> Claim<Claiming> {
+    pub fn retry(self, request: &KeyedRequest, deadline: Instant) -> Claim<Claiming> {
         Claim {
-            request: ask.request,
-            ..self.at(Claiming {
-                until,
-                over: None,
-                given: None,
+            request: request.id,
+            ..self.enter(Claiming {
+                deadline,
+                replaces: None,
+                released: None,
             })
         }
     }
 
     /// Gives it up for good.
     pub fn release(self) -> Claim<Released> {
-        let until = self.state.until;
-        self.at(Released { until })
+        let forget_at = self.state.forget_at;
+        self.enter(Released { forget_at })
     }
 }
 
 impl Claim<Released> {
     /// A new claim of the key, with a sequence of its own.
-    pub fn renew(self, ask: &Ask, sequence: Sequence, until: Instant) -> Claim<Claiming> {
-        let mut claim = Claim::new(self.id, ask, sequence, until);
-        claim.state.given = Some(self.sequence);
+    pub fn claim_anew(
+        self,
+        request: &KeyedRequest,
+        sequence: Sequence,
+        deadline: Instant,
+    ) -> Claim<Claiming> {
+        let mut claim = Claim::new(self.id, request, sequence, deadline);
+        claim.state.released = Some(self.sequence);
         claim
     }
 }
 
 impl Claim<Asking> {
     /// The holder released its row; it may be replaced at that revision.
-    pub fn take(self) -> Claim<Claiming> {
-        let over = Some(self.state.revision);
-        let until = self.state.patience;
-        self.at(Claiming {
-            until,
-            over,
-            given: None,
+    pub fn replace_row(self) -> Claim<Claiming> {
+        let replaces = Some(self.state.revision);
+        let deadline = self.state.deadline;
+        self.enter(Claiming {
+            deadline,
+            replaces,
+            released: None,
         })
     }
 }
@@ -318,7 +328,7 @@
     }
 }
 
-fn permitted(claim: Claim<Running>) -> (Claim<Running>, Permit) {
+fn with_permit(claim: Claim<Running>) -> (Claim<Running>, Permit) {
     let permit = Permit {
         id: claim.id.clone(),
         sequence: claim.sequence,
--- a/lib/src/claims/claimer.rs
+++ b/lib/src/claims/claimer.rs
@@ -3,7 +3,7 @@
 //! Its load is repeats: impatient guests, and callers whose entry host was
 //! reclaimed, send the same booking through several daemons within seconds, and
 //! most of all while the key-value service is out. A claim therefore waits for
-//! [`PATIENCE`] only; a guest who is told "not run" and when to come back is
+//! [`CLAIM_TIMEOUT`] only; a guest who is told "not run" and when to come back is
 //! better off than one who waits for an outage to end.
 
 mod keys;
@@ -13,8 +13,11 @@
 
 use super::batch::Batch;
 use super::claim::{AnyClaim, Claim, Claiming, Permit};
-use super::issued::Space;
-use super::{Ask, Command, End, Holder, Input, KEPT, Key, Question, Refusal, Reply, Sequence};
+use super::issued::KeySpace;
+use super::{
+    Command, Input, Key, KeyedRequest, MIN_RETENTION, Peer, Question, Rejection, Reply, RunResult,
+    Sequence,
+};
 use crate::code::{Code, Ran};
 use crate::ids::{Incarnation, RequestId};
 use crate::store::{Failure, Lease};
@@ -22,31 +25,31 @@
 
 /// Time that a claim waits for the service. It answers in milliseconds; a guest
 /// gives up after a few seconds, and then needs time to be answered.
-pub const PATIENCE: Duration = Duration::from_secs(2);
+pub const CLAIM_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Time for a holder's reply.
-const REPLY: Duration = Duration::from_secs(1);
+const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time for which ends and refused claims are remembered.
-const REMEMBERED: Duration = Duration::from_mins(10);
+const MEMORY_TTL: Duration = Duration::from_mins(10);
 /// Least and most time after which a refused caller should come back.
-const AGAIN: (f64, f64) = (1.0, 4.0);
+const RETRY_AFTER_S: (f64, f64) = (1.0, 4.0);
 /// Lease on the rows: the time they are kept, and the time one lease is used.
-const LEASE: Duration = KEPT.saturating_add(Duration::from_hours(1));
+const LEASE_TIME: Duration = MIN_RETENTION.saturating_add(Duration::from_hours(1));
 /// Pause before a lease is asked for again.
-const LEASE_PAUSE: Duration = Duration::from_secs(1);
+const LEASE_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// What a daemon knows of idempotency keys.
 #[derive(Debug)]
 pub struct Claimer {
     me: Incarnation,
     claims: Table<AnyClaim>,
-    spaces: Vec<Space>,
+    spaces: Vec<KeySpace>,
     /// Spaces that were handed over, and to whom.
-    moved: Vec<(Incarnation, Incarnation)>,
+    handed_over: Vec<(Incarnation, Incarnation)>,
     batch: Batch,
     lease: Option<Lease>,
-    lease_asked: Option<Instant>,
-    holders: Vec<Holder>,
+    lease_retry: Option<Instant>,
+    peers: Vec<Peer>,
     frozen: bool,
     sequence: Sequence,
     rng: fastrand::Rng,
@@ -60,12 +63,12 @@
         Self {
             me,
             claims: Table::new(),
-            spaces: vec![Space::new(me, rng.u64(..))],
-            moved: Vec::new(),
+            spaces: vec![KeySpace::new(me, rng.u64(..))],
+            handed_over: Vec::new(),
             batch: Batch::new(),
             lease: None,
-            lease_asked: None,
-            holders: Vec::new(),
+            lease_retry: None,
+            peers: Vec::new(),
             frozen: false,
             sequence: 0,
             rng,
@@ -76,10 +79,10 @@
     /// Takes what happened and tells what is to be done.
     pub fn tick(&mut self, now: Instant, inputs: Vec<Input>) -> Vec<Command> {
         for input in inputs {
-            self.take(now, input);
+            self.handle(now, input);
         }
         self.expire(now);
-        self.write(now);
+        self.send_write(now);
         std::mem::take(&mut self.commands)
     }
 
@@ -104,59 +107,59 @@
         }
     }
 
-    fn take(&mut self, now: Instant, input: Input) {
+    fn handle(&mut self, now: Instant, input: Input) {
         match input {
-            Input::Begin(ask) => self.begin(now, &ask),
-            Input::Left(request) => self.left(now, request),
-            Input::Ended(permit, end) => self.end(now, &permit, end),
-            Input::Written { number, result } => self.written(now, number, result),
-            Input::Leased(result) => self.leased(now, result),
-            Input::Replied { question, reply } => self.replied(now, &question, reply),
-            Input::Holders(holders) => self.holders = holders,
+            Input::Begin(request) => self.begin(now, &request),
+            Input::CallerLeft(request) => self.caller_left(now, request),
+            Input::Ended(permit, result) => self.record_result(now, &permit, result),
+            Input::Written { number, result } => self.handle_write(now, number, result),
+            Input::Leased(result) => self.handle_lease(now, result),
+            Input::Replied { question, reply } => self.handle_reply(now, &question, reply),
+            Input::Peers(peers) => self.peers = peers,
             Input::Freeze => self.frozen = true,
         }
     }
 
-    fn begin(&mut self, now: Instant, ask: &Ask) {
-        match ask.key {
-            Key::Own(_) => self.begin_own(now, ask),
-            Key::Issued { issuer, count, tag } => self.begin_issued(now, ask, issuer, count, tag),
+    fn begin(&mut self, now: Instant, request: &KeyedRequest) {
+        match request.key {
+            Key::Supplied(_) => self.try_supplied(now, request),
+            Key::Issued { issuer, count, tag } => self.try_issued(now, request, issuer, count, tag),
         }
     }
 
-    fn begin_own(&mut self, now: Instant, ask: &Ask) {
-        let id = ask.key.id(&ask.customer);
-        let until = ask.deadline.min(now + PATIENCE);
+    fn try_supplied(&mut self, now: Instant, request: &KeyedRequest) {
+        let id = request.key.claim_id(&request.customer);
+        let until = request.deadline.min(now + CLAIM_TIMEOUT);
         let claim = match self.claims.remove(&id) {
-            Some(claim) if claim.digest() != ask.digest => {
+            Some(claim) if claim.digest() != request.digest => {
                 self.claims.insert(claim);
-                return self.refuse_final(ask.request, Code::KeyReused, Ran::No);
+                return self.reject(request.id, Code::KeyReused, Ran::No);
             }
-            Some(AnyClaim::Abandoned(claim)) if !self.frozen => claim.again(ask, until),
+            Some(AnyClaim::Abandoned(claim)) if !self.frozen => claim.retry(request, until),
             Some(AnyClaim::Released(claim)) if !self.frozen => {
-                claim.renew(ask, self.next_sequence(), until)
+                claim.claim_anew(request, self.next_sequence(), until)
             }
-            None if !self.frozen => Claim::new(id, ask, self.next_sequence(), until),
+            None if !self.frozen => Claim::new(id, request, self.next_sequence(), until),
             Some(claim @ (AnyClaim::Abandoned(_) | AnyClaim::Released(_))) => {
                 self.claims.insert(claim);
-                return self.refuse_again(now, ask.request, Code::Draining);
+                return self.reject_retryable(now, request.id, Code::Draining);
             }
-            None => return self.refuse_again(now, ask.request, Code::Draining),
+            None => return self.reject_retryable(now, request.id, Code::Draining),
             Some(claim) => {
                 let reply = claim.reply();
                 self.claims.insert(claim);
-                return self.pass_on(ask.request, reply);
+                return self.respond(request.id, reply);
             }
         };
-        self.claim(now, claim);
+        self.queue_claim(now, claim);
     }
 
-    fn claim(&mut self, now: Instant, claim: Claim<Claiming>) {
+    fn queue_claim(&mut self, now: Instant, claim: Claim<Claiming>) {
         self.batch.push(now, claim.id.clone());
         self.claims.insert(AnyClaim::Claiming(claim));
     }
 
-    fn left(&mut self, now: Instant, request: RequestId) {
+    fn caller_left(&mut self, now: Instant, request: RequestId) {
         let waits = |claim: &&AnyClaim| match claim {
             AnyClaim::Claiming(c) => c.request == request,
             AnyClaim::Asking(c) => c.request == request,
@@ -165,7 +168,7 @@
         let claim = self.claims.iter().find(waits).cloned();
         match claim {
             Some(AnyClaim::Claiming(claim)) => {
-                let claim = claim.abandon(now + REMEMBERED);
+                let claim = claim.abandon(now + MEMORY_TTL);
                 self.claims.insert(AnyClaim::Abandoned(claim));
             }
             Some(AnyClaim::Asking(claim)) => {
@@ -175,19 +178,19 @@
         }
     }
 
-    fn end(&mut self, now: Instant, permit: &Permit, end: End) {
-        let until = now + REMEMBERED;
-        if let Some(Key::Issued { issuer, .. }) = Key::read(permit.id()) {
+    fn record_result(&mut self, now: Instant, permit: &Permit, result: RunResult) {
+        let until = now + MEMORY_TTL;
+        if let Some(Key::Issued { issuer, .. }) = Key::parse(permit.id()) {
             let space = self.spaces.iter_mut().find(|s| s.issuer() == issuer);
             if let Some(space) = space {
-                space.end(permit, end, until);
+                space.record_result(permit, result, until);
             }
             return;
         }
         match self.claims.remove(permit.id()) {
             Some(AnyClaim::Running(claim)) if claim.sequence == permit.sequence() => {
-                self.batch.push_end(now, claim.id.clone());
-                self.claims.insert(claim.end(end, until));
+                self.batch.push_result(now, claim.id.clone());
+                self.claims.insert(claim.finish(result, until));
             }
             Some(other) => {
                 self.claims.insert(other);
@@ -197,76 +200,76 @@
     }
 
     /// Tells a caller what became of the key's first request.
-    fn pass_on(&mut self, request: RequestId, reply: Reply) {
+    fn respond(&mut self, request: RequestId, reply: Reply) {
         match reply {
             Reply::Answered(answer) => {
                 self.commands.push(Command::Answer { request, answer });
             }
-            Reply::Running(other) => {
-                self.commands.push(Command::Refuse(Refusal {
+            Reply::Running(running) => {
+                self.commands.push(Command::Reject(Rejection {
                     request,
                     code: Code::KeyRunning,
                     ran: Ran::Unknown,
-                    again: None,
-                    other: Some(other),
+                    retry_at: None,
+                    running: Some(running),
                 }));
             }
             Reply::Released | Reply::Unknown => {
-                self.refuse_final(request, Code::KeyUnknown, Ran::Unknown);
+                self.reject(request, Code::KeyUnknown, Ran::Unknown);
             }
         }
     }
 
-    fn refuse_final(&mut self, request: RequestId, code: Code, ran: Ran) {
-        self.commands.push(Command::Refuse(Refusal {
+    fn reject(&mut self, request: RequestId, code: Code, ran: Ran) {
+        self.commands.push(Command::Reject(Rejection {
             request,
             code,
             ran,
-            again: None,
-            other: None,
+            retry_at: None,
+            running: None,
         }));
     }
 
     /// Refuses a request that was not run and may come again.
-    fn refuse_again(&mut self, now: Instant, request: RequestId, code: Code) {
-        let spread = AGAIN.0 + (AGAIN.1 - AGAIN.0) * self.rng.f64();
-        self.commands.push(Command::Refuse(Refusal {
+    fn reject_retryable(&mut self, now: Instant, request: RequestId, code: Code) {
+        let spread = RETRY_AFTER_S.0 + (RETRY_AFTER_S.1 - RETRY_AFTER_S.0) * self.rng.f64();
+        self.commands.push(Command::Reject(Rejection {
             request,
             code,
             ran: Ran::No,
-            again: Some(now + Duration::from_secs_f64(spread)),
-            other: None,
+            retry_at: Some(now + Duration::from_secs_f64(spread)),
+            running: None,
         }));
     }
 
     fn expire(&mut self, now: Instant) {
-        if let Some(number) = self.batch.late(now) {
-            self.written(now, number, Err(Failure::Unknown));
+        if let Some(number) = self.batch.timed_out(now) {
+            self.handle_write(now, number, Err(Failure::Unknown));
         }
         let over = |claim: &&AnyClaim| match claim {
-            AnyClaim::Claiming(c) => c.state.until <= now,
-            AnyClaim::Asking(c) => c.state.until <= now,
-            AnyClaim::Ended(c) => c.state.revision == 0 && c.state.until <= now,
-            AnyClaim::Abandoned(c) => c.state.until <= now,
-            AnyClaim::Released(c) => c.state.until <= now,
+            AnyClaim::Claiming(c) => c.state.deadline <= now,
+            AnyClaim::Asking(c) => c.state.reply_by <= now,
+            AnyClaim::Ended(c) => c.state.revision == 0 && c.state.forget_at <= now,
+            AnyClaim::Abandoned(c) => c.state.forget_at <= now,
+            AnyClaim::Released(c) => c.state.forget_at <= now,
             AnyClaim::Running(_) => false,
         };
         let over: Vec<_> = self.claims.iter().filter(over).cloned().collect();
         for claim in over {
-            self.expire_one(now, claim);
+            self.expire_claim(now, claim);
         }
     }
 
-    fn expire_one(&mut self, now: Instant, claim: AnyClaim) {
+    fn expire_claim(&mut self, now: Instant, claim: AnyClaim) {
         match claim {
             AnyClaim::Claiming(claim) => {
-                self.refuse_again(now, claim.request, Code::NoClaim);
-                let claim = claim.abandon(now + REMEMBERED);
+                self.reject_retryable(now, claim.request, Code::NoClaim);
+                let claim = claim.abandon(now + MEMORY_TTL);
                 self.claims.insert(AnyClaim::Abandoned(claim));
             }
             AnyClaim::Asking(claim) => {
                 self.claims.remove(&claim.id);
-                self.refuse_final(claim.request, Code::KeyUnknown, Ran::Unknown);
+                self.reject(claim.request, Code::KeyUnknown, Ran::Unknown);
             }
             AnyClaim::Ended(Claim { id, .. })
             | AnyClaim::Abandoned(Claim { id, .. })
--- a/lib/src/claims/claimer/keys.rs
+++ b/lib/src/claims/claimer/keys.rs
@@ -2,9 +2,9 @@
 
 use std::time::Instant;
 
-use super::{Claimer, REMEMBERED};
-use crate::claims::issued::{Found, HandOver, Space};
-use crate::claims::{Ask, Command, Holder, Key};
+use super::{Claimer, MEMORY_TTL};
+use crate::claims::issued::{HandOver, KeySpace, Lookup};
+use crate::claims::{Command, Key, KeyedRequest, Peer};
 use crate::code::{Code, Ran};
 use crate::ids::{CustomerId, Incarnation};
 
@@ -19,8 +19,8 @@
     }
 
     /// Incarnations whose keys were handed over to this daemon, for gossip.
-    pub fn holds(&self) -> Vec<Incarnation> {
-        let issuers = self.spaces.iter().map(Space::issuer);
+    pub fn inherited_issuers(&self) -> Vec<Incarnation> {
+        let issuers = self.spaces.iter().map(KeySpace::issuer);
         issuers.filter(|issuer| *issuer != self.me).collect()
     }
 
@@ -34,63 +34,67 @@
         }
         let spaces = std::mem::take(&mut self.spaces);
         let moved = spaces.iter().map(|space| (space.issuer(), to));
-        self.moved.extend(moved);
+        self.handed_over.extend(moved);
         spaces.into_iter().map(|s| s.hand_over(to)).collect()
     }
 
     /// Takes a key space over; tells whether this daemon has it, or had it.
     pub fn take_over(&mut self, now: Instant, over: HandOver) -> bool {
         let known = self.spaces.iter().any(|s| s.issuer() == over.issuer)
-            || self.moved.iter().any(|(issuer, _)| *issuer == over.issuer);
+            || self
+                .handed_over
+                .iter()
+                .any(|(issuer, _)| *issuer == over.issuer);
         if known || self.frozen || over.to != self.me {
             return known;
         }
-        self.spaces.push(Space::taken(over, now + REMEMBERED));
+        self.spaces
+            .push(KeySpace::from_hand_over(over, now + MEMORY_TTL));
         true
     }
 
-    pub(super) fn begin_issued(
+    pub(super) fn try_issued(
         &mut self,
         now: Instant,
-        ask: &Ask,
+        request: &KeyedRequest,
         issuer: Incarnation,
         count: u64,
         tag: u64,
     ) {
-        let id = ask.key.id(&ask.customer);
+        let id = request.key.claim_id(&request.customer);
         let Some(at) = self.spaces.iter().position(|s| s.issuer() == issuer) else {
-            return self.forward(ask, issuer);
+            return self.forward(request, issuer);
         };
-        match self.spaces[at].find(&ask.customer, &id, count, tag) {
-            Found::Bad => self.refuse_final(ask.request, Code::BadKey, Ran::No),
-            Found::Dead => self.refuse_final(ask.request, Code::KeyUnknown, Ran::Unknown),
-            Found::Used(claim) if claim.digest() != ask.digest => {
-                self.refuse_final(ask.request, Code::KeyReused, Ran::No);
+        match self.spaces[at].lookup(&request.customer, &id, count, tag) {
+            Lookup::Invalid => self.reject(request.id, Code::BadKey, Ran::No),
+            Lookup::Expired => self.reject(request.id, Code::KeyUnknown, Ran::Unknown),
+            Lookup::Used(claim) if claim.digest() != request.digest => {
+                self.reject(request.id, Code::KeyReused, Ran::No);
             }
-            Found::Used(claim) => {
+            Lookup::Used(claim) => {
                 let reply = claim.reply();
-                self.pass_on(ask.request, reply);
+                self.respond(request.id, reply);
             }
-            Found::Unused if self.frozen => self.refuse_again(now, ask.request, Code::Draining),
-            Found::Unused => {
+            Lookup::Unused if self.frozen => self.reject_retryable(now, request.id, Code::Draining),
+            Lookup::Unused => {
                 let sequence = self.next_sequence();
-                let permit = self.spaces[at].dispatch(id, ask, sequence);
+                let permit = self.spaces[at].use_key(id, request, sequence);
                 self.commands.push(Command::Dispatch(permit));
             }
         }
     }
 
     /// Sends a request on to whoever holds the keys of an issuer.
-    pub(super) fn forward(&mut self, ask: &Ask, issuer: Incarnation) {
-        let moved = self.moved.iter().find(|(from, _)| *from == issuer);
-        let holds = |h: &&Holder| h.incarnation == issuer || h.holds.contains(&issuer);
-        let holder = self.holders.iter().find(holds).map(|h| h.incarnation);
+    pub(super) fn forward(&mut self, request: &KeyedRequest, issuer: Incarnation) {
+        let moved = self.handed_over.iter().find(|(from, _)| *from == issuer);
+        let holds = |h: &&Peer| h.incarnation == issuer || h.holds.contains(&issuer);
+        let holder = self.peers.iter().find(holds).map(|h| h.incarnation);
         match moved.map(|(_, to)| *to).or(holder) {
-            Some(to) if !ask.forwarded => {
-                let request = ask.request;
+            Some(to) if !request.forwarded => {
+                let request = request.id;
                 self.commands.push(Command::Forward { request, to });
             }
-            _ => self.refuse_final(ask.request, Code::KeyUnknown, Ran::Unknown),
+            _ => self.reject(request.id, Code::KeyUnknown, Ran::Unknown),
         }
     }
 }
--- a/lib/src/claims/claimer/rows.rs
+++ b/lib/src/claims/claimer/rows.rs
@@ -2,36 +2,41 @@
 
 use std::time::Instant;
 
-use super::{Claimer, LEASE, LEASE_PAUSE, REPLY};
+use super::{Claimer, LEASE_RETRY_DELAY, LEASE_TIME, REPLY_TIMEOUT};
 use crate::claims::batch::Item;
 use crate::claims::claim::{AnyClaim, Asking, Claim, Claiming};
 use crate::claims::row::{ClaimRow, Stage};
-use crate::claims::{ClaimId, Command, KEPT, Question, Reply, Sequence};
+use crate::claims::{ClaimId, Command, MIN_RETENTION, Question, Reply, Sequence};
 use crate::code::{Code, Ran};
 use crate::ids::{Incarnation, Revision};
-use crate::store::{Condition, Failure, Held, Lease, Put, Snapshot, Write, Written};
+use crate::store::{Condition, Failure, Lease, Put, Snapshot, StoredValue, Write, Written};
 
 impl Claimer {
-    pub(super) fn written(&mut self, now: Instant, number: u64, result: Result<Written, Failure>) {
-        let items = self.batch.landed(number);
+    pub(super) fn handle_write(
+        &mut self,
+        now: Instant,
+        number: u64,
+        result: Result<Written, Failure>,
+    ) {
+        let items = self.batch.complete(number);
         if items.is_empty() {
             return;
         }
         match result {
             Ok(Written::Done(revision)) => {
                 for item in &items {
-                    self.landed(item, revision);
+                    self.put_done(item, revision);
                 }
             }
-            Ok(Written::Differs(found)) => {
+            Ok(Written::Conflict(found)) => {
                 for item in &items {
-                    self.differs(now, item, &found);
+                    self.put_conflicted(now, item, &found);
                 }
             }
             // Whether it took effect or not: the same claims are written again,
             // and a row that stands already shows by its sequence whose it is.
             Err(_) => {
-                self.batch.pause(now);
+                self.batch.back_off(now);
                 for item in items {
                     self.batch.push(now, item.id);
                 }
@@ -40,7 +45,7 @@
     }
 
     /// Takes out the claim that a write was made for, if it is still the same.
-    pub(super) fn claim_of(&mut self, item: &Item) -> Option<AnyClaim> {
+    pub(super) fn take_claim(&mut self, item: &Item) -> Option<AnyClaim> {
         let claim = self.claims.get(&item.id)?;
         if claim.sequence() != item.sequence {
             return None;
@@ -48,9 +53,9 @@
         self.claims.remove(&item.id)
     }
 
-    pub(super) fn landed(&mut self, item: &Item, revision: Revision) {
-        match self.claim_of(item) {
-            Some(AnyClaim::Claiming(claim)) => self.won(claim, revision),
+    pub(super) fn put_done(&mut self, item: &Item, revision: Revision) {
+        match self.take_claim(item) {
+            Some(AnyClaim::Claiming(claim)) => self.dispatch(claim, revision),
             Some(AnyClaim::Ended(mut claim)) => {
                 claim.state.revision = 0;
                 self.claims.insert(AnyClaim::Ended(claim));
@@ -62,13 +67,13 @@
         }
     }
 
-    pub(super) fn differs(&mut self, now: Instant, item: &Item, found: &Snapshot) {
+    pub(super) fn put_conflicted(&mut self, now: Instant, item: &Item, found: &Snapshot) {
         let held = found.get(&item.id);
-        match (self.claim_of(item), held) {
-            (Some(AnyClaim::Claiming(claim)), Some(held)) => self.meet(now, claim, held),
+        match (self.take_claim(item), held) {
+            (Some(AnyClaim::Claiming(claim)), Some(held)) => self.resolve(now, claim, held),
             (Some(AnyClaim::Claiming(mut claim)), None) => {
-                claim.state.over = None;
-                self.claim(now, claim);
+                claim.state.replaces = None;
+                self.queue_claim(now, claim);
             }
             (Some(AnyClaim::Ended(mut claim)), held) => {
                 // It is the row of a lost write already, or has expired, unless
@@ -87,63 +92,65 @@
         }
     }
 
-    pub(super) fn won(&mut self, claim: Claim<Claiming>, revision: Revision) {
-        let (claim, permit) = claim.won(revision);
+    pub(super) fn dispatch(&mut self, claim: Claim<Claiming>, revision: Revision) {
+        let (claim, permit) = claim.into_running(revision);
         self.claims.insert(AnyClaim::Running(claim));
         self.commands.push(Command::Dispatch(permit));
     }
 
     /// Goes on with what stands under the key.
-    pub(super) fn meet(&mut self, now: Instant, mut claim: Claim<Claiming>, held: &Held) {
-        let row = ClaimRow::read(held);
+    pub(super) fn resolve(&mut self, now: Instant, mut claim: Claim<Claiming>, held: &StoredValue) {
+        let row = ClaimRow::decode(held);
         let runs = row.stage == Stage::Running;
-        if runs && claim.is_mine(self.me, &row) {
-            return self.won(claim, held.changed);
+        if runs && claim.is_own_row(self.me, &row) {
+            return self.dispatch(claim, held.changed);
         }
-        if claim.state.over == Some(held.changed) {
+        if claim.state.replaces == Some(held.changed) {
             // Only another claim of the same write did not hold.
-            return self.claim(now, claim);
+            return self.queue_claim(now, claim);
         }
-        if runs && claim.is_given(self.me, &row) {
+        if runs && claim.is_released_row(self.me, &row) {
             // It never ran; should the one that asked for it live, only one of the
             // two writes upon this revision is done.
-            claim.state.over = Some(held.changed);
-            return self.claim(now, claim);
+            claim.state.replaces = Some(held.changed);
+            return self.queue_claim(now, claim);
         }
         let request = claim.request;
         if row.digest != claim.digest {
-            return self.refuse_final(request, Code::KeyReused, Ran::No);
+            return self.reject(request, Code::KeyReused, Ran::No);
         }
         match row.stage {
             Stage::Answered(answer) => {
                 self.commands.push(Command::Answer { request, answer });
             }
-            Stage::Running if self.lives(row.holder) => {
-                let claim = claim.ask(now + REPLY, held.changed, row.sequence);
-                self.question(row.holder, &claim);
+            Stage::Running if self.is_live(row.holder) => {
+                let claim = claim.ask_holder(now + REPLY_TIMEOUT, held.changed, row.sequence);
+                self.send_question(row.holder, &claim);
                 self.claims.insert(AnyClaim::Asking(claim));
             }
             Stage::Running | Stage::Unknown => {
-                self.refuse_final(request, Code::KeyUnknown, Ran::Unknown);
+                self.reject(request, Code::KeyUnknown, Ran::Unknown);
             }
         }
     }
 
-    pub(super) fn question(&mut self, to: Incarnation, claim: &Claim<Asking>) {
+    pub(super) fn send_question(&mut self, to: Incarnation, claim: &Claim<Asking>) {
         let question = Question {
             id: claim.id.clone(),
-            sequence: claim.state.theirs,
+            sequence: claim.state.holder_sequence,
         };
         self.commands.push(Command::Question { to, question });
     }
 
-    pub(super) fn lives(&self, holder: Incarnation) -> bool {
-        self.holders.iter().any(|h| h.incarnation == holder)
+    pub(super) fn is_live(&self, holder: Incarnation) -> bool {
+        self.peers.iter().any(|h| h.incarnation == holder)
     }
 
-    pub(super) fn replied(&mut self, now: Instant, question: &Question, reply: Option<Reply>) {
+    pub(super) fn handle_reply(&mut self, now: Instant, question: &Question, reply: Option<Reply>) {
         let claim = match self.claims.remove(&question.id) {
-            Some(AnyClaim::Asking(claim)) if claim.state.theirs == question.sequence => claim,
+            Some(AnyClaim::Asking(claim)) if claim.state.holder_sequence == question.sequence => {
+                claim
+            }
             Some(other) => {
                 self.claims.insert(other);
                 return;
@@ -151,47 +158,47 @@
             None => return,
         };
         match reply {
-            Some(Reply::Released) => self.claim(now, claim.take()),
-            reply => self.pass_on(claim.request, reply.unwrap_or(Reply::Unknown)),
+            Some(Reply::Released) => self.queue_claim(now, claim.replace_row()),
+            reply => self.respond(claim.request, reply.unwrap_or(Reply::Unknown)),
         }
     }
 
-    pub(super) fn leased(&mut self, now: Instant, result: Result<Lease, Failure>) {
+    pub(super) fn handle_lease(&mut self, now: Instant, result: Result<Lease, Failure>) {
         match result {
             Ok(lease) => {
                 self.lease = Some(lease);
-                self.lease_asked = None;
+                self.lease_retry = None;
             }
-            Err(_) => self.lease_asked = Some(now + LEASE_PAUSE),
+            Err(_) => self.lease_retry = Some(now + LEASE_RETRY_DELAY),
         }
     }
 
     /// Writes the claims that wait, if it is time.
-    pub(super) fn write(&mut self, now: Instant) {
-        if !self.batch.is_due(now) || !self.has_lease(now) {
+    pub(super) fn send_write(&mut self, now: Instant) {
+        if !self.batch.is_due(now) || !self.ensure_lease(now) {
             return;
         }
-        let ids = self.batch.take(now, self.holders.len() + 1);
+        let ids = self.batch.take(now, self.peers.len() + 1);
         let mut write = Write::default();
         let mut items = Vec::new();
         for id in ids {
-            if let Some((condition, put, sequence)) = self.put(&id) {
+            if let Some((condition, put, sequence)) = self.row_put(&id) {
                 write.conditions.push(condition);
                 write.puts.push(put);
                 items.push(Item { id, sequence });
             }
         }
         if !items.is_empty() {
-            let number = self.batch.sent(now, items);
+            let number = self.batch.record_sent(now, items);
             self.commands.push(Command::Write { number, write });
         }
     }
 
     /// What is to be written of a claim, if anything.
-    pub(super) fn put(&self, id: &ClaimId) -> Option<(Condition, Put, Sequence)> {
+    pub(super) fn row_put(&self, id: &ClaimId) -> Option<(Condition, Put, Sequence)> {
         let (condition, row) = match self.claims.get(id)? {
             AnyClaim::Claiming(claim) => {
-                let condition = match claim.state.over {
+                let condition = match claim.state.replaces {
                     None => Condition::Absent(id.clone()),
                     Some(revision) => Condition::Unchanged(id.clone(), revision),
                 };
@@ -205,20 +212,23 @@
         };
         let put = Put {
             key: id.clone(),
-            value: row.value(),
+            value: row.encode(),
             lease: self.lease.as_ref().map_or(0, |lease| lease.id),
         };
         Some((condition, put, row.sequence))
     }
 
-    /// Whether rows can hang on a lease that keeps them for [`KEPT`]; asks for one
+    /// Whether rows can hang on a lease that keeps them for [`MIN_RETENTION`]; asks for one
     /// otherwise.
-    pub(super) fn has_lease(&mut self, now: Instant) -> bool {
-        let has = self.lease.as_ref().is_some_and(|l| l.until >= now + KEPT);
-        let asked = self.lease_asked.is_some_and(|until| now < until);
+    pub(super) fn ensure_lease(&mut self, now: Instant) -> bool {
+        let has = self
+            .lease
+            .as_ref()
+            .is_some_and(|l| l.until >= now + MIN_RETENTION);
+        let asked = self.lease_retry.is_some_and(|until| now < until);
         if !has && !asked {
-            self.lease_asked = Some(now + LEASE_PAUSE);
-            self.commands.push(Command::Lease(LEASE));
+            self.lease_retry = Some(now + LEASE_RETRY_DELAY);
+            self.commands.push(Command::Lease(LEASE_TIME));
         }
         has
     }
--- a/lib/src/claims/issued.rs
+++ b/lib/src/claims/issued.rs
@@ -11,15 +11,15 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::claim::{AnyClaim, Claim, Ended, Permit};
-use super::row::MOST_BODY;
-use super::{Answer, Ask, ClaimId, Digest, End, Key, Sequence};
+use super::row::MAX_STORED_BODY;
+use super::{Answer, ClaimId, Digest, Key, KeyedRequest, RunResult, Sequence};
 use crate::ids::{Incarnation, RequestId};
 use crate::table::{Row, Table};
 use std::time::Instant;
 
 /// Used keys that a space remembers; with answers of a few hundred bytes a few
 /// megabytes. Older keys are dead, so that forgetting one can't run it again.
-pub const MOST_USED: usize = 10_000;
+pub const MAX_USED_KEYS: usize = 10_000;
 
 /// A key that was used, as a successor learns it.
 #[proc_macros::setting]
@@ -55,7 +55,7 @@
 
 /// Keys of one issuer.
 #[derive(Debug)]
-pub(crate) struct Space {
+pub(crate) struct KeySpace {
     issuer: Incarnation,
     secret: u64,
     floor: u64,
@@ -65,19 +65,19 @@
 
 /// What a key is in its space.
 #[derive(Debug)]
-pub(crate) enum Found<'a> {
+pub(crate) enum Lookup<'a> {
     /// Not a key of this space, or not this customer's.
-    Bad,
+    Invalid,
     /// So old that its use may be forgotten.
-    Dead,
+    Expired,
     /// Never used.
     Unused,
     /// Used.
     Used(&'a AnyClaim),
 }
 
-impl Space {
-    /// Space of an incarnation that has issued nothing.
+impl KeySpace {
+    /// Key space of an incarnation that has issued nothing.
     pub fn new(issuer: Incarnation, secret: u64) -> Self {
         Self {
             issuer,
@@ -88,14 +88,18 @@
         }
     }
 
-    /// Space that was handed over.
-    pub fn taken(over: HandOver, until: Instant) -> Self {
+    /// Key space that was handed over.
+    pub fn from_hand_over(hand_over: HandOver, forget_at: Instant) -> Self {
         Self {
-            issuer: over.issuer,
-            secret: over.secret,
-            floor: over.floor,
-            next: over.next,
-            used: over.used.into_iter().map(|key| ended(key, until)).collect(),
+            issuer: hand_over.issuer,
+            secret: hand_over.secret,
+            floor: hand_over.floor,
+            next: hand_over.next,
+            used: hand_over
+                .used
+                .into_iter()
+                .map(|key| ended_claim(key, forget_at))
+                .collect(),
         }
     }
 
@@ -116,34 +120,34 @@
     }
 
     /// What a key is here.
-    pub fn find(&self, customer: &str, id: &ClaimId, count: u64, tag: u64) -> Found<'_> {
+    pub fn lookup(&self, customer: &str, id: &ClaimId, count: u64, tag: u64) -> Lookup<'_> {
         if count >= self.next || tag != self.tag(customer, count) {
-            return Found::Bad;
+            return Lookup::Invalid;
         }
         if count < self.floor {
-            return Found::Dead;
+            return Lookup::Expired;
         }
-        self.used.get(id).map_or(Found::Unused, Found::Used)
+        self.used.get(id).map_or(Lookup::Unused, Lookup::Used)
     }
 
     /// Uses a key that was never used.
-    pub fn dispatch(&mut self, id: ClaimId, ask: &Ask, sequence: Sequence) -> Permit {
-        let (claim, permit) = Claim::unused(id, ask, sequence);
+    pub fn use_key(&mut self, id: ClaimId, request: &KeyedRequest, sequence: Sequence) -> Permit {
+        let (claim, permit) = Claim::for_issued(id, request, sequence);
         self.used.insert(AnyClaim::Running(claim));
-        while self.used.len() > MOST_USED {
-            self.forget_oldest();
+        while self.used.len() > MAX_USED_KEYS {
+            self.evict_oldest();
         }
         permit
     }
 
     /// Takes the end of a request.
-    pub fn end(&mut self, permit: &Permit, end: End, until: Instant) {
+    pub fn record_result(&mut self, permit: &Permit, result: RunResult, until: Instant) {
         let Some(AnyClaim::Running(claim)) = self.used.remove(permit.id()) else {
             return;
         };
         // One that provably did not leave is unused as before.
-        if end != End::Unsent {
-            self.used.insert(claim.end(end, until));
+        if result != RunResult::Unsent {
+            self.used.insert(claim.finish(result, until));
         }
     }
 
@@ -155,16 +159,16 @@
             secret: self.secret,
             floor: self.floor,
             next: self.next,
-            used: self.used.iter().map(used).collect(),
+            used: self.used.iter().map(used_key).collect(),
         }
     }
 
-    fn forget_oldest(&mut self) {
+    fn evict_oldest(&mut self) {
         let oldest = self.used.iter().next().map(|claim| claim.id().clone());
         let Some(id) = oldest else {
             return;
         };
-        if let Some(Key::Issued { count, .. }) = Key::read(&id) {
+        if let Some(Key::Issued { count, .. }) = Key::parse(&id) {
             self.floor = count + 1;
         }
         self.used.remove(&id);
@@ -177,7 +181,7 @@
     }
 }
 
-fn used(claim: &AnyClaim) -> UsedKey {
+fn used_key(claim: &AnyClaim) -> UsedKey {
     let answer = match claim {
         AnyClaim::Ended(claim) => claim.state.answer.clone(),
         _ => None,
@@ -191,11 +195,11 @@
         id: claim.id().clone(),
         digest: claim.digest(),
         request,
-        answer: answer.filter(|answer| answer.body.len() <= MOST_BODY),
+        answer: answer.filter(|answer| answer.body.len() <= MAX_STORED_BODY),
     }
 }
 
-fn ended(key: UsedKey, until: Instant) -> AnyClaim {
+fn ended_claim(key: UsedKey, forget_at: Instant) -> AnyClaim {
     AnyClaim::Ended(Claim {
         id: key.id,
         sequence: 0,
@@ -204,7 +208,7 @@
         state: Ended {
             answer: key.answer,
             revision: 0,
-            until,
+            forget_at,
         },
     })
 }
--- a/lib/src/claims/key.rs
+++ b/lib/src/claims/key.rs
@@ -6,16 +6,16 @@
 use crate::ids::Incarnation;
 
 /// Most characters of a key.
-pub const MOST_KEY: usize = 128;
+pub const MAX_KEY_BYTES: usize = 128;
 /// What issued keys begin with; callers' own keys may not.
-const ISSUED: &str = "pk-";
+const ISSUED_PREFIX: &str = "pk-";
 
 /// An idempotency key.
 #[proc_macros::row]
 #[derive(Eq)]
 pub enum Key {
     /// A caller's own.
-    Own(CompactString),
+    Supplied(CompactString),
     /// One that a daemon issued.
     Issued {
         /// Incarnation that issued it.
@@ -29,15 +29,15 @@
 
 impl Key {
     /// Reads a key; none if it is malformed.
-    pub fn read(text: &str) -> Option<Self> {
-        let fine = text.bytes().all(|b| b.is_ascii_graphic());
-        if text.is_empty() || text.len() > MOST_KEY || !fine {
+    pub fn parse(text: &str) -> Option<Self> {
+        let printable = text.bytes().all(|b| b.is_ascii_graphic());
+        if text.is_empty() || text.len() > MAX_KEY_BYTES || !printable {
             return None;
         }
-        let Some(rest) = text.strip_prefix(ISSUED) else {
-            return Some(Self::Own(text.into()));
+        let Some(rest) = text.strip_prefix(ISSUED_PREFIX) else {
+            return Some(Self::Supplied(text.into()));
         };
-        let mut parts = rest.split('-').map(number);
+        let mut parts = rest.split('-').map(parse_hex);
         let key = Self::Issued {
             issuer: parts.next()??,
             count: parts.next()??,
@@ -49,23 +49,23 @@
     /// The key as callers send it.
     pub fn text(&self) -> CompactString {
         match self {
-            Self::Own(text) => text.clone(),
+            Self::Supplied(text) => text.clone(),
             Self::Issued { issuer, count, tag } => {
-                format_compact!("{ISSUED}{issuer:016x}-{count:016x}-{tag:016x}")
+                format_compact!("{ISSUED_PREFIX}{issuer:016x}-{count:016x}-{tag:016x}")
             }
         }
     }
 
     /// Id of its claim; customers' own keys never meet.
-    pub(crate) fn id(&self, customer: &str) -> ClaimId {
+    pub(crate) fn claim_id(&self, customer: &str) -> ClaimId {
         match self {
-            Self::Own(text) => format_compact!("poplarvale/claims/{customer}/{text}"),
+            Self::Supplied(text) => format_compact!("poplarvale/claims/{customer}/{text}"),
             Self::Issued { .. } => self.text(),
         }
     }
 }
 
-fn number(digits: &str) -> Option<u64> {
+fn parse_hex(digits: &str) -> Option<u64> {
     if digits.len() != 16 {
         return None;
     }
--- a/lib/src/claims/row.rs
+++ b/lib/src/claims/row.rs
@@ -6,11 +6,11 @@
 use super::{Answer, Digest, Sequence};
 use crate::ids::{Incarnation, RequestId};
 use crate::protos::platform as wire;
-use crate::store::Held;
+use crate::store::StoredValue;
 
 /// Largest body that is kept in the service. A confirmation has a few hundred
 /// bytes; of a larger one only the holder can tell, while it lives.
-pub const MOST_BODY: usize = 16 << 10;
+pub const MAX_STORED_BODY: usize = 16 << 10;
 
 /// How far a claim got.
 #[proc_macros::row]
@@ -34,7 +34,7 @@
 
 impl ClaimRow {
     /// Reads a row; one that can't be read is of nobody and of unknown outcome.
-    pub fn read(held: &Held) -> Self {
+    pub fn decode(held: &StoredValue) -> Self {
         let wire = wire::Claim::decode(held.value.clone());
         let wire = wire.unwrap_or_else(|_unreadable| wire::Claim {
             stage: wire::Stage::Unknown.into(),
@@ -42,24 +42,24 @@
         });
         let stage = match (wire.stage(), &wire.answer) {
             (wire::Stage::Running, _) => Stage::Running,
-            (wire::Stage::Finished, Some(answer)) => Stage::Answered(read_answer(answer)),
+            (wire::Stage::Finished, Some(answer)) => Stage::Answered(decode_answer(answer)),
             _ => Stage::Unknown,
         };
         Self {
             holder: wire.holder,
             sequence: wire.sequence,
-            digest: number(&wire.digest),
-            request: number(&wire.request),
+            digest: decode_u128(&wire.digest),
+            request: decode_u128(&wire.request),
             stage,
         }
     }
 
     /// The value that stands for it.
-    pub fn value(&self) -> Bytes {
+    pub fn encode(&self) -> Bytes {
         let (stage, answer) = match &self.stage {
             Stage::Running => (wire::Stage::Running, None),
-            Stage::Answered(answer) if answer.body.len() <= MOST_BODY => {
-                (wire::Stage::Finished, Some(written(answer)))
+            Stage::Answered(answer) if answer.body.len() <= MAX_STORED_BODY => {
+                (wire::Stage::Finished, Some(encode_answer(answer)))
             }
             Stage::Answered(_) | Stage::Unknown => (wire::Stage::Unknown, None),
         };
@@ -75,7 +75,7 @@
     }
 }
 
-fn read_answer(wire: &wire::StoredAnswer) -> Answer {
+fn decode_answer(wire: &wire::StoredAnswer) -> Answer {
     Answer {
         status: wire.status as u16,
         content: wire.content.as_str().into(),
@@ -83,7 +83,7 @@
     }
 }
 
-fn written(answer: &Answer) -> wire::StoredAnswer {
+fn encode_answer(answer: &Answer) -> wire::StoredAnswer {
     wire::StoredAnswer {
         status: answer.status.into(),
         content: answer.content.to_string(),
@@ -91,7 +91,7 @@
     }
 }
 
-fn number(bytes: &[u8]) -> u128 {
+fn decode_u128(bytes: &[u8]) -> u128 {
     let number = bytes.try_into().map(u128::from_be_bytes);
     number.unwrap_or_default()
 }
--- a/lib/src/config.rs
+++ b/lib/src/config.rs
@@ -26,7 +26,7 @@
 
 use crate::ids::{Incarnation, Revision, ZoneId};
 use crate::lists::{Accepted, Lists, Mistake};
-use crate::store::{Failure, Held, Snapshot, Write, Written};
+use crate::store::{Failure, Snapshot, StoredValue, Write, Written};
 
 pub use changes::{Changes, Difference, Passage};
 pub use head::{HEAD, PREFIX};
@@ -147,7 +147,7 @@
         result: Result<Snapshot, Failure>,
     },
     /// The watch told a value of the head.
-    Watched(Held),
+    Watched(StoredValue),
     /// The watch broke.
     WatchEnded,
     /// An operator sent an edit.
--- a/lib/src/config/edit.rs
+++ b/lib/src/config/edit.rs
@@ -128,7 +128,7 @@
                 let accepted = Accepted { revision, lists };
                 Step::Over(Verdict::Accepted(revision), Some(accepted))
             }
-            Ok(Written::Differs(_)) => {
+            Ok(Written::Conflict(_)) => {
                 let state = Reading { since: now };
                 Step::Wait(AnyEdit::Reading(self.at(state)))
             }
--- a/lib/src/config/head.rs
+++ b/lib/src/config/head.rs
@@ -15,7 +15,7 @@
 use crate::ids::Revision;
 use crate::lists::{Accepted, Customer, Lists, Mistake, Plan};
 use crate::protos::platform as wire;
-use crate::store::{Condition, Held, MOST_VALUE, Put, Snapshot, Write};
+use crate::store::{Condition, MAX_VALUE_BYTES, Put, Snapshot, StoredValue, Write};
 
 /// What all keys of the lists begin with.
 pub const PREFIX: &str = "poplarvale/lists/";
@@ -53,7 +53,7 @@
 
 impl Head {
     /// Reads the value under [`HEAD`]; one that cannot be read names no changes.
-    pub fn read(held: &Held) -> Self {
+    pub fn read(held: &StoredValue) -> Self {
         let wire = wire::Head::decode(held.value.clone()).unwrap_or_default();
         Self {
             revision: held.changed,
@@ -133,10 +133,12 @@
         ("customers", json(&lists.customers).len()),
         ("plans", json(&lists.plans).len()),
     ];
-    let large = sizes.into_iter().filter(|(_, size)| *size > MOST_VALUE);
+    let large = sizes
+        .into_iter()
+        .filter(|(_, size)| *size > MAX_VALUE_BYTES);
     large
         .map(|(list, size)| {
-            let allowed = format_compact!("at most {MOST_VALUE} bytes as JSON");
+            let allowed = format_compact!("at most {MAX_VALUE_BYTES} bytes as JSON");
             Mistake::new(list, format_compact!("{size} bytes"), allowed)
         })
         .collect()
--- a/lib/src/config/keeper/service.rs
+++ b/lib/src/config/keeper/service.rs
@@ -8,7 +8,7 @@
 use crate::config::head::{Head, read_lists};
 use crate::config::history::passed;
 use crate::config::start::{Next, Start};
-use crate::store::{Failure, Held, Snapshot};
+use crate::store::{Failure, Snapshot, StoredValue};
 
 impl Keeper {
     pub(super) fn glanced(
@@ -34,7 +34,7 @@
         self.prove(head.revision, Some(sent));
     }
 
-    pub(super) fn watched(&mut self, now: Instant, held: &Held) {
+    pub(super) fn watched(&mut self, now: Instant, held: &StoredValue) {
         if self.start.is_none() {
             self.learn(now, &Head::read(held));
         }
--- a/lib/src/store.rs
+++ b/lib/src/store.rs
@@ -18,7 +18,7 @@
 use crate::ids::Revision;
 
 pub use base64::{from_base64, to_base64};
-pub use breaker::{Allow, Breaker, PROBE_RATE, RETURN_RATE, RETURN_TIME, SLOW};
+pub use breaker::{Allow, Breaker, PROBE_RATE, RECOVERY_RATE, RECOVERY_TIME, SLOW_ANSWER};
 
 /// Name that a value stands under.
 pub type Key = CompactString;
@@ -26,14 +26,14 @@
 pub type LeaseId = u64;
 
 /// Most bytes of a value.
-pub const MOST_VALUE: usize = 1 << 20;
+pub const MAX_VALUE_BYTES: usize = 1 << 20;
 /// Most conditions and puts of one write.
-pub const MOST_PUTS: usize = 64;
+pub const MAX_PUTS: usize = 64;
 
 /// A value as it stands in the service.
 #[proc_macros::row]
 #[derive(Eq)]
-pub struct Held {
+pub struct StoredValue {
     /// Its key.
     pub key: Key,
     /// The value.
@@ -53,12 +53,12 @@
     /// Revision of the whole service.
     pub revision: Revision,
     /// The values, sorted by key.
-    pub rows: Vec<Held>,
+    pub rows: Vec<StoredValue>,
 }
 
 impl Snapshot {
     /// Value under a key.
-    pub fn get(&self, key: &str) -> Option<&Held> {
+    pub fn get(&self, key: &str) -> Option<&StoredValue> {
         let at = self
             .rows
             .binary_search_by(|row| row.key.as_str().cmp(key))
@@ -115,7 +115,7 @@
     /// Done, at this revision.
     Done(Revision),
     /// A condition did not hold; what stands under the conditions' keys.
-    Differs(Snapshot),
+    Conflict(Snapshot),
 }
 
 /// A lease that was given.
@@ -169,6 +169,6 @@
         &self,
         key: &str,
         from: Revision,
-        on_change: impl FnMut(Held),
+        on_change: impl FnMut(StoredValue),
     ) -> impl Future<Output = Failure>;
 }
--- a/lib/src/store/breaker.rs
+++ b/lib/src/store/breaker.rs
@@ -8,28 +8,28 @@
 //! Some failures or slow answers in a row open the breaker: calls then fail at
 //! once. A slow service counts as out, as whoever waits for it is late in any
 //! case. While open, one probe at a time goes out at a jittered pace; when a
-//! probe succeeds, calls are let through at a rate for [`RETURN_TIME`]. Pace and
+//! probe succeeds, calls are let through at a rate for [`RECOVERY_TIME`]. Pace and
 //! rate are divided by the number of live daemons, so that the whole fleet stays
-//! within [`PROBE_RATE`] and [`RETURN_RATE`] whatever its size.
+//! within [`PROBE_RATE`] and [`RECOVERY_RATE`] whatever its size.
 
 use std::time::{Duration, Instant};
 
 /// An answer slower than this counts as a failure; healthy ones take a few ms.
-pub const SLOW: Duration = Duration::from_millis(500);
+pub const SLOW_ANSWER: Duration = Duration::from_millis(500);
 /// Probes a second of all daemons together, a twentieth of the reads that the
 /// service is stated to serve.
 pub const PROBE_RATE: f64 = 100.0;
 /// Calls a second of all daemons together after an outage, half of the several
 /// hundred writes that the service is stated to serve.
-pub const RETURN_RATE: f64 = 200.0;
-/// Time after an outage for which calls are held to [`RETURN_RATE`].
-pub const RETURN_TIME: Duration = Duration::from_secs(10);
+pub const RECOVERY_RATE: f64 = 200.0;
+/// Time after an outage for which calls are held to [`RECOVERY_RATE`].
+pub const RECOVERY_TIME: Duration = Duration::from_secs(10);
 
 /// Failures in a row that open it: one lost answer is no outage, and three
 /// timeouts are already seconds.
-const FAILURES: u32 = 3;
+const OPEN_FAILURES: u32 = 3;
 /// Least time between probes, so that a small fleet does not hammer.
-const PROBE_LEAST: Duration = Duration::from_secs(1);
+const MIN_PROBE_GAP: Duration = Duration::from_secs(1);
 
 /// Whether a call may go out.
 #[proc_macros::row]
@@ -46,7 +46,7 @@
     Closed { failures: u32 },
     Open { probe: Instant },
     Probing { until: Instant },
-    Returning { until: Instant, next: Instant },
+    Recovering { until: Instant, next: Instant },
 }
 
 /// Judge of whether the service is out.
@@ -73,13 +73,13 @@
     }
 
     /// Whether the service counts as out.
-    pub fn is_out(&self) -> bool {
+    pub fn is_open(&self) -> bool {
         matches!(self.state, State::Open { .. } | State::Probing { .. })
     }
 
-    /// Whether a call may go out now; a yes must be followed by a [`note`].
+    /// Whether a call may go out now; a yes must be followed by a [`record`].
     ///
-    /// [`note`]: Self::note
+    /// [`record`]: Self::record
     pub fn allow(&mut self, now: Instant) -> Allow {
         match self.state {
             State::Closed { .. } => Allow::Yes,
@@ -92,39 +92,39 @@
                 self.state = State::Probing { until };
                 Allow::Yes
             }
-            State::Returning { until, .. } if now >= until => {
+            State::Recovering { until, .. } if now >= until => {
                 self.state = State::Closed { failures: 0 };
                 Allow::Yes
             }
-            State::Returning { next, .. } if now < next => Allow::No(next),
-            State::Returning { until, .. } => {
-                let next = now + self.return_gap();
-                self.state = State::Returning { until, next };
+            State::Recovering { next, .. } if now < next => Allow::No(next),
+            State::Recovering { until, .. } => {
+                let next = now + self.recovery_gap();
+                self.state = State::Recovering { until, next };
                 Allow::Yes
             }
         }
     }
 
     /// Notes how a call went that was sent at `sent`.
-    pub fn note(&mut self, now: Instant, sent: Instant, answered: bool) {
-        let good = answered && now.duration_since(sent) < SLOW;
+    pub fn record(&mut self, now: Instant, sent: Instant, answered: bool) {
+        let good = answered && now.duration_since(sent) < SLOW_ANSWER;
         match (&mut self.state, good) {
             (State::Closed { failures }, true) => *failures = 0,
             (State::Closed { failures }, false) => {
                 *failures += 1;
-                if *failures >= FAILURES {
+                if *failures >= OPEN_FAILURES {
                     self.open(now);
                 }
             }
             // An answer to a call from before the outage says nothing new.
-            (State::Open { .. }, _) | (State::Returning { .. }, true) => {}
+            (State::Open { .. }, _) | (State::Recovering { .. }, true) => {}
             (State::Probing { .. }, true) => {
                 // The first calls of all daemons must not fall on one moment.
-                let next = now + self.return_gap().mul_f64(self.rng.f64());
-                let until = now + RETURN_TIME;
-                self.state = State::Returning { until, next };
+                let next = now + self.recovery_gap().mul_f64(self.rng.f64());
+                let until = now + RECOVERY_TIME;
+                self.state = State::Recovering { until, next };
             }
-            (State::Probing { .. } | State::Returning { .. }, false) => self.open(now),
+            (State::Probing { .. } | State::Recovering { .. }, false) => self.open(now),
         }
     }
 
@@ -135,11 +135,11 @@
 
     fn probe_gap(&mut self) -> Duration {
         let shared = Duration::from_secs_f64(f64::from(self.daemons) / PROBE_RATE);
-        let gap = shared.max(PROBE_LEAST);
+        let gap = shared.max(MIN_PROBE_GAP);
         gap + gap.mul_f64(self.rng.f64())
     }
 
-    fn return_gap(&self) -> Duration {
-        Duration::from_secs_f64(f64::from(self.daemons) / RETURN_RATE)
+    fn recovery_gap(&self) -> Duration {
+        Duration::from_secs_f64(f64::from(self.daemons) / RECOVERY_RATE)
     }
 }
--- a/lib/tests/test_claims.rs
+++ b/lib/tests/test_claims.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use poplarvale_lib::claims::{Key, PATIENCE, Question, Refusal};
+use poplarvale_lib::claims::{CLAIM_TIMEOUT, Key, Question, Rejection};
 use poplarvale_lib::{Code, Ran, RequestId};
 use proptest::prelude::*;
 use testutils::platform::bookings::{Bookings, Trouble};
@@ -12,10 +12,10 @@
 const MOMENT: Duration = Duration::from_millis(50);
 
 fn own(text: &str) -> Key {
-    Key::read(text).unwrap()
+    Key::parse(text).unwrap()
 }
 
-fn refusal(bookings: &Bookings, request: RequestId) -> &Refusal {
+fn refusal(bookings: &Bookings, request: RequestId) -> &Rejection {
     let mut refusals = bookings.refusals.iter();
     refusals.find(|r| r.request == request).unwrap()
 }
@@ -67,7 +67,7 @@
     };
     let refused = refusal(&bookings, other);
     assert_eq!(refused.code, Code::KeyRunning);
-    assert_eq!(refused.other, Some(bookings.ran[0]));
+    assert_eq!(refused.running, Some(bookings.ran[0]));
 }
 
 /// A program uses one key for two bookings. Given the first one's answer it would
@@ -115,10 +115,10 @@
     bookings.trouble.down = true;
     let key = own("board-7");
     let first = bookings.book(0, "a", &key, 1);
-    bookings.run(PATIENCE + MOMENT);
+    bookings.run(CLAIM_TIMEOUT + MOMENT);
     let refused = refusal(&bookings, first).clone();
     assert_eq!((refused.code, refused.ran), (Code::NoClaim, Ran::No));
-    assert!(refused.again.unwrap() > bookings.now);
+    assert!(refused.retry_at.unwrap() > bookings.now);
     bookings.trouble.down = false;
     let second = bookings.book(1, "a", &key, 1);
     bookings.run(SECOND);
@@ -136,7 +136,7 @@
     bookings.run(SECOND);
     bookings.store.faults.lose = 1_000;
     let first = bookings.book(0, "a", &key, 1);
-    bookings.run(PATIENCE + MOMENT);
+    bookings.run(CLAIM_TIMEOUT + MOMENT);
     assert_eq!(refusal(&bookings, first).ran, Ran::No);
     bookings.store.faults.lose = 0;
     let second = bookings.book(1, "a", &key, 1);
@@ -226,9 +226,9 @@
 fn keys_come_back_from_their_text() {
     let mut bookings = Bookings::new(1, 1);
     let key = bookings.issue(0, "a").unwrap();
-    assert_eq!(Key::read(&key.text()), Some(key));
+    assert_eq!(Key::parse(&key.text()), Some(key));
     for malformed in ["", "with space", "pk-1-2-3", &"x".repeat(129)] {
-        assert_eq!(Key::read(malformed), None, "{malformed}");
+        assert_eq!(Key::parse(malformed), None, "{malformed}");
     }
 }
 
--- a/lib/tests/test_claims_races.rs
+++ b/lib/tests/test_claims_races.rs
@@ -4,9 +4,10 @@
 
 use bytes::Bytes;
 use poplarvale_lib::claims::{
-    Ask, Claimer, Command, HandOver, Input, KEPT, Key, PATIENCE, Question, Reply,
+    CLAIM_TIMEOUT, Claimer, Command, HandOver, Input, Key, KeyedRequest, MIN_RETENTION, Question,
+    Reply,
 };
-use poplarvale_lib::store::{Condition, Held, Lease, Snapshot, Write, Written};
+use poplarvale_lib::store::{Condition, Lease, Snapshot, StoredValue, Write, Written};
 
 /// A claimer with a lease, and its time.
 struct Driven {
@@ -22,7 +23,7 @@
             now: Instant::now(),
             begun: 0,
         };
-        let until = driven.now + 2 * KEPT;
+        let until = driven.now + 2 * MIN_RETENTION;
         driven.tell(Input::Leased(Ok(Lease { id: 1, until })));
         driven
     }
@@ -33,8 +34,8 @@
 
     fn begin(&mut self, key: &Key) -> Vec<Command> {
         self.begun += 1;
-        self.tell(Input::Begin(Ask {
-            request: self.begun,
+        self.tell(Input::Begin(KeyedRequest {
+            id: self.begun,
             customer: "a".into(),
             key: key.clone(),
             digest: 1,
@@ -55,7 +56,7 @@
 }
 
 fn own(text: &str) -> Key {
-    Key::read(text).unwrap()
+    Key::parse(text).unwrap()
 }
 
 fn written(commands: &[Command]) -> (u64, &Write) {
@@ -77,7 +78,7 @@
 }
 
 fn differs(number: u64, key: &str, value: Bytes) -> Input {
-    let held = Held {
+    let held = StoredValue {
         key: format!("poplarvale/claims/a/{key}").into(),
         value,
         created: 5,
@@ -85,7 +86,7 @@
         lease: 1,
     };
     let rows = vec![held];
-    let result = Ok(Written::Differs(Snapshot { revision: 9, rows }));
+    let result = Ok(Written::Conflict(Snapshot { revision: 9, rows }));
     Input::Written { number, result }
 }
 
@@ -115,7 +116,7 @@
     let key = own("one");
     let commands = driven.begin(&key);
     let (first, _) = written(&commands);
-    driven.wait(PATIENCE);
+    driven.wait(CLAIM_TIMEOUT);
     assert_eq!(driven.question("one", 1), Reply::Released);
     driven.begin(&key);
     assert_eq!(dispatches(&driven.tell(done(first))), 0);
@@ -131,7 +132,7 @@
     let commands = driven.begin(&key);
     let (number, write) = written(&commands);
     let value = write.puts[0].value.clone();
-    driven.wait(PATIENCE);
+    driven.wait(CLAIM_TIMEOUT);
     assert_eq!(driven.question("one", 1), Reply::Released);
     let result = Err(poplarvale_lib::store::Failure::Unknown);
     driven.tell(Input::Written { number, result });
@@ -152,7 +153,7 @@
 fn a_question_about_another_claim_changes_nothing() {
     let mut driven = Driven::new(7);
     driven.begin(&own("one"));
-    driven.wait(PATIENCE);
+    driven.wait(CLAIM_TIMEOUT);
     assert_eq!(driven.question("one", 9), Reply::Unknown);
     assert_eq!(driven.question("one", 1), Reply::Released);
 }
--- a/lib/tests/test_store.rs
+++ b/lib/tests/test_store.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use poplarvale_lib::store::{
-    Allow, Breaker, Condition, Failure, PROBE_RATE, RETURN_RATE, RETURN_TIME, SLOW, Store as _,
-    Write, from_base64, to_base64,
+    Allow, Breaker, Condition, Failure, PROBE_RATE, RECOVERY_RATE, RECOVERY_TIME, SLOW_ANSWER,
+    Store as _, Write, from_base64, to_base64,
 };
 use proptest::prelude::*;
 use testutils::platform::data::{FakeStore, put};
@@ -40,7 +40,7 @@
             for breaker in &mut self.breakers {
                 if breaker.allow(self.now) == Allow::Yes {
                     calls[step / 100] += 1;
-                    breaker.note(self.now, self.now, answered);
+                    breaker.record(self.now, self.now, answered);
                 }
             }
         }
@@ -60,9 +60,9 @@
         let probes = PROBE_RATE.max(f64::from(daemons));
         let worst = *out[1..].iter().max().unwrap();
         assert!(f64::from(worst) <= probes, "{daemons}: {worst} while out");
-        let back = fleet.run(RETURN_TIME.as_secs() as usize, true);
+        let back = fleet.run(RECOVERY_TIME.as_secs() as usize, true);
         let worst = f64::from(*back.iter().max().unwrap());
-        let most = RETURN_RATE + PROBE_RATE;
+        let most = RECOVERY_RATE + PROBE_RATE;
         assert!(worst <= most, "{daemons}: {worst} on return");
     }
 }
@@ -76,10 +76,10 @@
     for _ in 0..3 {
         assert_eq!(breaker.allow(now), Allow::Yes);
         let sent = now;
-        now += SLOW;
-        breaker.note(now, sent, true);
+        now += SLOW_ANSWER;
+        breaker.record(now, sent, true);
     }
-    assert!(breaker.is_out());
+    assert!(breaker.is_open());
     assert!(matches!(breaker.allow(now), Allow::No(_)));
 }
 
@@ -92,7 +92,7 @@
     let mut now = Instant::now();
     for _ in 0..3 {
         breaker.allow(now);
-        breaker.note(now, now, false);
+        breaker.record(now, now, false);
     }
     now += Duration::from_secs(3);
     assert_eq!(breaker.allow(now), Allow::Yes);
--- a/lib/testutils/src/platform/bookings.rs
+++ b/lib/testutils/src/platform/bookings.rs
@@ -4,7 +4,8 @@
 use std::time::{Duration, Instant};
 
 use poplarvale_lib::claims::{
-    Answer, Ask, Claimer, Command, End, HandOver, Holder, Input, Key, Permit, Question, Refusal,
+    Answer, Claimer, Command, HandOver, Input, Key, KeyedRequest, Peer, Permit, Question,
+    Rejection, RunResult,
 };
 use poplarvale_lib::store::{Failure, Lease, Write, Written};
 use poplarvale_lib::{Incarnation, RequestId};
@@ -52,13 +53,13 @@
 
 #[derive(Debug)]
 enum Mail {
-    Begin(Incarnation, Ask),
+    Begin(Incarnation, KeyedRequest),
     Write(Incarnation, u64, Write),
     Written(Incarnation, u64, Result<Written, Failure>),
     Question(Incarnation, Incarnation, Question),
     Replied(Incarnation, Input),
     HandOver(HandOver),
-    Ended(Incarnation, Permit, End),
+    Ended(Incarnation, Permit, RunResult),
 }
 
 /// The daemons, the service, and what callers saw.
@@ -77,11 +78,11 @@
     /// Kept answers that callers got.
     pub answers: Vec<(RequestId, Answer)>,
     /// Refusals that callers got.
-    pub refusals: Vec<Refusal>,
+    pub refusals: Vec<Rejection>,
     /// Times from sending to dispatch.
     pub waits: Vec<Duration>,
     daemons: Vec<Daemon>,
-    begun: Vec<(RequestId, Instant, Ask)>,
+    begun: Vec<(RequestId, Instant, KeyedRequest)>,
     mail: Vec<(Instant, Mail)>,
     rng: fastrand::Rng,
     drawn: u64,
@@ -119,8 +120,8 @@
     pub fn book(&mut self, at: usize, customer: &str, key: &Key, digest: u128) -> RequestId {
         self.drawn += 1;
         let request = RequestId::from(self.drawn);
-        let ask = Ask {
-            request,
+        let ask = KeyedRequest {
+            id: request,
             customer: customer.into(),
             key: key.clone(),
             digest,
@@ -141,7 +142,7 @@
 
     /// A caller goes away.
     pub fn leave(&mut self, at: usize, request: RequestId) {
-        self.daemons[at].inputs.push(Input::Left(request));
+        self.daemons[at].inputs.push(Input::CallerLeft(request));
     }
 
     /// Kills a daemon and starts another in its place.
@@ -171,11 +172,11 @@
     pub fn look(&mut self, at: usize) {
         let me = self.daemons[at].incarnation;
         let others = self.daemons.iter().filter(|d| d.incarnation != me);
-        let holders = others.map(|d| Holder {
+        let holders = others.map(|d| Peer {
             incarnation: d.incarnation,
-            holds: d.claimer.holds(),
+            holds: d.claimer.inherited_issuers(),
         });
-        let holders = Input::Holders(holders.collect());
+        let holders = Input::Peers(holders.collect());
         self.daemons[at].inputs.push(holders);
     }
 
@@ -226,7 +227,7 @@
         match command {
             Command::Dispatch(permit) => self.dispatch(me, permit),
             Command::Answer { request, answer } => self.answers.push((request, answer)),
-            Command::Refuse(refusal) => self.refusals.push(refusal),
+            Command::Reject(refusal) => self.refusals.push(refusal),
             Command::Forward { request, to } => {
                 let ask = self.begun.iter().find(|(id, ..)| *id == request);
                 let mut ask = ask.expect("it was begun").2.clone();
@@ -259,15 +260,15 @@
             0
         };
         let end = match fate {
-            0 | 1 => End::Answered(Answer {
+            0 | 1 => RunResult::Answered(Answer {
                 status: 200,
                 content: "text/plain".into(),
                 body: request.to_string().into_bytes(),
             }),
-            2 => End::Unknown,
-            _ => End::Unsent,
+            2 => RunResult::Unknown,
+            _ => RunResult::Unsent,
         };
-        if end != End::Unsent {
+        if end != RunResult::Unsent {
             self.ran.push(request);
         }
         let mail = Mail::Ended(me, permit, end);
--- a/lib/testutils/src/platform/data.rs
+++ b/lib/testutils/src/platform/data.rs
@@ -9,7 +9,8 @@
 use bytes::Bytes;
 use poplarvale_lib::Revision;
 use poplarvale_lib::store::{
-    Condition, Failure, Held, Key, Lease, LeaseId, MOST_VALUE, Put, Snapshot, Store, Write, Written,
+    Condition, Failure, Key, Lease, LeaseId, MAX_VALUE_BYTES, Put, Snapshot, Store, StoredValue,
+    Write, Written,
 };
 use serde::{Deserialize, Serialize};
 
@@ -19,7 +20,7 @@
 /// Values and leases.
 #[derive(Clone, Debug, Default)]
 pub struct Data {
-    rows: Vec<Held>,
+    rows: Vec<StoredValue>,
     leases: Vec<(LeaseId, Instant, Duration)>,
     revision: Revision,
     next_lease: LeaseId,
@@ -32,7 +33,7 @@
     }
 
     /// Value under a key.
-    pub fn get(&self, key: &str) -> Option<&Held> {
+    pub fn get(&self, key: &str) -> Option<&StoredValue> {
         let at = self.position(key).ok()?;
         Some(&self.rows[at])
     }
@@ -111,7 +112,7 @@
     }
 
     fn put_one(&mut self, put: Put) {
-        let held = Held {
+        let held = StoredValue {
             key: put.key,
             value: put.value,
             created: self.revision,
@@ -121,7 +122,7 @@
         match self.position(&held.key) {
             Ok(at) => {
                 let created = self.rows[at].created;
-                self.rows[at] = Held { created, ..held };
+                self.rows[at] = StoredValue { created, ..held };
             }
             Err(at) => self.rows.insert(at, held),
         }
@@ -318,7 +319,12 @@
     }
 
     /// Tells the value that stands, and breaks.
-    async fn watch(&self, key: &str, from: Revision, mut on_change: impl FnMut(Held)) -> Failure {
+    async fn watch(
+        &self,
+        key: &str,
+        from: Revision,
+        mut on_change: impl FnMut(StoredValue),
+    ) -> Failure {
         let mut fake = self.fake.borrow_mut();
         fake.counts.watches += 1;
         let held = fake.data.get(key).filter(|held| held.changed >= from);
@@ -330,14 +336,18 @@
 }
 
 fn apply(data: &mut Data, write: Write) -> Result<Written, Failure> {
-    if write.puts.iter().any(|put| put.value.len() > MOST_VALUE) {
+    if write
+        .puts
+        .iter()
+        .any(|put| put.value.len() > MAX_VALUE_BYTES)
+    {
         return Err(Failure::NotDone);
     }
     if write.conditions.iter().all(|c| data.holds(c)) {
         return Ok(Written::Done(data.put(write.puts)));
     }
     let keys = write.conditions.iter().map(Condition::key);
-    Ok(Written::Differs(found(data, keys)))
+    Ok(Written::Conflict(found(data, keys)))
 }
 
 fn found<'a>(data: &Data, keys: impl Iterator<Item = &'a Key>) -> Snapshot {
--- a/lib/testutils/src/platform/store.rs
+++ b/lib/testutils/src/platform/store.rs
@@ -16,14 +16,15 @@
 use poplarvale_lib::Revision;
 use poplarvale_lib::protos::platform as wire;
 use poplarvale_lib::store::{
-    Condition, Failure, Held, LeaseId, MOST_PUTS, MOST_VALUE, Put, Snapshot, from_base64, to_base64,
+    Condition, Failure, LeaseId, MAX_PUTS, MAX_VALUE_BYTES, Put, Snapshot, StoredValue,
+    from_base64, to_base64,
 };
 use tokio::sync::watch;
 
 use super::data::{Data, Fake, Faults};
 
 /// A transaction of the largest values in base64, with some room.
-const MOST_BODY: usize = 3 * MOST_VALUE;
+const MOST_BODY: usize = 3 * MAX_VALUE_BYTES;
 
 /// What all connections share.
 #[derive(Debug)]
@@ -100,7 +101,7 @@
 async fn txn(state: State, Json(ask): Json<wire::TxnRequest>) -> Answer {
     state.with(|fake| fake.counts.writes += 1);
     disturbed(&state).await?;
-    if ask.compare.len() > MOST_PUTS || ask.success.len() > MOST_PUTS {
+    if ask.compare.len() > MAX_PUTS || ask.success.len() > MAX_PUTS {
         return Err(bad("too many operations"));
     }
     let conditions = ask.compare.iter().map(read_compare);
@@ -317,7 +318,7 @@
 
 fn read_put(put: &wire::PutRequest) -> Result<Put, actix_web::Error> {
     let value = from_base64(&put.value).ok_or_else(|| bad("value"))?;
-    if value.len() > MOST_VALUE {
+    if value.len() > MAX_VALUE_BYTES {
         return Err(bad("value too large"));
     }
     Ok(Put {
@@ -338,7 +339,7 @@
     }
 }
 
-fn written(row: &Held) -> wire::KeyValue {
+fn written(row: &StoredValue) -> wire::KeyValue {
     wire::KeyValue {
         key: to_base64(row.key.as_bytes()),
         value: to_base64(&row.value),
