--- a/lib/src/claims.rs
+++ b/lib/src/claims.rs
@@ -1,18 +1,19 @@
 //! At most one run per idempotency key, through crashes, outages and partitions.
 //!
-//! A caller that got no answer sends its booking again, through whichever daemon
-//! the balancer picks. Were it run again, a family would be charged twice; were
-//! the caller told "not run" although it ran, it would book anew with the same
-//! effect. Two kinds of key prevent this. A caller's own key is claimed in the
-//! platform's key-value service before the single dispatch, and whoever finds
-//! the key there never dispatches it. A key that a daemon issued needs no
-//! service: only the incarnation that issued it, or the one it handed its keys
-//! over to, may dispatch it, once, from its own memory.
+//! A caller that received no answer retries its booking through whichever daemon
+//! the load balancer picks. If the retry ran too, a family would be charged twice;
+//! if the caller were answered "not run" although the request ran, it would book
+//! again under a new key with the same effect. Two kinds of key prevent this. A key
+//! that the caller supplies is claimed in the platform's key-value service before
+//! the single dispatch, and a daemon that finds the key there never dispatches the
+//! request. A key that a daemon issued needs no service: only the incarnation that
+//! issued it, or the one that received its key space in a hand-over, may dispatch
+//! it, once, from its own memory.
 //!
-//! The argument rests on create-if-absent and on incarnations that are never
-//! used again; no clock, lease or timeout decides whether a request may run.
-//! What can't be known is told as unknown. Rows of callers' keys stay for a day
-//! at least ([`MIN_RETENTION`]); a key must not be reused later than that.
+//! Correctness rests on create-if-absent writes and on incarnations that are never
+//! reused; no clock, lease or timeout decides whether a request may run. An outcome
+//! that cannot be determined is reported as unknown. Rows of supplied keys are kept
+//! for at least a day ([`MIN_RETENTION`]); a key must not be reused later than that.
 
 mod batch;
 mod claim;
@@ -36,35 +37,35 @@
 pub use key::{Key, MAX_KEY_BYTES};
 pub use row::MAX_STORED_BODY;
 
-/// Time for which rows of callers' keys stay at least.
+/// Minimum time for which rows of supplied keys are kept.
 pub const MIN_RETENTION: Duration = Duration::from_hours(24);
 
-/// What names a claim: the key in the service, or an issued key's text.
+/// Id of a claim: its key in the key-value service, or the text of an issued key.
 pub type ClaimId = CompactString;
 /// Digest of a request's customer, route and body.
 pub type Digest = u128;
-/// Count of claims of one incarnation; with it, a nonce.
+/// Number of a claim within its incarnation; the two together are unique.
 pub type Sequence = u64;
 
 /// A request that may run at most once.
 #[proc_macros::row]
 #[derive(Eq)]
 pub struct KeyedRequest {
-    /// Its id.
+    /// Request id.
     pub id: RequestId,
-    /// Customer.
+    /// Customer that sent it.
     pub customer: CustomerId,
-    /// Its key.
+    /// Idempotency key.
     pub key: Key,
     /// Digest of customer, route and body.
     pub digest: Digest,
-    /// When it must be answered.
+    /// Time by which it must be answered.
     pub deadline: Instant,
-    /// Whether another daemon forwarded it; such a one is not forwarded again.
+    /// Whether another daemon forwarded it; a forwarded request is not forwarded again.
     pub forwarded: bool,
 }
 
-/// An answer that is kept for repeats.
+/// An answer that is kept for retries.
 #[proc_macros::setting]
 #[derive(Eq)]
 pub struct Answer {
@@ -80,130 +81,130 @@
 #[proc_macros::row]
 #[derive(Eq)]
 pub enum RunResult {
-    /// Answered in full.
+    /// The endpoint answered in full.
     Answered(Answer),
-    /// No byte of it left for an endpoint.
+    /// No byte of it was sent to an endpoint.
     Unsent,
     /// It may have run.
     Unknown,
 }
 
-/// A live daemon, and whose issued keys it holds besides its own.
+/// A live daemon and the key spaces that it holds besides its own.
 #[proc_macros::setting]
 #[derive(Eq)]
 pub struct Peer {
-    /// Its incarnation.
+    /// Incarnation of the daemon.
     pub incarnation: Incarnation,
-    /// Incarnations whose keys were handed over to it.
+    /// Incarnations whose key spaces were handed over to it.
     pub holds: Vec<Incarnation>,
 }
 
-/// Question to the holder of a claim.
+/// Question to the holder of a claim: what became of it.
 #[proc_macros::setting]
 #[derive(Eq)]
 pub struct Question {
-    /// The claim.
+    /// Claim that the question is about.
     pub id: ClaimId,
-    /// Its sequence.
+    /// Sequence of that claim.
     pub sequence: Sequence,
 }
 
-/// The holder's reply.
+/// Reply of a claim's holder.
 #[proc_macros::setting]
 #[derive(Eq)]
 pub enum Reply {
-    /// It runs, or is about to.
+    /// The request with this id runs or is about to be dispatched.
     Running(RequestId),
-    /// It ended with this answer.
+    /// The request ended with this answer.
     Answered(Answer),
-    /// It did not run and the holder will never run it.
+    /// The request did not run and the holder will never dispatch it.
     Released,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
-/// What a claimer is told.
+/// Event that a claimer handles.
 #[derive(Debug)]
 pub enum Input {
-    /// A request came.
+    /// A request arrived.
     Begin(KeyedRequest),
-    /// A caller went away before its request was dispatched.
+    /// A caller disconnected before its request was dispatched.
     CallerLeft(RequestId),
     /// A dispatched request ended.
     Ended(Permit, RunResult),
-    /// A write ended.
+    /// A write completed or failed.
     Written {
-        /// Its number.
+        /// Number of the write.
         number: u64,
-        /// How it ended.
+        /// Result of the write.
         result: Result<Written, Failure>,
     },
-    /// The lease was granted or not.
+    /// Result of a lease request.
     Leased(Result<Lease, Failure>),
-    /// A holder replied, or did not.
+    /// A holder replied, or the question failed.
     Replied {
-        /// What it was asked.
+        /// Question that was asked.
         question: Question,
-        /// Its reply.
+        /// Reply; none if the question failed.
         reply: Option<Reply>,
     },
-    /// The daemons that live, without oneself.
+    /// The live daemons, without this one.
     Peers(Vec<Peer>),
-    /// This daemon will be reclaimed: begins nothing more.
+    /// This daemon will be reclaimed: it starts no further requests.
     Freeze,
 }
 
-/// What a claimer asks for.
+/// Action that a claimer requests.
 #[derive(Debug)]
 pub enum Command {
-    /// Dispatch a request; the permit comes back with its end.
+    /// Dispatch a request; the permit is returned with the result.
     Dispatch(Permit),
-    /// Give the caller an answer that was kept.
+    /// Send the caller a kept answer.
     Answer {
         /// Request.
         request: RequestId,
-        /// The answer.
+        /// Kept answer.
         answer: Answer,
     },
     /// Reject a request.
     Reject(Rejection),
-    /// Let another daemon do a request.
+    /// Forward a request to another daemon.
     Forward {
         /// Request.
         request: RequestId,
-        /// The daemon.
+        /// Daemon that receives it.
         to: Incarnation,
     },
-    /// Ask a holder.
+    /// Ask the holder of a claim what became of it.
     Question {
-        /// The holder.
+        /// Holder of the claim.
         to: Incarnation,
-        /// The question.
+        /// Question to send.
         question: Question,
     },
-    /// Write; one at a time.
+    /// Write to the key-value service; one write at a time.
     Write {
-        /// Its number, by which a late end is told from that of a later write.
+        /// Number that distinguishes a late result from that of a later write.
         number: u64,
-        /// The write.
+        /// Write to send.
         write: Write,
     },
-    /// Take a lease for rows.
+    /// Request a lease of this duration for rows.
     Lease(Duration),
 }
 
-/// A refused request.
+/// A rejected request.
 #[proc_macros::row]
 #[derive(Eq)]
 pub struct Rejection {
     /// Request.
     pub request: RequestId,
-    /// Why.
+    /// Reason for the rejection.
     pub code: Code,
-    /// Whether it ran.
+    /// Whether the request ran.
     pub ran: Ran,
-    /// When coming back helps.
+    /// Time from which a retry can succeed.
     pub retry_at: Option<Instant>,
-    /// Request that has the key.
+    /// Request that runs under the same key.
     pub running: Option<RequestId>,
 }
--- a/lib/src/claims/claim.rs
+++ b/lib/src/claims/claim.rs
@@ -1,9 +1,9 @@
-//! Life cycle of a claim, as types.
+//! States of a claim, as types.
 //!
-//! The one way to a [`Permit`] leads out of [`Claiming`] or from an unused issued
-//! key, and the one way back leads through its end. A claim that was released
-//! has no method that dispatches it, so a promise to another daemon can't be
-//! broken by a later change of the code.
+//! A [`Permit`] can only be obtained from [`Claiming`] or from an unused issued key,
+//! and it is only given back with the result of the request. A released claim has no
+//! method that dispatches it, so a later change of the code cannot break the promise
+//! to another daemon that the request never runs.
 
 use std::time::Instant;
 
@@ -12,7 +12,7 @@
 use crate::ids::{Incarnation, RequestId, Revision};
 use crate::table::Row;
 
-/// The right to dispatch a request once; can't be copied.
+/// Permission to dispatch a request once; cannot be copied.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Permit {
     id: ClaimId,
@@ -21,12 +21,12 @@
 }
 
 impl Permit {
-    /// Request that may be dispatched.
+    /// Id of the request that may be dispatched.
     pub fn request(&self) -> RequestId {
         self.request
     }
 
-    /// Claim that it belongs to.
+    /// Id of the claim.
     pub fn id(&self) -> &ClaimId {
         &self.id
     }
@@ -47,64 +47,64 @@
     pub state: S,
 }
 
-/// Its row is being created, or put in place of a released one.
+/// Its row is being created, or is replacing a released one.
 #[proc_macros::row]
 pub(crate) struct Claiming {
-    /// When the caller is told that it was not run.
+    /// When the claim is abandoned and the caller is answered "not run".
     pub deadline: Instant,
-    /// Revision of a row whose holder released it.
+    /// Revision of the released row that this claim replaces.
     pub replaces: Option<Revision>,
-    /// Sequence of an own claim of the key that was released. Its row may still
-    /// stand, when the daemon that asked died before it replaced it.
+    /// Sequence of an earlier claim of the key by this daemon, which was released. Its
+    /// row may still exist if the daemon that asked for it died before replacing it.
     pub released: Option<Sequence>,
 }
 
-/// It was dispatched.
+/// Its request was dispatched.
 #[proc_macros::row]
 pub(crate) struct Running {
-    /// Revision of its row; 0 if it has none.
+    /// Revision of its row; 0 if it has no row.
     pub revision: Revision,
 }
 
-/// It ended; the row may not tell so yet.
+/// Its request ended; the row may not record the result yet.
 #[proc_macros::row]
 pub(crate) struct Ended {
-    /// Answer; none if it may have run without one.
+    /// Answer; none if the request may have run without one.
     pub answer: Option<Answer>,
-    /// Revision of the row that has to be changed; 0 if none has to.
+    /// Revision of the row that has to be updated; 0 if none has to be.
     pub revision: Revision,
     /// When it may be forgotten, once the row records the result.
     pub forget_at: Instant,
 }
 
-/// It was not dispatched; whether its row stands is not known.
+/// Its request was not dispatched; whether its row exists is unknown.
 #[proc_macros::row]
 pub(crate) struct Abandoned {
     /// When it may be forgotten.
     pub forget_at: Instant,
 }
 
-/// It was not dispatched and never will be, as another daemon was promised.
+/// Its request was not dispatched and never will be; another daemon was promised so.
 #[proc_macros::row]
 pub(crate) struct Released {
     /// When it may be forgotten.
     pub forget_at: Instant,
 }
 
-/// Another daemon has the row and is being asked.
+/// Another daemon holds the row and is being asked about it.
 #[proc_macros::row]
 pub(crate) struct Asking {
     /// When the holder is considered gone, unless it replies.
     pub reply_by: Instant,
-    /// Revision of its row.
+    /// Revision of the holder's row.
     pub revision: Revision,
-    /// Sequence of its row.
+    /// Sequence of the holder's row.
     pub holder_sequence: Sequence,
-    /// When the caller is told that it was not run.
+    /// Deadline of the claim if the holder releases its row.
     pub deadline: Instant,
 }
 
-/// A claim in whichever state it is.
+/// A claim in any of its states.
 #[proc_macros::row]
 pub(crate) enum AnyClaim {
     Claiming(Claim<Claiming>),
@@ -116,6 +116,7 @@
 }
 
 impl<S> Claim<S> {
+    /// The same claim in another state.
     fn enter<T>(self, state: T) -> Claim<T> {
         Claim {
             id: self.id,
@@ -126,12 +127,12 @@
         }
     }
 
-    /// Whether a row is this claim's own.
+    /// Whether a row belongs to this claim.
     pub fn is_own_row(&self, me: Incarnation, row: &ClaimRow) -> bool {
         row.holder == me && row.sequence == self.sequence
     }
 
-    /// The row that stands for it.
+    /// The row of this claim at a stage.
     pub fn row(&self, me: Incarnation, stage: Stage) -> ClaimRow {
         ClaimRow {
             holder: me,
@@ -144,7 +145,7 @@
 }
 
 impl Claim<Claiming> {
-    /// A claim for a request.
+    /// A new claim for a request.
     pub fn new(id: ClaimId, request: &KeyedRequest, sequence: Sequence, deadline: Instant) -> Self {
         Self {
             id,
@@ -159,22 +160,22 @@
         }
     }
 
-    /// Whether a row is that of an own claim that was released.
+    /// Whether a row belongs to an earlier claim by this daemon that was released.
     pub fn is_released_row(&self, me: Incarnation, row: &ClaimRow) -> bool {
         row.holder == me && self.state.released == Some(row.sequence)
     }
 
-    /// Its row stands.
+    /// Its row was written: the request may be dispatched.
     pub fn into_running(self, revision: Revision) -> (Claim<Running>, Permit) {
         with_permit(self.enter(Running { revision }))
     }
 
-    /// Nobody waits for it any more.
+    /// Abandons the claim, as no caller waits for it any longer.
     pub fn abandon(self, forget_at: Instant) -> Claim<Abandoned> {
         self.enter(Abandoned { forget_at })
     }
 
-    /// Another daemon has the row.
+    /// Another daemon holds the row and is asked about it.
     pub fn ask_holder(
         self,
         reply_by: Instant,
@@ -192,7 +193,7 @@
 }
 
 impl Claim<Running> {
-    /// An issued key that nobody used; it needs no row.
+    /// Claim of an unused issued key; it needs no row.
     pub fn for_issued(id: ClaimId, request: &KeyedRequest, sequence: Sequence) -> (Self, Permit) {
         with_permit(Self {
             id,
@@ -203,7 +204,7 @@
         })
     }
 
-    /// Takes its end.
+    /// Records the result of its request.
     pub fn finish(self, result: RunResult, forget_at: Instant) -> AnyClaim {
         let revision = self.state.revision;
         let answer = match result {
@@ -220,8 +221,8 @@
 }
 
 impl Claim<Abandoned> {
-    /// Claims it for another request with the same key. The sequence stays, so
-    /// that a row which came late shows as its own.
+    /// Claims the key again for another request. The sequence stays the same, so that
+    /// a row that was written late is recognized as this claim's own.
     pub fn retry(self, request: &KeyedRequest, deadline: Instant) -> Claim<Claiming> {
         Claim {
             request: request.id,
@@ -233,7 +234,7 @@
         }
     }
 
-    /// Gives it up for good.
+    /// Releases the claim: its request is never dispatched.
     pub fn release(self) -> Claim<Released> {
         let forget_at = self.state.forget_at;
         self.enter(Released { forget_at })
@@ -241,7 +242,7 @@
 }
 
 impl Claim<Released> {
-    /// A new claim of the key, with a sequence of its own.
+    /// A new claim of the key, with a new sequence.
     pub fn claim_anew(
         self,
         request: &KeyedRequest,
@@ -255,7 +256,7 @@
 }
 
 impl Claim<Asking> {
-    /// The holder released its row; it may be replaced at that revision.
+    /// The holder released its row, which may now be replaced at that revision.
     pub fn replace_row(self) -> Claim<Claiming> {
         let replaces = Some(self.state.revision);
         let deadline = self.state.deadline;
@@ -268,7 +269,7 @@
 }
 
 impl Claim<Ended> {
-    /// How its row shall tell it.
+    /// Stage that its row has to record.
     pub fn stage(&self) -> Stage {
         let answer = self.state.answer.clone();
         answer.map_or(Stage::Unknown, Stage::Answered)
@@ -298,7 +299,7 @@
         }
     }
 
-    /// What another daemon is told of it; an abandoned one is to be released.
+    /// Reply to another daemon; an abandoned claim must be released with it.
     pub fn reply(&self) -> Reply {
         match self {
             Self::Claiming(c) => Reply::Running(c.request),
@@ -328,6 +329,7 @@
     }
 }
 
+/// A claim whose request may be dispatched, with its permit.
 fn with_permit(claim: Claim<Running>) -> (Claim<Running>, Permit) {
     let permit = Permit {
         id: claim.id.clone(),
