--- a/lib/src/claims/claimer.rs
+++ b/lib/src/claims/claimer.rs
@@ -1,10 +1,10 @@
 //! Decides which requests with an idempotency key may be dispatched.
 //!
-//! Its load is repeats: impatient guests, and callers whose entry host was
-//! reclaimed, send the same booking through several daemons within seconds, and
-//! most of all while the key-value service is out. A claim therefore waits for
-//! [`CLAIM_TIMEOUT`] only; a guest who is told "not run" and when to come back is
-//! better off than one who waits for an outage to end.
+//! Its load is retries: impatient guests, and callers whose entry host was
+//! reclaimed, send the same booking through several daemons within seconds, most of
+//! all during an outage of the key-value service. A claim therefore waits for
+//! [`CLAIM_TIMEOUT`] only; a guest who is answered "not run" and when to retry is
+//! better off than one who waits for the outage to end.
 
 mod keys;
 mod rows;
@@ -23,41 +23,47 @@
 use crate::store::{Failure, Lease};
 use crate::table::Table;
 
-/// Time that a claim waits for the service. It answers in milliseconds; a guest
-/// gives up after a few seconds, and then needs time to be answered.
+/// Maximum time that a claim waits for the service. The service answers in
+/// milliseconds; a guest gives up after a few seconds, and the answer to the guest
+/// needs some of that time.
 pub const CLAIM_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time for a holder's reply.
+/// Timeout for the reply of a claim's holder.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time for which ends and refused claims are remembered.
+/// Time for which results and abandoned or released claims are remembered.
 const MEMORY_TTL: Duration = Duration::from_mins(10);
-/// Least and most time after which a refused caller should come back.
+/// Minimum and maximum delay in seconds after which a rejected caller should retry.
 const RETRY_AFTER_S: (f64, f64) = (1.0, 4.0);
-/// Lease on the rows: the time they are kept, and the time one lease is used.
+/// Duration of a lease on rows: their retention, and an hour in which the lease is
+/// used for new rows.
 const LEASE_TIME: Duration = MIN_RETENTION.saturating_add(Duration::from_hours(1));
-/// Pause before a lease is asked for again.
+/// Delay before a lease is requested again.
 const LEASE_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// What a daemon knows of idempotency keys.
+/// Claims and issued keys of one daemon.
 #[derive(Debug)]
 pub struct Claimer {
     me: Incarnation,
     claims: Table<AnyClaim>,
+    /// Key spaces that this daemon holds: its own and those handed over to it.
     spaces: Vec<KeySpace>,
-    /// Spaces that were handed over, and to whom.
+    /// Issuers of the key spaces that this daemon handed over, with the successor.
     handed_over: Vec<(Incarnation, Incarnation)>,
     batch: Batch,
     lease: Option<Lease>,
+    /// When a lease may be requested again.
     lease_retry: Option<Instant>,
     peers: Vec<Peer>,
+    /// Whether this daemon will be reclaimed and starts no further requests.
     frozen: bool,
+    /// Sequence of the latest claim.
     sequence: Sequence,
     rng: fastrand::Rng,
     commands: Vec<Command>,
 }
 
 impl Claimer {
-    /// Claimer of a fresh incarnation, which was never used before.
+    /// Claimer of a new incarnation, which must never have been used before.
     pub fn new(me: Incarnation, seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         Self {
@@ -76,7 +82,7 @@
         }
     }
 
-    /// Takes what happened and tells what is to be done.
+    /// Handles events and returns the actions to carry out.
     pub fn tick(&mut self, now: Instant, inputs: Vec<Input>) -> Vec<Command> {
         for input in inputs {
             self.handle(now, input);
@@ -86,10 +92,10 @@
         std::mem::take(&mut self.commands)
     }
 
-    /// Replies to another daemon that found a row of this one.
+    /// Replies to another daemon that found a row of this daemon.
     pub fn reply(&mut self, question: &Question) -> Reply {
         let claim = self.claims.get(&question.id);
-        // A question about another claim of the key must not release this one.
+        // A question about another claim of the same key must not release this claim.
         if claim.is_none_or(|claim| claim.sequence() != question.sequence) {
             return Reply::Unknown;
         }
@@ -127,19 +133,21 @@
         }
     }
 
+    /// Dispatches a request with a supplied key once its row is written, or answers it
+    /// from an existing claim.
     fn try_supplied(&mut self, now: Instant, request: &KeyedRequest) {
         let id = request.key.claim_id(&request.customer);
-        let until = request.deadline.min(now + CLAIM_TIMEOUT);
+        let deadline = request.deadline.min(now + CLAIM_TIMEOUT);
         let claim = match self.claims.remove(&id) {
             Some(claim) if claim.digest() != request.digest => {
                 self.claims.insert(claim);
                 return self.reject(request.id, Code::KeyReused, Ran::No);
             }
-            Some(AnyClaim::Abandoned(claim)) if !self.frozen => claim.retry(request, until),
+            Some(AnyClaim::Abandoned(claim)) if !self.frozen => claim.retry(request, deadline),
             Some(AnyClaim::Released(claim)) if !self.frozen => {
-                claim.claim_anew(request, self.next_sequence(), until)
+                claim.claim_anew(request, self.next_sequence(), deadline)
             }
-            None if !self.frozen => Claim::new(id, request, self.next_sequence(), until),
+            None if !self.frozen => Claim::new(id, request, self.next_sequence(), deadline),
             Some(claim @ (AnyClaim::Abandoned(_) | AnyClaim::Released(_))) => {
                 self.claims.insert(claim);
                 return self.reject_retryable(now, request.id, Code::Draining);
@@ -179,18 +187,18 @@
     }
 
     fn record_result(&mut self, now: Instant, permit: &Permit, result: RunResult) {
-        let until = now + MEMORY_TTL;
+        let forget_at = now + MEMORY_TTL;
         if let Some(Key::Issued { issuer, .. }) = Key::parse(permit.id()) {
             let space = self.spaces.iter_mut().find(|s| s.issuer() == issuer);
             if let Some(space) = space {
-                space.record_result(permit, result, until);
+                space.record_result(permit, result, forget_at);
             }
             return;
         }
         match self.claims.remove(permit.id()) {
             Some(AnyClaim::Running(claim)) if claim.sequence == permit.sequence() => {
                 self.batch.push_result(now, claim.id.clone());
-                self.claims.insert(claim.finish(result, until));
+                self.claims.insert(claim.finish(result, forget_at));
             }
             Some(other) => {
                 self.claims.insert(other);
@@ -199,7 +207,7 @@
         }
     }
 
-    /// Tells a caller what became of the key's first request.
+    /// Answers a caller with the state of the key's first request.
     fn respond(&mut self, request: RequestId, reply: Reply) {
         match reply {
             Reply::Answered(answer) => {
@@ -220,6 +228,7 @@
         }
     }
 
+    /// Rejects a request without a time for a retry.
     fn reject(&mut self, request: RequestId, code: Code, ran: Ran) {
         self.commands.push(Command::Reject(Rejection {
             request,
@@ -230,23 +239,24 @@
         }));
     }
 
-    /// Refuses a request that was not run and may come again.
+    /// Rejects a request that did not run and may be retried.
     fn reject_retryable(&mut self, now: Instant, request: RequestId, code: Code) {
-        let spread = RETRY_AFTER_S.0 + (RETRY_AFTER_S.1 - RETRY_AFTER_S.0) * self.rng.f64();
+        let delay_s = RETRY_AFTER_S.0 + (RETRY_AFTER_S.1 - RETRY_AFTER_S.0) * self.rng.f64();
         self.commands.push(Command::Reject(Rejection {
             request,
             code,
             ran: Ran::No,
-            retry_at: Some(now + Duration::from_secs_f64(spread)),
+            retry_at: Some(now + Duration::from_secs_f64(delay_s)),
             running: None,
         }));
     }
 
+    /// Fails a write that timed out, and ends or removes the claims whose time is over.
     fn expire(&mut self, now: Instant) {
         if let Some(number) = self.batch.timed_out(now) {
             self.handle_write(now, number, Err(Failure::Unknown));
         }
-        let over = |claim: &&AnyClaim| match claim {
+        let expired = |claim: &&AnyClaim| match claim {
             AnyClaim::Claiming(c) => c.state.deadline <= now,
             AnyClaim::Asking(c) => c.state.reply_by <= now,
             AnyClaim::Ended(c) => c.state.revision == 0 && c.state.forget_at <= now,
@@ -254,8 +264,8 @@
             AnyClaim::Released(c) => c.state.forget_at <= now,
             AnyClaim::Running(_) => false,
         };
-        let over: Vec<_> = self.claims.iter().filter(over).cloned().collect();
-        for claim in over {
+        let expired: Vec<_> = self.claims.iter().filter(expired).cloned().collect();
+        for claim in expired {
             self.expire_claim(now, claim);
         }
     }
--- a/lib/src/claims/claimer/keys.rs
+++ b/lib/src/claims/claimer/keys.rs
@@ -1,4 +1,4 @@
-//! Keys that daemons issue, as requests and hand-overs meet them.
+//! Issued keys: issuing them, handing them over and handling requests with them.
 
 use std::time::Instant;
 
@@ -9,7 +9,7 @@
 use crate::ids::{CustomerId, Incarnation};
 
 impl Claimer {
-    /// Issues a key; none once frozen.
+    /// Issues a key to a customer; none once frozen.
     pub fn issue(&mut self, customer: &CustomerId) -> Option<Key> {
         if self.frozen {
             return None;
@@ -18,27 +18,28 @@
         Some(own.issue(customer))
     }
 
-    /// Incarnations whose keys were handed over to this daemon, for gossip.
+    /// Incarnations whose key spaces were handed over to this daemon, for gossip.
     pub fn inherited_issuers(&self) -> Vec<Incarnation> {
         let issuers = self.spaces.iter().map(KeySpace::issuer);
         issuers.filter(|issuer| *issuer != self.me).collect()
     }
 
-    /// Gives all key spaces to a successor, once; empty before the freeze.
+    /// Hands all key spaces over to a successor, once; empty before the freeze.
     ///
-    /// A message that may have been lost can be sent again as it is, to the same
-    /// successor. Given to a second one, both would dispatch the unused keys.
+    /// A message that may have been lost can be resent unchanged to the same
+    /// successor. If a second successor received it, both would dispatch requests with
+    /// the unused keys.
     pub fn hand_over(&mut self, to: Incarnation) -> Vec<HandOver> {
         if !self.frozen {
             return Vec::new();
         }
         let spaces = std::mem::take(&mut self.spaces);
-        let moved = spaces.iter().map(|space| (space.issuer(), to));
-        self.handed_over.extend(moved);
+        let handed_over = spaces.iter().map(|space| (space.issuer(), to));
+        self.handed_over.extend(handed_over);
         spaces.into_iter().map(|s| s.hand_over(to)).collect()
     }
 
-    /// Takes a key space over; tells whether this daemon has it, or had it.
+    /// Accepts a key space; returns whether this daemon holds it or has held it.
     pub fn take_over(&mut self, now: Instant, over: HandOver) -> bool {
         let known = self.spaces.iter().any(|s| s.issuer() == over.issuer)
             || self
@@ -53,6 +54,8 @@
         true
     }
 
+    /// Dispatches a request with an unused issued key; otherwise answers, forwards or
+    /// rejects it.
     pub(super) fn try_issued(
         &mut self,
         now: Instant,
@@ -84,12 +87,12 @@
         }
     }
 
-    /// Sends a request on to whoever holds the keys of an issuer.
+    /// Forwards a request to the daemon that holds the key space of an issuer.
     pub(super) fn forward(&mut self, request: &KeyedRequest, issuer: Incarnation) {
-        let moved = self.handed_over.iter().find(|(from, _)| *from == issuer);
-        let holds = |h: &&Peer| h.incarnation == issuer || h.holds.contains(&issuer);
-        let holder = self.peers.iter().find(holds).map(|h| h.incarnation);
-        match moved.map(|(_, to)| *to).or(holder) {
+        let successor = self.handed_over.iter().find(|(from, _)| *from == issuer);
+        let holds = |p: &&Peer| p.incarnation == issuer || p.holds.contains(&issuer);
+        let holder = self.peers.iter().find(holds).map(|p| p.incarnation);
+        match successor.map(|(_, to)| *to).or(holder) {
             Some(to) if !request.forwarded => {
                 let request = request.id;
                 self.commands.push(Command::Forward { request, to });
--- a/lib/src/claims/claimer/rows.rs
+++ b/lib/src/claims/claimer/rows.rs
@@ -1,4 +1,4 @@
-//! Rows of callers' keys: what is written, and what stands there already.
+//! Rows of supplied keys: writing them, and handling rows that exist already.
 
 use std::time::Instant;
 
@@ -12,6 +12,7 @@
 use crate::store::{Condition, Failure, Lease, Put, Snapshot, StoredValue, Write, Written};
 
 impl Claimer {
+    /// Handles the result of a write.
     pub(super) fn handle_write(
         &mut self,
         now: Instant,
@@ -33,8 +34,8 @@
                     self.put_conflicted(now, item, &found);
                 }
             }
-            // Whether it took effect or not: the same claims are written again,
-            // and a row that stands already shows by its sequence whose it is.
+            // The write may or may not have taken effect. The same claims are written
+            // again, and the sequence of an existing row shows whose row it is.
             Err(_) => {
                 self.batch.back_off(now);
                 for item in items {
@@ -44,7 +45,8 @@
         }
     }
 
-    /// Takes out the claim that a write was made for, if it is still the same.
+    /// Removes the claim that was written from the table and returns it, unless another
+    /// claim of the same key has replaced it.
     pub(super) fn take_claim(&mut self, item: &Item) -> Option<AnyClaim> {
         let claim = self.claims.get(&item.id)?;
         if claim.sequence() != item.sequence {
@@ -53,6 +55,7 @@
         self.claims.remove(&item.id)
     }
 
+    /// The row of a claim was written.
     pub(super) fn put_done(&mut self, item: &Item, revision: Revision) {
         match self.take_claim(item) {
             Some(AnyClaim::Claiming(claim)) => self.dispatch(claim, revision),
@@ -67,6 +70,7 @@
         }
     }
 
+    /// A write with a claim was not done, as a condition did not hold.
     pub(super) fn put_conflicted(&mut self, now: Instant, item: &Item, found: &Snapshot) {
         let held = found.get(&item.id);
         match (self.take_claim(item), held) {
@@ -76,8 +80,9 @@
                 self.queue_claim(now, claim);
             }
             (Some(AnyClaim::Ended(mut claim)), held) => {
-                // It is the row of a lost write already, or has expired, unless
-                // only another claim of the same write did not hold.
+                // If the row is unchanged, the condition of another claim in the write
+                // did not hold. Otherwise an earlier write whose response was lost has
+                // updated the row already, or the row has expired.
                 if held.is_some_and(|held| held.changed == claim.state.revision) {
                     self.batch.push(now, claim.id.clone());
                 } else {
@@ -92,13 +97,14 @@
         }
     }
 
+    /// Dispatches the request of a claim whose row is written.
     pub(super) fn dispatch(&mut self, claim: Claim<Claiming>, revision: Revision) {
         let (claim, permit) = claim.into_running(revision);
         self.claims.insert(AnyClaim::Running(claim));
         self.commands.push(Command::Dispatch(permit));
     }
 
-    /// Goes on with what stands under the key.
+    /// Continues a claim whose key already has a row.
     pub(super) fn resolve(&mut self, now: Instant, mut claim: Claim<Claiming>, held: &StoredValue) {
         let row = ClaimRow::decode(held);
         let runs = row.stage == Stage::Running;
@@ -106,12 +112,12 @@
             return self.dispatch(claim, held.changed);
         }
         if claim.state.replaces == Some(held.changed) {
-            // Only another claim of the same write did not hold.
+            // The condition of another claim in the same write did not hold.
             return self.queue_claim(now, claim);
         }
         if runs && claim.is_released_row(self.me, &row) {
-            // It never ran; should the one that asked for it live, only one of the
-            // two writes upon this revision is done.
+            // The request of that row never ran. If the daemon that asked for the release
+            // is still alive, only one of the two writes at this revision succeeds.
             claim.state.replaces = Some(held.changed);
             return self.queue_claim(now, claim);
         }
@@ -134,6 +140,7 @@
         }
     }
 
+    /// Asks the holder of a row what became of its claim.
     pub(super) fn send_question(&mut self, to: Incarnation, claim: &Claim<Asking>) {
         let question = Question {
             id: claim.id.clone(),
@@ -143,9 +150,10 @@
     }
 
     pub(super) fn is_live(&self, holder: Incarnation) -> bool {
-        self.peers.iter().any(|h| h.incarnation == holder)
+        self.peers.iter().any(|p| p.incarnation == holder)
     }
 
+    /// Handles the reply of a holder; none if the question failed.
     pub(super) fn handle_reply(&mut self, now: Instant, question: &Question, reply: Option<Reply>) {
         let claim = match self.claims.remove(&question.id) {
             Some(AnyClaim::Asking(claim)) if claim.state.holder_sequence == question.sequence => {
@@ -173,7 +181,7 @@
         }
     }
 
-    /// Writes the claims that wait, if it is time.
+    /// Sends a write of the queued claims if one is due and allowed.
     pub(super) fn send_write(&mut self, now: Instant) {
         if !self.batch.is_due(now) || !self.ensure_lease(now) {
             return;
@@ -194,7 +202,7 @@
         }
     }
 
-    /// What is to be written of a claim, if anything.
+    /// Condition, put and sequence for the row of a claim, if it has to be written.
     pub(super) fn row_put(&self, id: &ClaimId) -> Option<(Condition, Put, Sequence)> {
         let (condition, row) = match self.claims.get(id)? {
             AnyClaim::Claiming(claim) => {
@@ -218,15 +226,15 @@
         Some((condition, put, row.sequence))
     }
 
-    /// Whether rows can hang on a lease that keeps them for [`MIN_RETENTION`]; asks for one
+    /// Whether there is a lease that keeps new rows for [`MIN_RETENTION`]; requests one
     /// otherwise.
     pub(super) fn ensure_lease(&mut self, now: Instant) -> bool {
         let has = self
             .lease
             .as_ref()
             .is_some_and(|l| l.until >= now + MIN_RETENTION);
-        let asked = self.lease_retry.is_some_and(|until| now < until);
-        if !has && !asked {
+        let requested = self.lease_retry.is_some_and(|until| now < until);
+        if !has && !requested {
             self.lease_retry = Some(now + LEASE_RETRY_DELAY);
             self.commands.push(Command::Lease(LEASE_TIME));
         }
--- a/lib/src/claims/issued.rs
+++ b/lib/src/claims/issued.rs
@@ -1,11 +1,11 @@
 //! Keys that daemons issue, and their hand-over on an announced reclaim.
 //!
 //! A key space belongs to one incarnation at a time: its issuer, and after a
-//! hand-over the successor. The issuer gives a space away once, to one successor,
-//! after it has stopped using it; a successor takes a space once. So two never
-//! dispatch from the same space, however messages are lost, late or repeated. If
-//! the hand-over is lost, or the issuer crashes, the space is dead and its keys
-//! answer "unknown".
+//! hand-over the successor. The issuer hands a space over once, to one successor,
+//! after it has stopped using it; a successor accepts a space once. Two daemons
+//! therefore never dispatch from the same space, even if messages are lost, late or
+//! duplicated. If the hand-over is lost or the issuer crashes, nobody holds the space
+//! and requests with its keys are answered "unknown".
 
 use compact_str::CompactString;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -17,39 +17,40 @@
 use crate::table::{Row, Table};
 use std::time::Instant;
 
-/// Used keys that a space remembers; with answers of a few hundred bytes a few
-/// megabytes. Older keys are dead, so that forgetting one can't run it again.
+/// Maximum number of used keys that a space remembers; with answers of a few hundred
+/// bytes each they take a few megabytes. All older keys are expired, so that a key
+/// whose use was forgotten cannot run again.
 pub const MAX_USED_KEYS: usize = 10_000;
 
-/// A key that was used, as a successor learns it.
+/// A used key in a hand-over.
 #[proc_macros::setting]
 #[derive(Eq)]
 pub struct UsedKey {
-    /// Its text.
+    /// Text of the key.
     pub id: CompactString,
-    /// Digest of its request.
+    /// Digest of the request that used it.
     pub digest: Digest,
-    /// Its request.
+    /// Id of that request.
     pub request: RequestId,
-    /// Answer; none if it may have run without one.
+    /// Answer; none if the request may have run without one.
     pub answer: Option<Answer>,
 }
 
-/// A key space on its way to a successor.
+/// Message that hands a key space over to a successor.
 #[proc_macros::setting]
 #[derive(Eq)]
 pub struct HandOver {
-    /// The successor; any other must not take it.
+    /// The successor; no other daemon may accept it.
     pub to: Incarnation,
     /// Incarnation that issued the keys.
     pub issuer: Incarnation,
-    /// What the tags were made with.
+    /// Secret that the tags of the keys are computed with.
     pub secret: u64,
-    /// Keys below this count are dead.
+    /// Keys with a lower count are expired.
     pub floor: u64,
-    /// Count of the next key, which was never issued.
+    /// Count of the next key to issue.
     pub next: u64,
-    /// Used keys.
+    /// Used keys that are still remembered.
     pub used: Vec<UsedKey>,
 }
 
@@ -63,21 +64,21 @@
     used: Table<AnyClaim>,
 }
 
-/// What a key is in its space.
+/// Result of looking a key up in its space.
 #[derive(Debug)]
 pub(crate) enum Lookup<'a> {
-    /// Not a key of this space, or not this customer's.
+    /// Not issued in this space, or not to this customer.
     Invalid,
-    /// So old that its use may be forgotten.
+    /// So old that its use may have been forgotten.
     Expired,
-    /// Never used.
+    /// Issued and not used yet.
     Unused,
-    /// Used.
+    /// Used by the request of this claim.
     Used(&'a AnyClaim),
 }
 
 impl KeySpace {
-    /// Key space of an incarnation that has issued nothing.
+    /// Empty key space of an issuer.
     pub fn new(issuer: Incarnation, secret: u64) -> Self {
         Self {
             issuer,
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Key space that was handed over.
+    /// Key space from a hand-over.
     pub fn from_hand_over(hand_over: HandOver, forget_at: Instant) -> Self {
         Self {
             issuer: hand_over.issuer,
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Issuer of its keys.
+    /// Incarnation that issued the keys.
     pub fn issuer(&self) -> Incarnation {
         self.issuer
     }
@@ -119,7 +120,7 @@
         }
     }
 
-    /// What a key is here.
+    /// Looks a key up.
     pub fn lookup(&self, customer: &str, id: &ClaimId, count: u64, tag: u64) -> Lookup<'_> {
         if count >= self.next || tag != self.tag(customer, count) {
             return Lookup::Invalid;
@@ -130,7 +131,7 @@
         self.used.get(id).map_or(Lookup::Unused, Lookup::Used)
     }
 
-    /// Uses a key that was never used.
+    /// Uses an unused key for a request.
     pub fn use_key(&mut self, id: ClaimId, request: &KeyedRequest, sequence: Sequence) -> Permit {
         let (claim, permit) = Claim::for_issued(id, request, sequence);
         self.used.insert(AnyClaim::Running(claim));
@@ -140,18 +141,19 @@
         permit
     }
 
-    /// Takes the end of a request.
-    pub fn record_result(&mut self, permit: &Permit, result: RunResult, until: Instant) {
+    /// Records the result of a request.
+    pub fn record_result(&mut self, permit: &Permit, result: RunResult, forget_at: Instant) {
         let Some(AnyClaim::Running(claim)) = self.used.remove(permit.id()) else {
             return;
         };
-        // One that provably did not leave is unused as before.
+        // The key of a request that provably was not sent is unused again.
         if result != RunResult::Unsent {
-            self.used.insert(claim.finish(result, until));
+            self.used.insert(claim.finish(result, forget_at));
         }
     }
 
-    /// The space for a successor; what still runs is of unknown outcome to it.
+    /// Hands the space over to a successor, for which requests that still run have an
+    /// unknown outcome.
     pub fn hand_over(self, to: Incarnation) -> HandOver {
         HandOver {
             to,
@@ -163,6 +165,7 @@
         }
     }
 
+    /// Forgets the oldest used key, after which all keys up to it are expired.
     fn evict_oldest(&mut self) {
         let oldest = self.used.iter().next().map(|claim| claim.id().clone());
         let Some(id) = oldest else {
@@ -174,7 +177,8 @@
         self.used.remove(&id);
     }
 
-    /// Keeps customers from using, or reading the answer of, one another's keys.
+    /// Tag that ties a key to its customer, so that customers can neither use one
+    /// another's keys nor read their answers.
     fn tag(&self, customer: &str, count: u64) -> u64 {
         let seed = self.secret ^ count.wrapping_mul(0x9e37_79b9_7f4a_7c15);
         xxh3_64_with_seed(customer.as_bytes(), seed)
--- a/lib/src/claims/key.rs
+++ b/lib/src/claims/key.rs
@@ -5,30 +5,30 @@
 use super::ClaimId;
 use crate::ids::Incarnation;
 
-/// Most characters of a key.
+/// Maximum length of a key in bytes.
 pub const MAX_KEY_BYTES: usize = 128;
-/// What issued keys begin with; callers' own keys may not.
+/// Prefix of issued keys; supplied keys must not begin with it.
 const ISSUED_PREFIX: &str = "pk-";
 
 /// An idempotency key.
 #[proc_macros::row]
 #[derive(Eq)]
 pub enum Key {
-    /// A caller's own.
+    /// Supplied by the caller.
     Supplied(CompactString),
-    /// One that a daemon issued.
+    /// Issued by a daemon.
     Issued {
         /// Incarnation that issued it.
         issuer: Incarnation,
-        /// Its count of issued keys.
+        /// Number of keys that the issuer had issued before.
         count: u64,
-        /// Ties it to the customer.
+        /// Ties the key to its customer.
         tag: u64,
     },
 }
 
 impl Key {
-    /// Reads a key; none if it is malformed.
+    /// Parses a key; none if it is malformed.
     pub fn parse(text: &str) -> Option<Self> {
         let printable = text.bytes().all(|b| b.is_ascii_graphic());
         if text.is_empty() || text.len() > MAX_KEY_BYTES || !printable {
@@ -46,7 +46,7 @@
         parts.next().is_none().then_some(key)
     }
 
-    /// The key as callers send it.
+    /// Text of the key as callers send it.
     pub fn text(&self) -> CompactString {
         match self {
             Self::Supplied(text) => text.clone(),
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Id of its claim; customers' own keys never meet.
+    /// Id of the claim; equal supplied keys of different customers have different ids.
     pub(crate) fn claim_id(&self, customer: &str) -> ClaimId {
         match self {
             Self::Supplied(text) => format_compact!("poplarvale/claims/{customer}/{text}"),
@@ -65,6 +65,7 @@
     }
 }
 
+/// Parses 16 hexadecimal digits.
 fn parse_hex(digits: &str) -> Option<u64> {
     if digits.len() != 16 {
         return None;
--- a/lib/src/claims/row.rs
+++ b/lib/src/claims/row.rs
@@ -1,4 +1,4 @@
-//! A claim as it stands in the key-value service.
+//! Row of a claim in the key-value service.
 
 use bytes::Bytes;
 use prost::Message as _;
@@ -8,11 +8,12 @@
 use crate::protos::platform as wire;
 use crate::store::StoredValue;
 
-/// Largest body that is kept in the service. A confirmation has a few hundred
-/// bytes; of a larger one only the holder can tell, while it lives.
+/// Maximum size in bytes of an answer's body that is kept in the service. A
+/// confirmation has a few hundred bytes; a larger answer is known to the holder only,
+/// as long as the holder lives.
 pub const MAX_STORED_BODY: usize = 16 << 10;
 
-/// How far a claim got.
+/// Stage of a claim that its row records.
 #[proc_macros::row]
 #[derive(Eq)]
 pub(crate) enum Stage {
@@ -21,7 +22,7 @@
     Unknown,
 }
 
-/// What stands under a key.
+/// Contents of a row.
 #[proc_macros::row]
 #[derive(Eq)]
 pub(crate) struct ClaimRow {
@@ -33,7 +34,7 @@
 }
 
 impl ClaimRow {
-    /// Reads a row; one that can't be read is of nobody and of unknown outcome.
+    /// Decodes a row; one that cannot be decoded has no holder and an unknown outcome.
     pub fn decode(held: &StoredValue) -> Self {
         let wire = wire::Claim::decode(held.value.clone());
         let wire = wire.unwrap_or_else(|_unreadable| wire::Claim {
@@ -54,7 +55,7 @@
         }
     }
 
-    /// The value that stands for it.
+    /// Encodes the row as a value of the service.
     pub fn encode(&self) -> Bytes {
         let (stage, answer) = match &self.stage {
             Stage::Running => (wire::Stage::Running, None),
