--- a/lib/src/store.rs
+++ b/lib/src/store.rs
@@ -1,11 +1,12 @@
-//! What is asked of the platform's key-value service.
+//! Interface to the platform's key-value service.
 //!
-//! The service holds what must last, counts every call and has outages. Its
-//! worst fault is a lost answer: the write took effect and the writer does not
-//! know. Errors are therefore of two types only: [`Failure::NotDone`], after
-//! which a write may be made anew as another, and [`Failure::Unknown`], after
-//! which it must be settled by reading back. All that uses the service is
-//! written against [`Store`], so that another protocol can be put in its place.
+//! The service holds the data that must be durable, counts every call and has
+//! outages. Its worst fault is a lost response: the write took effect and the writer
+//! does not know it. There are therefore only two kinds of error:
+//! [`Failure::NotDone`], after which a new write may be made instead, and
+//! [`Failure::Unknown`], after which the outcome must be determined by reading back.
+//! All users of the service are written against [`Store`], so that it can be replaced
+//! by another protocol.
 
 mod base64;
 mod breaker;
@@ -20,44 +21,44 @@
 pub use base64::{from_base64, to_base64};
 pub use breaker::{Allow, Breaker, PROBE_RATE, RECOVERY_RATE, RECOVERY_TIME, SLOW_ANSWER};
 
-/// Name that a value stands under.
+/// Key of a value.
 pub type Key = CompactString;
-/// Lease that values can hang on.
+/// Id of a lease that values can be attached to.
 pub type LeaseId = u64;
 
-/// Most bytes of a value.
+/// Maximum size of a value in bytes.
 pub const MAX_VALUE_BYTES: usize = 1 << 20;
-/// Most conditions and puts of one write.
+/// Maximum number of conditions, and of puts, in one write.
 pub const MAX_PUTS: usize = 64;
 
-/// A value as it stands in the service.
+/// A value stored in the service.
 #[proc_macros::row]
 #[derive(Eq)]
 pub struct StoredValue {
-    /// Its key.
+    /// Key of the value.
     pub key: Key,
     /// The value.
     pub value: Bytes,
-    /// Revision it was created at.
+    /// Revision at which the key was created.
     pub created: Revision,
     /// Revision of its last change.
     pub changed: Revision,
-    /// Lease it hangs on; 0 for none.
+    /// Lease that the value is attached to; 0 for none.
     pub lease: LeaseId,
 }
 
-/// What was read at one revision.
+/// Result of a read at one revision.
 #[proc_macros::row]
 #[derive(Default, Eq)]
 pub struct Snapshot {
-    /// Revision of the whole service.
+    /// Revision of the whole service at the read.
     pub revision: Revision,
     /// The values, sorted by key.
     pub rows: Vec<StoredValue>,
 }
 
 impl Snapshot {
-    /// Value under a key.
+    /// Value of a key, if it was read.
     pub fn get(&self, key: &str) -> Option<&StoredValue> {
         let at = self
             .rows
@@ -67,18 +68,18 @@
     }
 }
 
-/// What must hold for a write to be done.
+/// Condition that must hold for a write to be done.
 #[proc_macros::row]
 #[derive(Eq)]
 pub enum Condition {
-    /// Nothing stands under the key.
+    /// The key has no value.
     Absent(Key),
     /// The key was last changed at this revision.
     Unchanged(Key, Revision),
 }
 
 impl Condition {
-    /// Key that it is about.
+    /// Key that the condition checks.
     pub fn key(&self) -> &Key {
         match self {
             Self::Absent(key) | Self::Unchanged(key, _) => key,
@@ -86,7 +87,7 @@
     }
 }
 
-/// A value to be put.
+/// A value to write.
 #[proc_macros::row]
 #[derive(Eq)]
 pub struct Put {
@@ -94,49 +95,49 @@
     pub key: Key,
     /// Value.
     pub value: Bytes,
-    /// Lease it hangs on; 0 for none.
+    /// Lease that the value is attached to; 0 for none.
     pub lease: LeaseId,
 }
 
-/// Puts that are done together, if all conditions hold.
+/// Puts that are done atomically if all conditions hold.
 #[proc_macros::row]
 #[derive(Default, Eq)]
 pub struct Write {
-    /// Conditions.
+    /// Conditions, all of which must hold.
     pub conditions: Vec<Condition>,
-    /// Puts.
+    /// Values to write.
     pub puts: Vec<Put>,
 }
 
-/// What came of a write that was answered.
+/// Result of a write that was answered.
 #[proc_macros::row]
 #[derive(Eq)]
 pub enum Written {
-    /// Done, at this revision.
+    /// The write was done at this revision.
     Done(Revision),
-    /// A condition did not hold; what stands under the conditions' keys.
+    /// A condition did not hold; contains the values of the conditions' keys.
     Conflict(Snapshot),
 }
 
-/// A lease that was given.
+/// A granted lease.
 #[proc_macros::row]
 #[derive(Eq)]
 pub struct Lease {
-    /// Its id.
+    /// Id of the lease.
     pub id: LeaseId,
-    /// When it may lapse, counted from before the call was sent, so that a slow
-    /// answer never makes the holder believe in a lease that is gone.
+    /// Earliest time at which it may expire, counted from before the call was sent, so
+    /// that after a slow response the holder never relies on an expired lease.
     pub until: Instant,
 }
 
-/// Why a call gave no answer.
+/// Reason for which a call has no result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Failure {
-    /// It provably was not done.
-    #[error("the call was not done")]
+    /// The call provably had no effect.
+    #[error("the call to the key-value service had no effect")]
     NotDone,
-    /// It may have been done.
-    #[error("the call may have been done")]
+    /// The call may have taken effect.
+    #[error("the call to the key-value service may have taken effect")]
     Unknown,
 }
 
@@ -148,23 +149,23 @@
     /// Reads all keys that begin with a prefix.
     fn range(&self, prefix: &str) -> impl Future<Output = Result<Snapshot, Failure>>;
 
-    /// Puts values if conditions hold, all or none.
+    /// Writes all values if all conditions hold, otherwise none.
     fn write(&self, write: Write) -> impl Future<Output = Result<Written, Failure>>;
 
-    /// Takes a lease that lapses unless renewed; whole seconds.
+    /// Requests a lease that expires after this many whole seconds unless renewed.
     fn grant(&self, lasts: Duration) -> impl Future<Output = Result<Lease, Failure>>;
 
-    /// Renews a lease; none if it is gone.
+    /// Renews a lease; none if it has expired.
     fn renew(&self, lease: LeaseId) -> impl Future<Output = Result<Option<Lease>, Failure>>;
 
-    /// Ends a lease and takes away what hangs on it.
+    /// Revokes a lease and deletes the values attached to it.
     fn revoke(&self, lease: LeaseId) -> impl Future<Output = Result<(), Failure>>;
 
-    /// Tells each value that a key gets from a revision on, until it breaks.
+    /// Reports each value that a key gets from a revision on, until the watch breaks.
     ///
-    /// Changes that follow closely may come as one. The service can forget a
-    /// watch without breaking it, so whoever relies on it also reads the key now
-    /// and then.
+    /// Changes in quick succession may be reported as one. The service can forget a
+    /// watch without breaking it, so whoever relies on a watch must also read the key
+    /// from time to time.
     fn watch(
         &self,
         key: &str,
--- a/lib/src/store/base64.rs
+++ b/lib/src/store/base64.rs
@@ -1,14 +1,14 @@
-//! Base64 with the standard alphabet and padding, as the gateway writes bytes.
+//! Base64 with the standard alphabet and padding, as the gateway of the service encodes bytes.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
 
-/// Text for some bytes.
+/// Encodes bytes.
 pub fn to_base64(bytes: &[u8]) -> String {
     STANDARD.encode(bytes)
 }
 
-/// Bytes of a text; none if it is malformed.
+/// Decodes a text; none if it is malformed.
 pub fn from_base64(text: &str) -> Option<Vec<u8>> {
     STANDARD.decode(text).ok()
 }
--- a/lib/src/store/breaker.rs
+++ b/lib/src/store/breaker.rs
@@ -1,55 +1,62 @@
-//! When the key-value service counts as out, and how daemons come back to it.
+//! Circuit breaker for calls to the key-value service.
 //!
-//! It answers an outage or a long slowness of the service. Without it, calls
-//! would pile up on a service that is down, each waiting its whole timeout, and
-//! when the service returns all daemons would call at once and push it over
-//! again. One would notice it as a second outage seconds after the first.
+//! It protects against an outage or a long slowness of the service. Without it,
+//! calls would pile up on a service that is down, each waiting for its whole timeout,
+//! and when the service recovers all daemons would call at once and overload it
+//! again, which shows as a second outage seconds after the first.
 //!
-//! Some failures or slow answers in a row open the breaker: calls then fail at
-//! once. A slow service counts as out, as whoever waits for it is late in any
-//! case. While open, one probe at a time goes out at a jittered pace; when a
-//! probe succeeds, calls are let through at a rate for [`RECOVERY_TIME`]. Pace and
-//! rate are divided by the number of live daemons, so that the whole fleet stays
-//! within [`PROBE_RATE`] and [`RECOVERY_RATE`] whatever its size.
+//! Several consecutive failures or slow responses open the breaker: calls then fail
+//! at once. A slow service counts as unavailable, as whoever waits for it is late in
+//! any case. While the breaker is open, one probe at a time is sent at a jittered
+//! interval; when a probe succeeds, calls are allowed at a limited rate for
+//! [`RECOVERY_TIME`]. The rates of probes and calls are divided by the number of live
+//! daemons, so that the whole fleet stays within [`PROBE_RATE`] and [`RECOVERY_RATE`]
+//! whatever its size.
 
 use std::time::{Duration, Instant};
 
-/// An answer slower than this counts as a failure; healthy ones take a few ms.
+/// A response that takes this long or longer counts as a failure; responses of a
+/// healthy service take a few milliseconds.
 pub const SLOW_ANSWER: Duration = Duration::from_millis(500);
-/// Probes a second of all daemons together, a twentieth of the reads that the
-/// service is stated to serve.
+/// Probes per second of all daemons together, a twentieth of the reads that the
+/// service is specified to serve.
 pub const PROBE_RATE: f64 = 100.0;
-/// Calls a second of all daemons together after an outage, half of the several
-/// hundred writes that the service is stated to serve.
+/// Calls per second of all daemons together after an outage, half of the several
+/// hundred writes that the service is specified to serve.
 pub const RECOVERY_RATE: f64 = 200.0;
-/// Time after an outage for which calls are held to [`RECOVERY_RATE`].
+/// Time after an outage for which calls are limited to [`RECOVERY_RATE`].
 pub const RECOVERY_TIME: Duration = Duration::from_secs(10);
 
-/// Failures in a row that open it: one lost answer is no outage, and three
-/// timeouts are already seconds.
+/// Consecutive failures that open the breaker: one lost response is no outage, and
+/// three timeouts already take seconds.
 const OPEN_FAILURES: u32 = 3;
-/// Least time between probes, so that a small fleet does not hammer.
+/// Minimum time between the probes of a daemon, so that a small fleet does not overload
+/// the service.
 const MIN_PROBE_GAP: Duration = Duration::from_secs(1);
 
 /// Whether a call may go out.
 #[proc_macros::row]
 #[derive(Eq)]
 pub enum Allow {
-    /// It may.
+    /// It may be sent.
     Yes,
-    /// Not before this time.
+    /// It may not be sent before this time.
     No(Instant),
 }
 
 #[proc_macros::row]
 enum State {
+    /// Calls are allowed; counts consecutive failures.
     Closed { failures: u32 },
+    /// Calls fail until the next probe is due.
     Open { probe: Instant },
+    /// A probe is in flight; another may be sent at `until`.
     Probing { until: Instant },
+    /// Calls are allowed at a limited rate, the next one at `next`.
     Recovering { until: Instant, next: Instant },
 }
 
-/// Judge of whether the service is out.
+/// Circuit breaker of one daemon.
 #[derive(Clone, Debug)]
 pub struct Breaker {
     state: State,
@@ -58,7 +65,7 @@
 }
 
 impl Breaker {
-    /// Closed, for a fleet of one until told otherwise.
+    /// A closed breaker for a fleet of one daemon; see [`set_daemons`](Self::set_daemons).
     pub fn new(seed: u64) -> Self {
         Self {
             state: State::Closed { failures: 0 },
@@ -67,25 +74,25 @@
         }
     }
 
-    /// Notes how many daemons share the service.
+    /// Sets the number of daemons that share the service.
     pub fn set_daemons(&mut self, daemons: u32) {
         self.daemons = daemons.max(1);
     }
 
-    /// Whether the service counts as out.
+    /// Whether the service counts as unavailable.
     pub fn is_open(&self) -> bool {
         matches!(self.state, State::Open { .. } | State::Probing { .. })
     }
 
-    /// Whether a call may go out now; a yes must be followed by a [`record`].
+    /// Whether a call may be sent now; after a yes, its result must be passed to [`record`].
     ///
     /// [`record`]: Self::record
     pub fn allow(&mut self, now: Instant) -> Allow {
         match self.state {
             State::Closed { .. } => Allow::Yes,
             State::Open { probe } if now < probe => Allow::No(probe),
-            // A probe whose caller went away without a note must not keep the
-            // breaker open for good, so another may go out after a while.
+            // A probe whose caller was cancelled before it recorded a result must not
+            // keep the breaker open forever, so another may be sent after a while.
             State::Probing { until } if now < until => Allow::No(until),
             State::Open { .. } | State::Probing { .. } => {
                 let until = now + self.probe_gap();
@@ -105,10 +112,10 @@
         }
     }
 
-    /// Notes how a call went that was sent at `sent`.
+    /// Records the result of a call that was sent at `sent`.
     pub fn record(&mut self, now: Instant, sent: Instant, answered: bool) {
-        let good = answered && now.duration_since(sent) < SLOW_ANSWER;
-        match (&mut self.state, good) {
+        let success = answered && now.duration_since(sent) < SLOW_ANSWER;
+        match (&mut self.state, success) {
             (State::Closed { failures }, true) => *failures = 0,
             (State::Closed { failures }, false) => {
                 *failures += 1;
@@ -116,10 +123,10 @@
                     self.open(now);
                 }
             }
-            // An answer to a call from before the outage says nothing new.
+            // A response to a call from before the outage carries no new information.
             (State::Open { .. }, _) | (State::Recovering { .. }, true) => {}
             (State::Probing { .. }, true) => {
-                // The first calls of all daemons must not fall on one moment.
+                // The first calls of all daemons must not be sent at the same moment.
                 let next = now + self.recovery_gap().mul_f64(self.rng.f64());
                 let until = now + RECOVERY_TIME;
                 self.state = State::Recovering { until, next };
@@ -133,12 +140,14 @@
         self.state = State::Open { probe };
     }
 
+    /// Time until the next probe: this daemon's share of the rate, with jitter.
     fn probe_gap(&mut self) -> Duration {
         let shared = Duration::from_secs_f64(f64::from(self.daemons) / PROBE_RATE);
         let gap = shared.max(MIN_PROBE_GAP);
         gap + gap.mul_f64(self.rng.f64())
     }
 
+    /// Time between two calls of this daemon while it recovers.
     fn recovery_gap(&self) -> Duration {
         Duration::from_secs_f64(f64::from(self.daemons) / RECOVERY_RATE)
     }
