--- a/lib/src/http1/body.rs
+++ b/lib/src/http1/body.rs
@@ -1,40 +1,47 @@
-//! Bodies, decoded piece by piece as their bytes arrive.
+//! Incremental decoding of message bodies.
 
 use bytes::{Buf as _, Bytes, BytesMut};
 
 use super::Framing;
 
-/// Longest line that states a chunk's size, and longest trailer line, in bytes.
+/// Maximum length in bytes of a chunk size line and of a trailer line.
 const MAX_LINE: usize = 1024;
 
-/// Why a body cannot be read further.
+/// Reason for which a body cannot be read further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BodyError {
-    /// A chunk is not in the protocol.
-    #[error("a chunk of the body is not in the protocol")]
+    /// A chunk is malformed.
+    #[error("a chunk of the body is malformed")]
     Chunk,
     /// The connection ended before the body did.
-    #[error("the body broke off")]
+    #[error("the connection ended before the body did")]
     Truncated,
 }
 
-/// Reads one body off a buffer.
+/// Decoder of one body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Body(State);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
+    /// Bytes left of a body with a stated length.
     Length(u64),
+    /// Before the size line of a chunk.
     ChunkSize,
+    /// Bytes left of a chunk.
     ChunkData(u64),
+    /// Before the line end that follows a chunk.
     ChunkEnd,
+    /// Before a trailer line or the empty line that ends the body.
     Trailer,
+    /// The body ends with the connection.
     UntilClose,
+    /// The whole body was read.
     Done,
 }
 
 impl Body {
-    /// Begins a body with this framing.
+    /// A decoder for a body with this framing.
     pub fn new(framing: Framing) -> Self {
         Self(match framing {
             Framing::None | Framing::Length(0) => State::Done,
@@ -49,11 +56,11 @@
         self.0 == State::Done
     }
 
-    /// Takes what is there of the body; `None` if more bytes are needed or the
-    /// body is done.
+    /// Takes the next available part of the body off the buffer; `None` if more bytes
+    /// are needed or the body is done.
     ///
     /// # Errors
-    /// If a chunk is not in the protocol.
+    /// If a chunk is malformed.
     pub fn take(&mut self, buffer: &mut BytesMut) -> Result<Option<Bytes>, BodyError> {
         loop {
             match self.0 {
@@ -118,10 +125,10 @@
         }
     }
 
-    /// Tells that the connection ended.
+    /// Handles the end of the connection.
     ///
     /// # Errors
-    /// If the body was not all there.
+    /// If the body is incomplete.
     pub fn finish(&mut self) -> Result<(), BodyError> {
         match self.0 {
             State::Done | State::UntilClose => {
@@ -133,6 +140,7 @@
     }
 }
 
+/// Takes up to `left` bytes off the buffer; none if it is empty.
 fn take(buffer: &mut BytesMut, left: u64) -> Option<Bytes> {
     if buffer.is_empty() {
         return None;
--- a/lib/src/http1/fields.rs
+++ b/lib/src/http1/fields.rs
@@ -1,11 +1,11 @@
-//! Header fields in the order in which they came.
+//! Header fields in the order in which they were received.
 
 use bytes::Bytes;
 
 /// Name and value of a header field, as received.
 pub type Field = (Bytes, Bytes);
 
-/// Fields that concern one connection only and are never forwarded.
+/// Fields that apply to one connection only and are never forwarded.
 const HOP_BY_HOP: [&str; 8] = [
     "connection",
     "keep-alive",
@@ -22,12 +22,12 @@
 pub struct Fields(pub Vec<Field>);
 
 impl Fields {
-    /// First value of a field; names are compared without case.
+    /// First value of a field; names are case-insensitive.
     pub fn get(&self, name: &str) -> Option<&[u8]> {
         self.all(name).next()
     }
 
-    /// First value of a field, if it is text.
+    /// First value of a field without surrounding white space, if it is valid UTF-8.
     pub fn text(&self, name: &str) -> Option<&str> {
         self.get(name)
             .and_then(|value| std::str::from_utf8(value).ok())
@@ -47,15 +47,15 @@
             .map(|(_, value)| &**value)
     }
 
-    /// Whether a field that holds a list of words holds this one.
+    /// Whether a field with a comma-separated list contains this token.
     pub fn contains_token(&self, name: &str, token: &str) -> bool {
         self.all(name)
             .flat_map(|value| value.split(|byte| *byte == b','))
             .any(|part| part.trim_ascii().eq_ignore_ascii_case(token.as_bytes()))
     }
 
-    /// Whether a field concerns the connection only: by its name, or because the
-    /// sender's `Connection` field names it.
+    /// Whether a field is hop-by-hop: by its name, or because the sender's `Connection`
+    /// field names it.
     pub fn is_hop_by_hop(&self, name: &[u8]) -> bool {
         HOP_BY_HOP
             .iter()
--- a/lib/src/http1/head.rs
+++ b/lib/src/http1/head.rs
@@ -1,38 +1,38 @@
-//! Heads of requests and responses.
+//! Parsing of request and response heads.
 
 use bytes::{Bytes, BytesMut};
 
 use super::Fields;
 
-/// Most header fields of a message.
+/// Maximum number of header fields in a message.
 const MAX_FIELDS: usize = 96;
-/// Longest head of a response, in bytes; endpoints send a few hundred.
+/// Maximum size of a response head in bytes; endpoints send a few hundred.
 const MAX_RESPONSE_HEAD: usize = 32 * 1024;
 
-/// Why a head is refused.
+/// Reason for which a head is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HeadError {
-    /// Not a head in the protocol.
-    #[error("the head is not in the protocol")]
+    /// The head is not valid HTTP/1.
+    #[error("the message head is malformed")]
     Malformed,
-    /// Longer than allowed, or more fields.
-    #[error("the head is larger than allowed")]
+    /// The head is too long or has too many fields.
+    #[error("the message head is larger than allowed")]
     TooLarge,
-    /// Where the body ends can be read in two ways.
-    #[error("the framing of the body is contradictory")]
+    /// The end of the body is ambiguous.
+    #[error("the framing of the message body is contradictory")]
     Framing,
 }
 
-/// How the end of a body is told.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// There is no body.
+    /// No body.
     None,
-    /// A stated number of bytes.
+    /// A stated length in bytes.
     Length(u64),
-    /// Chunks, the last of them empty.
+    /// Chunked transfer coding.
     Chunked,
-    /// The end of the connection; responses only.
+    /// The body ends with the connection; responses only.
     Close,
 }
 
@@ -45,9 +45,9 @@
     pub target: Bytes,
     /// Header fields.
     pub fields: Fields,
-    /// How the body ends.
+    /// Framing of the body.
     pub framing: Framing,
-    /// Whether the sender keeps the connection open afterwards.
+    /// Whether the sender keeps the connection open after the message.
     pub keep_alive: bool,
 }
 
@@ -58,17 +58,17 @@
     pub status: u16,
     /// Header fields.
     pub fields: Fields,
-    /// How the body ends.
+    /// Framing of the body.
     pub framing: Framing,
-    /// Whether the sender keeps the connection open afterwards.
+    /// Whether the sender keeps the connection open after the message.
     pub keep_alive: bool,
 }
 
 impl Request {
-    /// Takes a whole head off the buffer; `None` if it is not all there yet.
+    /// Takes a complete head off the buffer; `None` if more bytes are needed.
     ///
     /// # Errors
-    /// If the bytes are not a head of at most `max_bytes` bytes with clear framing.
+    /// If the bytes are not a head of at most `max_bytes` bytes with unambiguous framing.
     pub fn take(buffer: &mut BytesMut, max_bytes: usize) -> Result<Option<Self>, HeadError> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_FIELDS];
         let mut parsed = httparse::Request::new(&mut headers);
@@ -102,10 +102,10 @@
 }
 
 impl Response {
-    /// Takes a whole head off the buffer; `None` if it is not all there yet.
+    /// Takes a complete head off the buffer; `None` if more bytes are needed.
     ///
     /// # Errors
-    /// If the bytes are not a head with clear framing.
+    /// If the bytes are not a head with unambiguous framing.
     pub fn take(buffer: &mut BytesMut) -> Result<Option<Self>, HeadError> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_FIELDS];
         let mut parsed = httparse::Response::new(&mut headers);
@@ -133,7 +133,7 @@
     }
 }
 
-/// Length of a head that is all there.
+/// Length of a complete head; `None` if more bytes are needed.
 fn complete_len(
     parsed: httparse::Result<usize>,
     buffered: usize,
@@ -149,8 +149,8 @@
     }
 }
 
-/// Refuses lines that end without a carriage return: parties differ on whether
-/// they end a line, so a field could be hidden from one of them.
+/// Rejects lines that end without a carriage return: implementations differ on whether
+/// that ends a line, so a field could be hidden from one of them.
 fn check_lines(head: &[u8]) -> Result<(), HeadError> {
     let bare = |at: usize| head[at] == b'\n' && (at == 0 || head[at - 1] != b'\r');
     if (0..head.len()).any(bare) {
@@ -159,6 +159,7 @@
     Ok(())
 }
 
+/// Start and end of a part, as offsets from the address of its buffer.
 fn span(base: usize, part: &[u8]) -> (usize, usize) {
     let from = part.as_ptr() as usize - base;
     (from, from + part.len())
@@ -173,13 +174,14 @@
     headers.iter().map(pair).collect()
 }
 
+/// Header fields as slices of the head.
 fn slice_fields(head: &Bytes, spans: &[(Span, Span)]) -> Fields {
     let field =
         |(name, value): &(Span, Span)| (head.slice(name.0..name.1), head.slice(value.0..value.1));
     Fields(spans.iter().map(field).collect())
 }
 
-/// The stated framing, if there is one and it can be read in one way only.
+/// Framing that the fields state, if any; an error if they are ambiguous.
 fn body_framing(fields: &Fields) -> Result<Option<Framing>, HeadError> {
     let mut lengths = fields.all("content-length");
     let mut codings = fields.all("transfer-encoding");
@@ -206,6 +208,8 @@
     }
 }
 
+/// Whether the sender keeps the connection open, by the minor version of HTTP/1 and the
+/// `Connection` field.
 fn is_keep_alive(fields: &Fields, minor: u8) -> bool {
     if minor == 0 {
         fields.contains_token("connection", "keep-alive")
