--- a/lib/tests/test_claims.rs
+++ b/lib/tests/test_claims.rs
@@ -1,4 +1,5 @@
-//! Idempotency keys: at most one run, and "not run" is true, on virtual time.
+//! Idempotency keys on virtual time: a request runs at most once, and one that was
+//! answered "not run" did not run.
 
 use std::time::Duration;
 
@@ -11,13 +12,13 @@
 const SECOND: Duration = Duration::from_secs(1);
 const MOMENT: Duration = Duration::from_millis(50);
 
-fn own(text: &str) -> Key {
+fn supplied(text: &str) -> Key {
     Key::parse(text).unwrap()
 }
 
-fn refusal(bookings: &Bookings, request: RequestId) -> &Rejection {
-    let mut refusals = bookings.refusals.iter();
-    refusals.find(|r| r.request == request).unwrap()
+fn rejection(bookings: &Bookings, request: RequestId) -> &Rejection {
+    let mut rejections = bookings.refusals.iter();
+    rejections.find(|r| r.request == request).unwrap()
 }
 
 fn answered(bookings: &Bookings, request: RequestId) -> &[u8] {
@@ -26,9 +27,9 @@
 }
 
 #[test]
-fn a_booking_is_dispatched_and_its_repeat_gets_the_answer() {
+fn a_booking_is_dispatched_and_its_retry_gets_the_answer() {
     let mut bookings = Bookings::new(3, 1);
-    let key = own("board-7");
+    let key = supplied("board-7");
     let first = bookings.book(0, "a", &key, 1);
     bookings.run(SECOND);
     let at_holder = bookings.book(0, "a", &key, 1);
@@ -41,21 +42,21 @@
 }
 
 #[test]
-fn customers_keys_never_meet() {
+fn equal_keys_of_different_customers_are_independent() {
     let mut bookings = Bookings::new(3, 1);
-    let key = own("board-7");
+    let key = supplied("board-7");
     let first = bookings.book(0, "a", &key, 1);
     let second = bookings.book(1, "b", &key, 1);
     bookings.run(SECOND);
     assert_eq!(bookings.ran, [first, second]);
 }
 
-/// A guest taps "confirm" twice and the balancer sends the taps to two daemons
-/// at once. Both would dispatch, and the family would be charged twice.
+/// A guest taps "confirm" twice and the load balancer sends the two requests to two
+/// daemons at the same time. If both dispatched, the family would be charged twice.
 #[test]
 fn the_same_key_through_two_daemons_runs_once() {
     let mut bookings = Bookings::new(3, 1);
-    let key = own("board-7");
+    let key = supplied("board-7");
     let first = bookings.book(0, "a", &key, 1);
     let second = bookings.book(1, "a", &key, 1);
     bookings.run(MOMENT);
@@ -65,125 +66,125 @@
     } else {
         first
     };
-    let refused = refusal(&bookings, other);
-    assert_eq!(refused.code, Code::KeyRunning);
-    assert_eq!(refused.running, Some(bookings.ran[0]));
+    let rejected = rejection(&bookings, other);
+    assert_eq!(rejected.code, Code::KeyRunning);
+    assert_eq!(rejected.running, Some(bookings.ran[0]));
 }
 
-/// A program uses one key for two bookings. Given the first one's answer it would
-/// believe that the second was made.
+/// A program uses one key for two bookings. If the second request got the answer of
+/// the first, the program would believe that the second booking was made.
 #[test]
-fn another_body_under_the_same_key_is_refused() {
+fn another_body_under_the_same_key_is_rejected() {
     let mut bookings = Bookings::new(3, 1);
-    let key = own("board-7");
+    let key = supplied("board-7");
     bookings.book(0, "a", &key, 1);
     bookings.run(SECOND);
     for daemon in 0..2 {
         let other = bookings.book(daemon, "a", &key, 2);
         bookings.run(SECOND);
-        assert_eq!(refusal(&bookings, other).code, Code::KeyReused);
+        assert_eq!(rejection(&bookings, other).code, Code::KeyReused);
     }
     assert_eq!(bookings.ran.len(), 1);
 }
 
-/// The daemon dies while the booking runs at the endpoint. Nobody can know how
-/// it ended; a repeat must neither run nor be told "not run".
+/// The daemon crashes while the booking runs at the endpoint. Its outcome cannot be
+/// determined; a retry must neither run nor be answered "not run".
 #[test]
 fn the_key_of_a_dead_holder_is_unknown() {
     let mut bookings = Bookings::new(3, 1);
-    let key = own("board-7");
+    let key = supplied("board-7");
     bookings.book(0, "a", &key, 1);
     bookings.run(MOMENT);
     bookings.crash(0);
     bookings.look(1);
-    let repeat = bookings.book(1, "a", &key, 1);
+    let retry = bookings.book(1, "a", &key, 1);
     bookings.run(SECOND);
-    let refused = refusal(&bookings, repeat);
+    let rejected = rejection(&bookings, retry);
     assert_eq!(
-        (refused.code, refused.ran),
+        (rejected.code, rejected.ran),
         (Code::KeyUnknown, Ran::Unknown)
     );
     assert_eq!(bookings.ran.len(), 1);
 }
 
-/// The service is out. Guests are told soon that nothing was booked and when to
-/// come back, and the same key works once the service is back, through whichever
-/// daemon.
+/// The key-value service is down. Guests are soon answered that nothing was booked and
+/// when to retry, and the same key works through any daemon once the service is
+/// available again.
 #[test]
-fn an_outage_is_told_soon_and_the_key_works_after_it() {
+fn an_outage_is_reported_soon_and_the_key_works_after_it() {
     let mut bookings = Bookings::new(3, 1);
     bookings.trouble.down = true;
-    let key = own("board-7");
+    let key = supplied("board-7");
     let first = bookings.book(0, "a", &key, 1);
     bookings.run(CLAIM_TIMEOUT + MOMENT);
-    let refused = refusal(&bookings, first).clone();
-    assert_eq!((refused.code, refused.ran), (Code::NoClaim, Ran::No));
-    assert!(refused.retry_at.unwrap() > bookings.now);
+    let rejected = rejection(&bookings, first).clone();
+    assert_eq!((rejected.code, rejected.ran), (Code::NoClaim, Ran::No));
+    assert!(rejected.retry_at.unwrap() > bookings.now);
     bookings.trouble.down = false;
     let second = bookings.book(1, "a", &key, 1);
     bookings.run(SECOND);
     assert_eq!(bookings.ran, [second]);
 }
 
-/// The claim's write takes effect, its answer is lost, and the caller is told
-/// "not run". The row that stands would lock the key for a day; its holder knows
-/// that it never dispatched it and releases it to whoever asks.
+/// The write of a claim takes effect, its response is lost, and the caller is answered
+/// "not run". The row would lock the key for a day; its holder knows that it never
+/// dispatched the request and releases the claim to the daemon that asks.
 #[test]
-fn a_claim_that_was_given_up_is_released_to_another_daemon() {
+fn an_abandoned_claim_is_released_to_another_daemon() {
     let mut bookings = Bookings::new(3, 1);
-    let key = own("board-7");
-    bookings.book(0, "b", &own("warms-up"), 1);
+    let key = supplied("board-7");
+    bookings.book(0, "b", &supplied("warms-up"), 1);
     bookings.run(SECOND);
     bookings.store.faults.lose = 1_000;
     let first = bookings.book(0, "a", &key, 1);
     bookings.run(CLAIM_TIMEOUT + MOMENT);
-    assert_eq!(refusal(&bookings, first).ran, Ran::No);
+    assert_eq!(rejection(&bookings, first).ran, Ran::No);
     bookings.store.faults.lose = 0;
     let second = bookings.book(1, "a", &key, 1);
     bookings.run(SECOND);
     assert_eq!(bookings.ran_of(&key), [second]);
 }
 
-/// The claim's write takes effect and only its answer is lost. Taken for another
-/// daemon's, the row would make the booking's outcome unknown to its own guest.
+/// The write of a claim takes effect and only its response is lost. If the daemon took
+/// the row for another daemon's, the guest would be answered "unknown".
 #[test]
-fn a_lost_answer_is_settled_and_the_booking_runs() {
+fn a_lost_write_response_is_resolved_and_the_booking_runs() {
     let mut bookings = Bookings::new(3, 1);
     bookings.store.faults.lose = 1;
-    let first = bookings.book(0, "a", &own("board-7"), 1);
+    let first = bookings.book(0, "a", &supplied("board-7"), 1);
     bookings.run(SECOND);
     assert_eq!(bookings.ran, [first]);
 }
 
 #[test]
-fn an_issued_key_works_while_the_service_is_out() {
+fn an_issued_key_works_while_the_service_is_down() {
     let mut bookings = Bookings::new(3, 1);
     bookings.trouble.down = true;
     let key = bookings.issue(0, "a").unwrap();
     let first = bookings.book(1, "a", &key, 1);
     bookings.run(SECOND);
-    let repeat = bookings.book(2, "a", &key, 1);
+    let retry = bookings.book(2, "a", &key, 1);
     bookings.run(SECOND);
     assert_eq!(bookings.ran, [first]);
-    assert_eq!(answered(&bookings, repeat), first.to_string().into_bytes());
+    assert_eq!(answered(&bookings, retry), first.to_string().into_bytes());
 }
 
-/// One customer guesses the key of another. With it he could read the answer or
-/// use the key up.
+/// One customer guesses the key of another. With it the customer could read the answer
+/// or use the key up.
 #[test]
-fn an_issued_key_is_its_customers_alone() {
+fn an_issued_key_works_for_its_customer_only() {
     let mut bookings = Bookings::new(3, 1);
     let key = bookings.issue(0, "a").unwrap();
     let stolen = bookings.book(0, "b", &key, 1);
     bookings.run(SECOND);
-    assert_eq!(refusal(&bookings, stolen).code, Code::BadKey);
+    assert_eq!(rejection(&bookings, stolen).code, Code::BadKey);
     let first = bookings.book(0, "a", &key, 1);
     bookings.run(SECOND);
     assert_eq!(bookings.ran, [first]);
 }
 
-/// The host of a daemon is reclaimed with notice. Keys that it issued go on
-/// working at its successor, and what was booked under them is still known.
+/// The host of a daemon is reclaimed with notice. Keys that the daemon issued still
+/// work at its successor, and the results of bookings under them are still known.
 #[test]
 fn issued_keys_survive_an_announced_reclaim() {
     let mut bookings = Bookings::new(3, 1);
@@ -198,15 +199,15 @@
     bookings.run(MOMENT);
     bookings.crash(0);
     bookings.look(2);
-    let repeat = bookings.book(2, "a", &used, 1);
+    let retry = bookings.book(2, "a", &used, 1);
     let second = bookings.book(2, "a", &unused, 1);
     bookings.run(SECOND);
-    assert_eq!(answered(&bookings, repeat), first.to_string().into_bytes());
+    assert_eq!(answered(&bookings, retry), first.to_string().into_bytes());
     assert_eq!(bookings.ran, [first, second]);
 }
 
-/// A daemon dies without notice. Whether a key that it issued was used, nobody
-/// knows any more.
+/// A daemon crashes without notice. Whether a key that it issued was used can no longer
+/// be determined.
 #[test]
 fn issued_keys_of_a_crashed_daemon_are_unknown() {
     let mut bookings = Bookings::new(3, 1);
@@ -215,15 +216,15 @@
     bookings.look(1);
     let late = bookings.book(1, "a", &key, 1);
     bookings.run(SECOND);
-    let refused = refusal(&bookings, late);
+    let rejected = rejection(&bookings, late);
     assert_eq!(
-        (refused.code, refused.ran),
+        (rejected.code, rejected.ran),
         (Code::KeyUnknown, Ran::Unknown)
     );
 }
 
 #[test]
-fn keys_come_back_from_their_text() {
+fn keys_round_trip_through_their_text() {
     let mut bookings = Bookings::new(1, 1);
     let key = bookings.issue(0, "a").unwrap();
     assert_eq!(Key::parse(&key.text()), Some(key));
@@ -232,8 +233,8 @@
     }
 }
 
-/// A question names a claim that the holder has forgotten. To say that it was not
-/// run would let it run again.
+/// A question names a claim that the holder has forgotten. The reply "released" would
+/// let its request run again.
 #[test]
 fn a_forgotten_claim_is_unknown() {
     let mut claimer = poplarvale_lib::claims::Claimer::new(7, 1);
@@ -283,7 +284,7 @@
 fn apply(bookings: &mut Bookings, keys: &mut Vec<Key>, event: &Event) {
     match *event {
         Event::Book { daemon, key, body } => {
-            // The latest keys are used most, own and issued ones alike.
+            // The latest keys are used most, whether supplied or issued.
             let key = keys[keys.len() - 1 - key % keys.len()].clone();
             bookings.book(daemon, "a", &key, body.into());
         }
@@ -314,18 +315,18 @@
 proptest! {
     #![proptest_config(testutils::fixed(512))]
 
-    /// Repeats come through all daemons while these crash, are reclaimed and hand
-    /// their keys over, the service is out, loses answers and does writes late,
-    /// messages come seconds late or twice, and endpoints break off. No key runs
-    /// twice, no request that was called "not run" ran, and a kept answer is that
-    /// of the run.
+    /// Retries arrive through all daemons while daemons crash, are reclaimed and hand
+    /// over their keys, the service is down, loses responses and applies writes late,
+    /// messages arrive seconds late or twice, and endpoints fail during a booking. No key
+    /// runs twice, no request that was answered "not run" ran, and every kept answer is
+    /// that of the run.
     #[test]
     fn a_key_runs_at_most_once_and_not_run_is_true(
         events in prop::collection::vec(event(), 1..60),
         seed: u64,
     ) {
         let mut bookings = Bookings::new(DAEMONS, seed);
-        let mut keys = vec![own("one"), own("two")];
+        let mut keys = vec![supplied("one"), supplied("two")];
         for event in &events {
             apply(&mut bookings, &mut keys, event);
         }
@@ -336,9 +337,9 @@
             let ran = bookings.ran_of(key);
             prop_assert!(ran.len() <= 1, "{:?} ran as {:?}", key, ran);
         }
-        for refusal in &bookings.refusals {
-            let ran = bookings.ran.contains(&refusal.request);
-            prop_assert!(!(ran && refusal.ran == Ran::No), "{:?}", refusal);
+        for rejection in &bookings.refusals {
+            let ran = bookings.ran.contains(&rejection.request);
+            prop_assert!(!(ran && rejection.ran == Ran::No), "{:?}", rejection);
         }
         for (request, answer) in &bookings.answers {
             let sent = bookings.sent.iter().find(|s| s.request == *request).unwrap();
--- a/lib/tests/test_claims_races.rs
+++ b/lib/tests/test_claims_races.rs
@@ -1,4 +1,4 @@
-//! Races of claims that schedules rarely meet, driven step by step.
+//! Races between claims that random schedules rarely hit, driven step by step.
 
 use std::time::{Duration, Instant};
 
@@ -9,10 +9,11 @@
 };
 use poplarvale_lib::store::{Condition, Lease, Snapshot, StoredValue, Write, Written};
 
-/// A claimer with a lease, and its time.
+/// A claimer with a lease, and its clock.
 struct Driven {
     claimer: Claimer,
     now: Instant,
+    /// Id of the latest request.
     begun: u128,
 }
 
@@ -24,17 +25,17 @@
             begun: 0,
         };
         let until = driven.now + 2 * MIN_RETENTION;
-        driven.tell(Input::Leased(Ok(Lease { id: 1, until })));
+        driven.tick(Input::Leased(Ok(Lease { id: 1, until })));
         driven
     }
 
-    fn tell(&mut self, input: Input) -> Vec<Command> {
+    fn tick(&mut self, input: Input) -> Vec<Command> {
         self.claimer.tick(self.now, vec![input])
     }
 
     fn begin(&mut self, key: &Key) -> Vec<Command> {
         self.begun += 1;
-        self.tell(Input::Begin(KeyedRequest {
+        self.tick(Input::Begin(KeyedRequest {
             id: self.begun,
             customer: "a".into(),
             key: key.clone(),
@@ -55,7 +56,7 @@
     }
 }
 
-fn own(text: &str) -> Key {
+fn supplied(text: &str) -> Key {
     Key::parse(text).unwrap()
 }
 
@@ -90,96 +91,97 @@
     Input::Written { number, result }
 }
 
-/// A write is given up, and its answer comes after the next one was sent. Taken
-/// for the answer of that one, a claim that nobody made would be dispatched, and
-/// another daemon could have the same key.
+/// A write times out, and its result arrives after the next write was sent. If it were
+/// taken for the result of that write, a request would be dispatched although its claim
+/// was not written, and another daemon could claim the same key.
 #[test]
-fn the_late_end_of_a_write_is_not_that_of_the_next() {
+fn the_late_result_of_a_write_is_not_that_of_the_next() {
     let mut driven = Driven::new(7);
-    let commands = driven.begin(&own("one"));
+    let commands = driven.begin(&supplied("one"));
     let (first, _) = written(&commands);
     driven.wait(Duration::from_secs(4));
     driven.wait(Duration::from_secs(1));
-    let commands = driven.begin(&own("two"));
+    let commands = driven.begin(&supplied("two"));
     let (second, _) = written(&commands);
-    assert_eq!(dispatches(&driven.tell(done(first))), 0);
-    assert_eq!(dispatches(&driven.tell(done(second))), 1);
+    assert_eq!(dispatches(&driven.tick(done(first))), 0);
+    assert_eq!(dispatches(&driven.tick(done(second))), 1);
 }
 
-/// A claim is given up while its write is under way, another daemon sees the row
-/// and is promised that it is never dispatched, and the same caller comes again.
-/// The first write's answer must not let the second request run, as the other
-/// daemon has put its own row in the meantime.
+/// A claim is abandoned while its write is in flight, another daemon finds the row and
+/// is promised that its request is never dispatched, and the same caller retries. The
+/// result of the first write must not let the second request run, as the other daemon
+/// has written its own row in the meantime.
 #[test]
-fn the_answer_for_a_released_claim_wins_nothing() {
+fn the_write_result_of_a_released_claim_dispatches_nothing() {
     let mut driven = Driven::new(7);
-    let key = own("one");
+    let key = supplied("one");
     let commands = driven.begin(&key);
     let (first, _) = written(&commands);
     driven.wait(CLAIM_TIMEOUT);
     assert_eq!(driven.question("one", 1), Reply::Released);
     driven.begin(&key);
-    assert_eq!(dispatches(&driven.tell(done(first))), 0);
+    assert_eq!(dispatches(&driven.tick(done(first))), 0);
 }
 
-/// The same, but the daemon that asked died before it replaced the row. The row
-/// lets nothing run by itself; it is replaced at its revision, where the other
-/// daemon's write and this one can't both be done.
+/// The same, but the daemon that asked crashed before it replaced the row. The row by
+/// itself lets no request run; it is replaced at its revision, where the write of the
+/// other daemon and this one cannot both succeed.
 #[test]
 fn the_row_of_a_released_claim_is_replaced_before_anything_runs() {
     let mut driven = Driven::new(7);
-    let key = own("one");
+    let key = supplied("one");
     let commands = driven.begin(&key);
     let (number, write) = written(&commands);
     let value = write.puts[0].value.clone();
     driven.wait(CLAIM_TIMEOUT);
     assert_eq!(driven.question("one", 1), Reply::Released);
     let result = Err(poplarvale_lib::store::Failure::Unknown);
-    driven.tell(Input::Written { number, result });
+    driven.tick(Input::Written { number, result });
     driven.begin(&key);
     let commands = driven.wait(Duration::from_secs(1));
     let (number, _) = written(&commands);
-    let commands = driven.tell(differs(number, "one", value));
+    let commands = driven.tick(differs(number, "one", value));
     assert_eq!(dispatches(&commands), 0);
     let (number, write) = written(&commands);
     let id = "poplarvale/claims/a/one".into();
     assert_eq!(write.conditions, [Condition::Unchanged(id, 5)]);
-    assert_eq!(dispatches(&driven.tell(done(number))), 1);
+    assert_eq!(dispatches(&driven.tick(done(number))), 1);
 }
 
-/// A question about an earlier claim of the key comes late. Answered for the
-/// present one, it would release a claim that nobody asked for.
+/// A question about another claim of the same key arrives. If it were answered for the
+/// present claim, it would release a claim that nobody asked about.
 #[test]
 fn a_question_about_another_claim_changes_nothing() {
     let mut driven = Driven::new(7);
-    driven.begin(&own("one"));
+    driven.begin(&supplied("one"));
     driven.wait(CLAIM_TIMEOUT);
     assert_eq!(driven.question("one", 9), Reply::Unknown);
     assert_eq!(driven.question("one", 1), Reply::Released);
 }
 
-/// Keys that were handed over while their issuer still takes requests would be
-/// dispatched by two daemons.
+/// If keys were handed over while their issuer still accepts requests, two daemons would
+/// dispatch requests with them.
 #[test]
 fn keys_are_handed_over_after_the_freeze_and_once() {
     let mut driven = Driven::new(7);
     let customer = "a".into();
     let key = driven.claimer.issue(&customer).unwrap();
     assert!(driven.claimer.hand_over(8).is_empty());
-    driven.tell(Input::Freeze);
+    driven.tick(Input::Freeze);
     assert_eq!(dispatches(&driven.begin(&key)), 0);
     assert_eq!(driven.claimer.hand_over(8).len(), 1);
     assert!(driven.claimer.hand_over(9).is_empty());
     assert_eq!(dispatches(&driven.begin(&key)), 0);
 }
 
-/// The hand-over comes twice, the second time after the successor has used a key
-/// of it or has handed it on itself. Taken anew, the key would be unused again.
+/// A hand-over arrives twice, the second time after the successor has used one of its
+/// keys or has handed the key space on. If it were accepted again, the used key would be
+/// unused again.
 #[test]
-fn a_repeated_hand_over_brings_no_key_back() {
+fn a_duplicate_hand_over_makes_no_key_unused_again() {
     let mut issuer = Driven::new(7);
     let key = issuer.claimer.issue(&"a".into()).unwrap();
-    issuer.tell(Input::Freeze);
+    issuer.tick(Input::Freeze);
     let over: HandOver = issuer.claimer.hand_over(8).remove(0);
     let mut successor = Driven::new(8);
     let now = successor.now;
@@ -187,7 +189,7 @@
     assert_eq!(dispatches(&successor.begin(&key)), 1);
     assert!(successor.claimer.take_over(now, over.clone()));
     assert_eq!(dispatches(&successor.begin(&key)), 0);
-    successor.tell(Input::Freeze);
+    successor.tick(Input::Freeze);
     let issuers = successor.claimer.hand_over(9);
     let issuers: Vec<_> = issuers.iter().map(|over| over.issuer).collect();
     assert_eq!(issuers, [8, 7]);
@@ -197,20 +199,20 @@
     assert!(!other.claimer.take_over(now, over));
 }
 
-/// A write of many claims fails because one of their keys stands already. The
-/// others must not suffer: they go into the next write.
+/// A write of several claims is not done because one of their keys exists already. The
+/// other claims must not fail: they are part of the next write.
 #[test]
-fn one_key_that_stands_does_not_hold_up_the_others() {
+fn one_existing_key_does_not_delay_the_others() {
     let mut driven = Driven::new(7);
-    let commands = driven.begin(&own("zero"));
+    let commands = driven.begin(&supplied("zero"));
     let (number, _) = written(&commands);
-    driven.begin(&own("one"));
-    driven.begin(&own("two"));
-    let commands = driven.tell(done(number));
+    driven.begin(&supplied("one"));
+    driven.begin(&supplied("two"));
+    let commands = driven.tick(done(number));
     let (number, write) = written(&commands);
     assert_eq!(write.puts.len(), 2);
-    let commands = driven.tell(differs(number, "one", Bytes::from_static(b"unreadable")));
+    let commands = driven.tick(differs(number, "one", Bytes::from_static(b"unreadable")));
     let (number, write) = written(&commands);
     assert_eq!(write.puts.len(), 1);
-    assert_eq!(dispatches(&driven.tell(done(number))), 1);
+    assert_eq!(dispatches(&driven.tick(done(number))), 1);
 }
--- a/lib/tests/test_http1.rs
+++ b/lib/tests/test_http1.rs
@@ -1,20 +1,21 @@
-//! Framing of messages: what is one message, where it ends, and what is refused.
+//! Framing of HTTP/1.1 messages: where a message ends and which messages are rejected.
 
 use bytes::BytesMut;
 use poplarvale_lib::http1::{Body, BodyError, Framing, HeadError, Request, Response};
 use proptest::prelude::*;
 
-const MOST: usize = 4096;
+/// Maximum size of a request head in bytes.
+const MAX_HEAD: usize = 4096;
 
 fn request(text: &str) -> Result<Option<Request>, HeadError> {
-    Request::take(&mut BytesMut::from(text), MOST)
+    Request::take(&mut BytesMut::from(text), MAX_HEAD)
 }
 
-/// A caller states a length and chunks at once, with a second request hidden where
-/// one reading ends and the other does not. If it were forwarded, an endpoint would
-/// run a request that nobody sent.
+/// A caller sends both a length and a chunked body, with a second request hidden where
+/// the body ends in one reading and not in the other. If the message were forwarded, an
+/// endpoint would run the hidden request.
 #[test]
-fn a_request_with_two_framings_is_refused() {
+fn a_request_with_two_framings_is_rejected() {
     let both = "POST / HTTP/1.1\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n";
     assert_eq!(request(both), Err(HeadError::Framing));
     let twice = "POST / HTTP/1.1\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\n";
@@ -25,10 +26,10 @@
     assert_eq!(request(signed), Err(HeadError::Framing));
 }
 
-/// A line that ends without a carriage return hides a field from one of two
-/// readers, and so does a name with a space before its colon.
+/// Implementations differ on a line that ends without a carriage return and on a field
+/// name with a space before its colon, so either hides a field from one of two readers.
 #[test]
-fn lines_that_two_readers_take_differently_are_refused() {
+fn ambiguous_lines_are_rejected() {
     let bare = "GET / HTTP/1.1\nHost: a\r\n\r\n";
     assert_eq!(request(bare), Err(HeadError::Malformed));
     let space = "GET / HTTP/1.1\r\nContent-Length : 4\r\n\r\n";
@@ -38,28 +39,34 @@
 }
 
 #[test]
-fn a_head_over_the_limit_is_refused_before_it_is_whole() {
-    let long = format!("GET / HTTP/1.1\r\nA: {}", "b".repeat(MOST));
+fn a_head_over_the_limit_is_rejected_before_it_is_complete() {
+    let long = format!("GET / HTTP/1.1\r\nA: {}", "b".repeat(MAX_HEAD));
     assert_eq!(request(&long), Err(HeadError::TooLarge));
 }
 
 #[test]
-fn fields_that_a_connection_field_names_stay_on_that_connection() {
+fn fields_that_a_connection_field_names_are_hop_by_hop() {
     let text = "GET / HTTP/1.1\r\nConnection: close, X-Own\r\nX-Own: 1\r\nX-Other: 2\r\n\r\n";
-    let head = request(text).expect("well formed").expect("whole");
+    let head = request(text)
+        .expect("the head is well-formed")
+        .expect("the head is complete");
     assert!(head.fields.is_hop_by_hop(b"x-own"));
     assert!(!head.fields.is_hop_by_hop(b"X-Other"));
     assert!(!head.keep_alive);
 }
 
-/// An endpoint dies in the middle of its answer. The caller must not take what came
-/// for all of it.
+/// An endpoint dies in the middle of its answer. The caller must not take the received
+/// part for the whole answer.
 #[test]
-fn a_body_that_breaks_off_is_not_whole() {
+fn a_truncated_body_is_an_error() {
     for framing in [Framing::Length(10), Framing::Chunked] {
         let mut body = Body::new(framing);
         let mut buffer = BytesMut::from("5\r\nabc");
-        while body.take(&mut buffer).expect("in the protocol").is_some() {}
+        while body
+            .take(&mut buffer)
+            .expect("the chunks are well-formed")
+            .is_some()
+        {}
         assert!(!body.is_done());
         assert_eq!(body.finish(), Err(BodyError::Truncated));
     }
@@ -70,8 +77,8 @@
     let text = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n";
     let mut buffer = BytesMut::from(text);
     let head = Response::take(&mut buffer)
-        .expect("well formed")
-        .expect("whole");
+        .expect("the head is well-formed")
+        .expect("the head is complete");
     let mut body = Body::new(head.framing);
     assert_eq!(body.take(&mut buffer), Ok(Some("ok".into())));
     assert!(body.is_done());
@@ -79,11 +86,11 @@
 }
 
 proptest! {
-    /// Whatever a peer sends, reading it ends without a panic.
+    /// Whatever bytes a peer sends, parsing them ends without a panic.
     #[test]
-    fn any_bytes_are_read_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
+    fn any_bytes_are_parsed_or_rejected(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
         let mut buffer = BytesMut::from(&*bytes);
-        while let Ok(Some(_)) = Request::take(&mut buffer, MOST) {}
+        while let Ok(Some(_)) = Request::take(&mut buffer, MAX_HEAD) {}
         let mut buffer = BytesMut::from(&*bytes);
         while let Ok(Some(_)) = Response::take(&mut buffer) {}
         let mut body = Body::new(Framing::Chunked);
@@ -91,9 +98,9 @@
         while let Ok(Some(_)) = body.take(&mut buffer) {}
     }
 
-    /// A body in chunks comes out the same however its bytes are cut.
+    /// A chunked body is decoded to the same bytes however its encoding is split.
     #[test]
-    fn chunks_come_out_whole(parts in prop::collection::vec(prop::collection::vec(any::<u8>(), 1..40), 0..8), cut in 1_usize..17) {
+    fn chunked_bodies_are_decoded_however_they_are_split(parts in prop::collection::vec(prop::collection::vec(any::<u8>(), 1..40), 0..8), cut in 1_usize..17) {
         let mut wire = Vec::new();
         for part in &parts {
             wire.extend_from_slice(format!("{:x}\r\n", part.len()).as_bytes());
@@ -106,7 +113,7 @@
         let mut out = Vec::new();
         for piece in wire.chunks(cut) {
             buffer.extend_from_slice(piece);
-            while let Some(part) = body.take(&mut buffer).expect("in the protocol") {
+            while let Some(part) = body.take(&mut buffer).expect("the chunks are well-formed") {
                 out.extend_from_slice(&part);
             }
         }
--- a/lib/tests/test_store.rs
+++ b/lib/tests/test_store.rs
@@ -1,5 +1,4 @@
-//! The breaker before the key-value service, the fake of it, and the text form
-//! of bytes.
+//! The circuit breaker for the key-value service, the fake of the service, and base64.
 
 use std::task::{Context, Poll, Waker};
 use std::time::{Duration, Instant};
@@ -13,7 +12,7 @@
 
 const STEP: Duration = Duration::from_millis(10);
 
-/// Breakers of a fleet, each with a call to make at every step.
+/// Breakers of a fleet; every daemon tries a call at every step.
 struct Fleet {
     breakers: Vec<Breaker>,
     now: Instant,
@@ -32,7 +31,7 @@
         }
     }
 
-    /// Lets time pass and tells the calls that went out in each second.
+    /// Lets time pass and returns the number of calls that were sent in each second.
     fn run(&mut self, seconds: usize, answered: bool) -> Vec<u32> {
         let mut calls = vec![0; seconds];
         for step in 0..seconds * 100 {
@@ -48,29 +47,35 @@
     }
 }
 
-/// The service is out for a minute while every daemon has calls to make, and
-/// then returns. If all came back at once they would push it over again, and
-/// operators would see a second outage right after the first.
+/// The service is down for a minute while every daemon has calls to make, and then
+/// recovers. If all daemons called at once they would overload it again, and operators
+/// would see a second outage right after the first.
 #[test]
-fn an_outage_and_the_return_from_it_stay_within_the_stated_rates() {
+fn calls_stay_within_the_stated_rates_during_an_outage_and_the_recovery() {
     for daemons in [8, 40, 400] {
         let mut fleet = Fleet::new(daemons);
         fleet.run(1, true);
         let out = fleet.run(60, false);
         let probes = PROBE_RATE.max(f64::from(daemons));
         let worst = *out[1..].iter().max().unwrap();
-        assert!(f64::from(worst) <= probes, "{daemons}: {worst} while out");
+        assert!(
+            f64::from(worst) <= probes,
+            "{daemons}: {worst} calls per second during the outage"
+        );
         let back = fleet.run(RECOVERY_TIME.as_secs() as usize, true);
         let worst = f64::from(*back.iter().max().unwrap());
         let most = RECOVERY_RATE + PROBE_RATE;
-        assert!(worst <= most, "{daemons}: {worst} on return");
+        assert!(
+            worst <= most,
+            "{daemons}: {worst} calls per second during the recovery"
+        );
     }
 }
 
-/// The service still answers, but each answer takes longer than a caller of a
-/// booking can wait. Calls fail at once then, in place of each waiting.
+/// The service still responds, but each response takes longer than the caller of a
+/// booking can wait. Calls must then fail at once instead of waiting each.
 #[test]
-fn a_slow_service_counts_as_out() {
+fn a_slow_service_counts_as_unavailable() {
     let mut breaker = Breaker::new(1);
     let mut now = Instant::now();
     for _ in 0..3 {
@@ -83,11 +88,11 @@
     assert!(matches!(breaker.allow(now), Allow::No(_)));
 }
 
-/// A probe's task is given up before it can tell how the call went. Without a
-/// time limit the breaker would wait for it for ever, and the daemon would never
-/// come back to the service.
+/// The task of a probe is cancelled before it records the result of the call. Without a
+/// time limit the breaker would wait for the result forever, and the daemon would never
+/// use the service again.
 #[test]
-fn a_probe_that_tells_nothing_does_not_keep_the_breaker_open() {
+fn a_probe_without_a_result_does_not_keep_the_breaker_open() {
     let mut breaker = Breaker::new(1);
     let mut now = Instant::now();
     for _ in 0..3 {
@@ -105,33 +110,33 @@
     #![proptest_config(testutils::fixed(64))]
 
     #[test]
-    fn bytes_come_back_from_their_text(bytes in prop::collection::vec(any::<u8>(), 0..100)) {
+    fn bytes_round_trip_through_base64(bytes in prop::collection::vec(any::<u8>(), 0..100)) {
         prop_assert_eq!(from_base64(&to_base64(&bytes)), Some(bytes));
     }
 }
 
 #[test]
-fn base64_is_the_standard_one() {
+fn base64_has_the_standard_alphabet_and_padding() {
     assert_eq!(to_base64(b"any carnal pleas"), "YW55IGNhcm5hbCBwbGVhcw==");
     for malformed in ["YQ", "Y===", "YQ=a", "Y Q="] {
         assert_eq!(from_base64(malformed), None, "{malformed}");
     }
 }
 
-/// Runs a future of the fake, which is ready at once.
+/// Output of a future of the fake, which is always ready at once.
 fn ready<T>(future: impl Future<Output = T>) -> T {
     let mut context = Context::from_waker(Waker::noop());
     let mut future = std::pin::pin!(future);
     match future.as_mut().poll(&mut context) {
         Poll::Ready(value) => value,
-        Poll::Pending => panic!("the fake waits for nothing"),
+        Poll::Pending => panic!("futures of the fake are always ready"),
     }
 }
 
-/// The holder of a lease is paused for longer than it lasts. What hung on the
-/// lease is gone then, and another daemon may have put its own in its place.
+/// The holder of a lease is paused until the lease has expired. The values attached to
+/// the lease are deleted then, and another daemon may have written its own instead.
 #[test]
-fn what_hangs_on_a_lapsed_lease_is_gone() {
+fn values_of_an_expired_lease_are_deleted() {
     let store = FakeStore::new(Instant::now());
     let lease = ready(store.grant(Duration::from_secs(5))).unwrap();
     let mut put = put("mover", "me");
@@ -147,10 +152,10 @@
     assert_eq!(ready(store.renew(lease.id)), Ok(None));
 }
 
-/// The service takes longer for a write than the writer waits. It takes effect
-/// all the same, as with a lost answer.
+/// The service takes longer for a write than the writer waits. The write takes effect all
+/// the same, as with a lost response.
 #[test]
-fn a_write_to_a_slow_service_is_unknown_and_stands() {
+fn a_write_to_a_slow_service_is_unknown_and_takes_effect() {
     let store = FakeStore::new(Instant::now());
     store.fake.borrow_mut().faults.slow_ms = 2_000;
     let write = Write {
