--- a/lib/tests/test_relay_shared.rs
+++ b/lib/tests/test_relay_shared.rs
@@ -6,7 +6,7 @@
 use poplarvale_lib::relay::budget::Budget;
 use poplarvale_lib::relay::catalog::{Team, Unit};
 use poplarvale_lib::relay::clock::Clock;
-use poplarvale_lib::relay::duty::Held;
+use poplarvale_lib::relay::duty::DutyLease;
 use poplarvale_lib::relay::quota::{PeerReport, Quota, TeamUse, Tolerance, name_hash};
 use poplarvale_lib::relay::usage::Usage;
 use proptest::prelude::*;
@@ -530,11 +530,11 @@
     let start = Instant::now();
     let mut clock = Clock::new(start);
     for name in ["b", "c", "d", "e"] {
-        clock.hear(&name.into(), 1_000_000, start);
+        clock.record(&name.into(), 1_000_000, start);
     }
     let later = start + Duration::from_secs(1);
     assert_eq!(clock.now(1_003_400, later), 1_001_000);
-    clock.hear(&"b".into(), 1_003_400, later);
+    clock.record(&"b".into(), 1_003_400, later);
     assert_eq!(clock.now(1_003_400, later), 1_001_000);
 }
 
@@ -544,10 +544,10 @@
 fn a_paused_lease_holder_does_not_act() {
     let now = Instant::now();
     let term = Duration::from_secs(3);
-    let held = Held::new(1, 2, term, now);
+    let held = DutyLease::new(1, 2, term, now);
     assert!(held.may_act(now));
     assert!(!held.may_act(now + term));
-    assert!(held.is_over(now + term));
+    assert!(held.is_expired(now + term));
     assert!(!held.may_act(now + term * 2 / 3));
 }
 
