--- a/lib/src/http1/body.rs
+++ b/lib/src/http1/body.rs
@@ -1,46 +1,53 @@
-//! Bodies, decoded piece by piece as their bytes arrive.
+//! Incremental decoding of message bodies.
 
 use bytes::{Buf as _, Bytes, BytesMut};
 
 use super::Framing;
 
-/// Longest line that states a chunk's size, and longest trailer line, in bytes.
-const MOST_LINE: usize = 1024;
+/// Maximum length in bytes of a chunk size line and of a trailer line.
+const MAX_LINE: usize = 1024;
 
-/// Why a body cannot be read further.
+/// Reason for which a body cannot be read further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BodyError {
-    /// A chunk is not in the protocol.
-    #[error("a chunk of the body is not in the protocol")]
+    /// A chunk is malformed.
+    #[error("a chunk of the body is malformed")]
     Chunk,
     /// The connection ended before the body did.
-    #[error("the body broke off")]
+    #[error("the connection ended before the body did")]
     Truncated,
 }
 
-/// Reads one body off a buffer.
+/// Decoder of one body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Body(State);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
+    /// Bytes left of a body with a stated length.
     Length(u64),
-    Size,
-    Chunk(u64),
+    /// Before the size line of a chunk.
+    ChunkSize,
+    /// Bytes left of a chunk.
+    ChunkData(u64),
+    /// Before the line end that follows a chunk.
     ChunkEnd,
+    /// Before a trailer line or the empty line that ends the body.
     Trailer,
-    Close,
+    /// The body ends with the connection.
+    UntilClose,
+    /// The whole body was read.
     Done,
 }
 
 impl Body {
-    /// Begins a body with this framing.
+    /// A decoder for a body with this framing.
     pub fn new(framing: Framing) -> Self {
         Self(match framing {
             Framing::None | Framing::Length(0) => State::Done,
             Framing::Length(length) => State::Length(length),
-            Framing::Chunked => State::Size,
-            Framing::Close => State::Close,
+            Framing::Chunked => State::ChunkSize,
+            Framing::Close => State::UntilClose,
         })
     }
 
@@ -49,17 +56,17 @@
         self.0 == State::Done
     }
 
-    /// Takes what is there of the body; `None` if more bytes are needed or the
-    /// body is done.
+    /// Takes the next available part of the body off the buffer; `None` if more bytes
+    /// are needed or the body is done.
     ///
     /// # Errors
-    /// If a chunk is not in the protocol.
+    /// If a chunk is malformed.
     pub fn take(&mut self, buffer: &mut BytesMut) -> Result<Option<Bytes>, BodyError> {
         loop {
             match self.0 {
                 State::Done => return Ok(None),
-                State::Close if buffer.is_empty() => return Ok(None),
-                State::Close => return Ok(Some(buffer.split().freeze())),
+                State::UntilClose if buffer.is_empty() => return Ok(None),
+                State::UntilClose => return Ok(Some(buffer.split().freeze())),
                 State::Length(left) => {
                     return Ok(take(buffer, left).inspect(|part| {
                         let left = left - part.len() as u64;
@@ -70,13 +77,13 @@
                         };
                     }));
                 }
-                State::Chunk(left) => {
+                State::ChunkData(left) => {
                     return Ok(take(buffer, left).inspect(|part| {
                         let left = left - part.len() as u64;
                         self.0 = if left == 0 {
                             State::ChunkEnd
                         } else {
-                            State::Chunk(left)
+                            State::ChunkData(left)
                         };
                     }));
                 }
@@ -88,23 +95,23 @@
                         return Err(BodyError::Chunk);
                     }
                     buffer.advance(2);
-                    self.0 = State::Size;
+                    self.0 = State::ChunkSize;
                 }
-                State::Size => match httparse::parse_chunk_size(buffer) {
+                State::ChunkSize => match httparse::parse_chunk_size(buffer) {
                     Ok(httparse::Status::Complete((len, size))) => {
                         buffer.advance(len);
                         self.0 = if size == 0 {
                             State::Trailer
                         } else {
-                            State::Chunk(size)
+                            State::ChunkData(size)
                         };
                     }
-                    Ok(httparse::Status::Partial) if buffer.len() <= MOST_LINE => return Ok(None),
+                    Ok(httparse::Status::Partial) if buffer.len() <= MAX_LINE => return Ok(None),
                     _ => return Err(BodyError::Chunk),
                 },
                 State::Trailer => {
                     let Some(end) = buffer.windows(2).position(|pair| pair == b"\r\n") else {
-                        if buffer.len() > MOST_LINE {
+                        if buffer.len() > MAX_LINE {
                             return Err(BodyError::Chunk);
                         }
                         return Ok(None);
@@ -118,13 +125,13 @@
         }
     }
 
-    /// Tells that the connection ended.
+    /// Handles the end of the connection.
     ///
     /// # Errors
-    /// If the body was not all there.
-    pub fn end(&mut self) -> Result<(), BodyError> {
+    /// If the body is incomplete.
+    pub fn finish(&mut self) -> Result<(), BodyError> {
         match self.0 {
-            State::Done | State::Close => {
+            State::Done | State::UntilClose => {
                 self.0 = State::Done;
                 Ok(())
             }
@@ -133,6 +140,7 @@
     }
 }
 
+/// Takes up to `left` bytes off the buffer; none if it is empty.
 fn take(buffer: &mut BytesMut, left: u64) -> Option<Bytes> {
     if buffer.is_empty() {
         return None;
