--- a/daemon/src/relay/caller.rs
+++ b/daemon/src/relay/caller.rs
@@ -1,4 +1,5 @@
-//! Connections of callers.
+//! Connections from callers: reads requests, has each served, and notices when the caller
+//! disconnects.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,28 +18,29 @@
 use super::state::{Active, State};
 use super::wire::fill;
 
-/// Bytes of further requests that are read while one is served.
-const AHEAD: usize = 64 * 1024;
-/// How long a body may take for each megabyte, beside the head's limit.
-const BODY: Duration = Duration::from_secs(10);
-/// How long bytes are read after the last answer of a connection.
-const LINGER: Duration = Duration::from_millis(300);
+/// Limit for bytes that are read ahead from a connection while a request is served.
+const MAX_READ_AHEAD_BYTES: usize = 64 * 1024;
+/// How long reading a body may take, in addition to the timeout for the head.
+const BODY_TIME: Duration = Duration::from_secs(10);
+/// How long a connection is still read after its last answer, before it is closed.
+const LINGER_TIME: Duration = Duration::from_millis(300);
 
-/// Serves a caller's connection to its end.
+/// Serves the requests of a connection until it is closed.
 pub(crate) async fn serve_caller(state: Rc<State>, mut stream: TcpStream) {
     if let Err(error) = stream.set_nodelay(true) {
-        log::debug!("caller: no-delay not set, {error}.");
+        log::debug!("caller: setting TCP_NODELAY failed, {error}; serving without it.");
     }
     let (mut read, mut write) = stream.split();
     let mut buffer = BytesMut::new();
     loop {
-        let idle = Instant::now();
-        if !until_begun(&state, &mut read, &mut buffer, idle).await {
+        let idle_since = Instant::now();
+        if !await_request(&state, &mut read, &mut buffer, idle_since).await {
             return;
         }
-        // Counted from its first byte: a daemon that ends waits for what is still read.
+        // A request counts from its first byte, so a daemon that shuts down also waits for one
+        // that is still being read.
         let _active = Active::new(&state);
-        match next(&state, &mut read, &mut write, &mut buffer).await {
+        match serve_next(&state, &mut read, &mut write, &mut buffer).await {
             Some(After::Keep) => {}
             Some(After::Close) => return close(read, write).await,
             None => return,
@@ -46,24 +48,24 @@
     }
 }
 
-/// Waits for the first byte of a request; `false` if the connection ends or was idle for
+/// Waits for the first byte of a request; returns `false` if the connection ends or was idle for
 /// too long.
-async fn until_begun(
+async fn await_request(
     state: &State,
     read: &mut ReadHalf<'_>,
     buffer: &mut BytesMut,
-    idle: Instant,
+    idle_since: Instant,
 ) -> bool {
     while buffer.is_empty() {
         let limit = limits(state).idle_timeout;
-        let until = state.life().idle_deadline(idle.into_std(), limit);
+        let until = state.life().idle_deadline(idle_since.into_std(), limit);
         tokio::select! {
             biased;
             more = timeout_at(until.into(), fill(read, buffer)) => match more {
                 Ok(Ok(len)) if len > 0 => {}
                 _ => return false,
             },
-            // The limit is sooner once the daemon is told to end.
+            // The deadline is earlier once the daemon shuts down.
             () = state.turned() => {}
         }
     }
@@ -71,7 +73,7 @@
 }
 
 /// Reads a request and serves it; `None` if the connection ended.
-async fn next(
+async fn serve_next(
     state: &Rc<State>,
     read: &mut ReadHalf<'_>,
     write: &mut WriteHalf<'_>,
@@ -86,7 +88,7 @@
     let head = match read_ask(&request) {
         Ok(head) => head,
         Err(error) => {
-            log::info!("caller: request refused, {error}.");
+            log::info!("caller: rejected a request with an invalid head, {error}.");
             return Some(reject(write, Code::BadBody, None).await);
         }
     };
@@ -108,16 +110,17 @@
     tokio::select! {
         biased;
         after = serve(state, &request, &body, &head, arrived, write) => Some(after),
-        () = left(read, buffer) => {
+        () = until_disconnected(read, buffer) => {
             log::info!(
                 request = head.id.as_str(), after_ms = arrived.elapsed().as_millis() as u64;
-                "caller: left before its answer was out."
+                "caller: disconnected before its answer was complete; its request is dropped."
             );
             None
         }
     }
 }
 
+/// Limits for callers of the current configuration, or the defaults before there is one.
 fn limits(state: &State) -> CallerLimits {
     let catalog = state.catalog.borrow();
     catalog
@@ -126,7 +129,7 @@
         .unwrap_or_default()
 }
 
-/// Reads the head of a request that has begun. `None` if the connection ends.
+/// Reads the rest of a request's head. `None` if the connection ends.
 async fn read_head(
     state: &State,
     read: &mut ReadHalf<'_>,
@@ -155,7 +158,7 @@
     }
 }
 
-/// Reads a request's whole body. `None` if the connection ends.
+/// Reads the whole body of a request. `None` if the connection ends.
 async fn read_body(
     read: &mut ReadHalf<'_>,
     buffer: &mut BytesMut,
@@ -167,7 +170,7 @@
     {
         return Some(Err(Code::LargeBody));
     }
-    let until = Instant::now() + limits.header_timeout + BODY;
+    let until = Instant::now() + limits.header_timeout + BODY_TIME;
     let mut body = Body::new(framing);
     let mut bytes = BytesMut::new();
     loop {
@@ -193,10 +196,10 @@
     }
 }
 
-/// Ends when the caller closes its connection. What it sends meanwhile is kept
-/// for its next request.
-async fn left(read: &mut ReadHalf<'_>, buffer: &mut BytesMut) {
-    while buffer.len() < AHEAD {
+/// Waits until the caller closes its connection. Bytes that it sends meanwhile stay in the buffer
+/// for its next request; once the buffer is full, a disconnect is not noticed any more.
+async fn until_disconnected(read: &mut ReadHalf<'_>, buffer: &mut BytesMut) {
+    while buffer.len() < MAX_READ_AHEAD_BYTES {
         match fill(read, buffer).await {
             Ok(len) if len > 0 => {}
             _ => return,
@@ -205,25 +208,25 @@
     std::future::pending::<()>().await;
 }
 
-/// Refuses what cannot be understood, or is not read any further. Where the next request
-/// begins is not known, so the connection ends.
+/// Rejects a request that is invalid or not read to its end, and has the connection closed, as
+/// the start of the next request on it is not known.
 async fn reject(write: &mut WriteHalf<'_>, code: Code, id: Option<&str>) -> After {
     let again = (code == Code::Draining).then_some(SOON);
     let out = refusal(code, Ran::No, id, again, false);
     if let Err(error) = write.write_all(&out).await {
-        log::debug!("caller: refusal not sent, {error}.");
+        log::debug!("caller: sending a rejection failed, {error}.");
     }
     After::Close
 }
 
-/// Closes a connection in order: says that nothing more is written, and reads on for a
-/// moment. Closed with unread bytes it would be reset, and the caller might lose the
-/// answer that is still on its way.
+/// Closes a connection cleanly: shuts down its writing side, then reads on for
+/// [`LINGER_TIME`]. Closing it with unread bytes would reset it, and the caller might lose an
+/// answer that is still in transit.
 async fn close(mut read: ReadHalf<'_>, mut write: WriteHalf<'_>) {
     if write.shutdown().await.is_err() {
         return;
     }
-    let until = Instant::now() + LINGER;
+    let until = Instant::now() + LINGER_TIME;
     let mut buffer = BytesMut::new();
     while let Ok(Ok(len)) = timeout_at(until, fill(&mut read, &mut buffer)).await {
         if len == 0 {
--- a/daemon/src/relay/questions.rs
+++ b/daemon/src/relay/plain_server.rs
@@ -1,4 +1,5 @@
-//! Short questions of the platform and of operators, one listener each.
+//! Serves requests that have no body and are answered at once, such as readiness checks and
+//! metrics; each kind has its own listener.
 
 use std::rc::Rc;
 
@@ -10,11 +11,11 @@
 use super::state::State;
 use super::wire::fill;
 
-/// Longest head of a question, in bytes.
-const MOST_HEAD: usize = 4096;
+/// Longest accepted request head.
+const MAX_HEAD_BYTES: usize = 4096;
 
-/// Answers one connection's questions until it ends or asks what is no question.
-pub(crate) async fn serve_questions(
+/// Answers the requests of one connection until it ends or sends an invalid one.
+pub(crate) async fn serve_plain(
     state: Rc<State>,
     mut stream: TcpStream,
     answer: fn(&State, &Request) -> BytesMut,
@@ -22,7 +23,7 @@
     let (mut read, mut write) = stream.split();
     let mut buffer = BytesMut::new();
     loop {
-        match Request::take(&mut buffer, MOST_HEAD) {
+        match Request::take(&mut buffer, MAX_HEAD_BYTES) {
             Ok(Some(request)) => {
                 let out = answer(&state, &request);
                 if write.write_all(&out).await.is_err() || !request.keep_alive {
--- a/daemon/src/relay/probe.rs
+++ b/daemon/src/relay/probe.rs
@@ -1,4 +1,4 @@
-//! The balancer's questions for readiness.
+//! Readiness checks of the load balancer.
 
 use std::rc::Rc;
 
@@ -8,15 +8,15 @@
 use poplarvale_platform::{is_ready_probe, refusal};
 use tokio::net::TcpStream;
 
-use super::questions::serve_questions;
+use super::plain_server::serve_plain;
 use super::state::State;
 
-/// The answer of a daemon that is ready.
+/// The answer of a ready daemon.
 const READY: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
-/// Answers questions on one connection until it ends.
+/// Answers the readiness checks of one connection until it ends.
 pub(crate) async fn serve_probe(state: Rc<State>, stream: TcpStream) {
-    serve_questions(state, stream, answer).await;
+    serve_plain(state, stream, answer).await;
 }
 
 fn answer(state: &State, request: &Request) -> BytesMut {
--- a/daemon/src/relay/run.rs
+++ b/daemon/src/relay/run.rs
@@ -1,4 +1,4 @@
-//! Runs a relaying daemon from its start to its orderly end.
+//! Runs a relaying daemon from its start to its graceful shutdown.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -22,25 +22,25 @@
 use super::trail::last_lines;
 use super::watch::watch_store;
 
-/// Connections that may wait to be accepted; a burst after a restart must not
-/// overflow it, as the next try of a dropped opening packet comes seconds later.
-const BACKLOG: u32 = 1024;
-/// How often the settings file is looked at.
-const RELOAD: Duration = Duration::from_secs(5);
-/// How often the tables are cleaned.
-const CLEAN: Duration = Duration::from_millis(500);
+/// Connections that may wait to be accepted. A burst after a restart must not overflow this
+/// queue, as the kernel of a caller sends a dropped SYN again only after seconds.
+const LISTEN_BACKLOG: u32 = 1024;
+/// Interval at which the settings file is read again.
+const RELOAD_INTERVAL: Duration = Duration::from_secs(5);
+/// Interval at which expired rows are removed from the tables.
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What a relaying daemon failed at.
+/// Why a relaying daemon failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RelayError {
-    /// Reading its settings.
-    #[error("the settings could not be used")]
+    /// The settings file cannot be read or is invalid.
+    #[error("cannot read the settings file, or its settings are invalid")]
     Settings,
-    /// Listening at an address.
-    #[error("the daemon could not listen at its addresses")]
+    /// A socket cannot be bound.
+    #[error("cannot listen on the configured addresses")]
     Listen,
-    /// Waiting for signals.
-    #[error("the daemon could not wait for signals")]
+    /// A signal handler cannot be installed.
+    #[error("cannot install the signal handlers")]
     Signals,
 }
 
@@ -50,22 +50,25 @@
     poplarvale_platform::read_settings(&text).change_context(RelayError::Settings)
 }
 
-/// A relaying daemon that serves.
+/// A running daemon.
 #[derive(Debug)]
 pub struct Relay {
     state: Rc<State>,
-    /// Where digests go out.
+    /// Socket for digests to and from the other daemons.
     peers: Rc<UdpSocket>,
+    /// Bound address for callers.
     callers: SocketAddr,
+    /// Bound address for readiness checks.
     ready: SocketAddr,
+    /// Bound address for metrics and the dump, if one is configured.
     status: Option<SocketAddr>,
 }
 
 impl Relay {
-    /// Starts to serve. To be called on the thread that runs everything.
+    /// Binds all sockets and starts the tasks of the daemon, on the thread of the caller.
     ///
     /// # Errors
-    /// If an address cannot be listened at.
+    /// If a socket cannot be bound.
     pub async fn start(settings: RelaySettings) -> Result<Self, Report<RelayError>> {
         let callers = listen(settings.callers)?;
         let ready = listen(settings.ready)?;
@@ -90,123 +93,129 @@
         actix_web::rt::spawn(send(state(), Rc::clone(&relay.peers)));
         actix_web::rt::spawn(serve_duties(state()));
         actix_web::rt::spawn(keep_quarantined(state()));
-        actix_web::rt::spawn(clean(state()));
+        actix_web::rt::spawn(expire(state()));
         Ok(relay)
     }
 
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub fn callers(&self) -> SocketAddr {
         self.callers
     }
 
-    /// Where the balancer asks for readiness.
+    /// Address at which the load balancer checks readiness.
     pub fn ready(&self) -> SocketAddr {
         self.ready
     }
 
-    /// Where operators read metrics and the dump, if the settings give an address.
+    /// Address at which operators read metrics and the dump, if one is configured.
     pub fn status(&self) -> Option<SocketAddr> {
         self.status
     }
 
-    /// Takes settings that were read again. Hosts of other daemons are learned;
-    /// addresses, zone and bounds hold until the next start.
+    /// Applies settings that were read again: hosts of other daemons are added. Addresses, zone
+    /// and bounds of the start stay in force until the next start.
     fn reload(&self, settings: &RelaySettings) {
         self.state.learn(settings);
         if *settings != self.state.settings && !self.state.differs.replace(true) {
-            log::info!("daemon: the settings differ from those of the start.");
+            log::info!(
+                "daemon: the settings changed; apart from new hosts they apply after a restart."
+            );
         }
     }
 
-    /// Ends in order: serves who still comes for a while, then refuses whoever comes, and
-    /// waits until all answers are out or the process would be killed.
+    /// Shuts down gracefully: serves new callers for a while, then rejects them, and waits until
+    /// all answers are sent or the process would be killed.
     pub async fn stop(&self) {
         let state = &self.state;
-        let leaving = Draining::begin(Instant::now(), state.settings.bounds.grace);
-        state.turn(Phase::Draining(leaving));
+        let draining = Draining::begin(Instant::now(), state.settings.bounds.grace);
+        state.turn(Phase::Draining(draining));
         let active = state.active.get();
         log::info!("daemon: shutting down with {active} requests in progress.");
-        until_quiet(state, &leaving).await;
-        let closing = leaving.close(Instant::now());
+        until_closable(state, &draining).await;
+        let closing = draining.close(Instant::now());
         state.turn(Phase::Closing(closing));
         let active = state.active.get();
-        log::info!("daemon: begins nothing more, with {active} requests in progress.");
+        log::info!(
+            "daemon: closing with {active} requests in progress; new requests are rejected."
+        );
         until_closed(state, closing).await;
         send_last_digest(state, &self.peers);
         let active = state.active.get();
-        log::info!("daemon: ends with {active} requests in progress.");
+        log::info!("daemon: exiting with {active} requests in progress.");
     }
 }
 
-/// Runs until SIGTERM, and then until the last answer is out.
+/// Runs until SIGTERM or SIGINT, then shuts down gracefully.
 ///
 /// # Errors
-/// If the settings cannot be used or an address not be listened at.
+/// If the settings are invalid, a socket cannot be bound or a signal handler not be installed.
 pub async fn run(path: &Path) -> Result<(), Report<RelayError>> {
     let settings = read_settings(path)?;
     log::info!(
-        "daemon: {} starts in zone {}.",
+        "daemon: {} is starting in zone {}.",
         settings.name,
         settings.zone
     );
     let relay = Relay::start(settings).await?;
     log::info!(
         callers:% = relay.callers, ready:% = relay.ready, status:? = relay.status;
-        "daemon: serves."
+        "daemon: serving."
     );
-    wait_for_end(&relay, path).await?;
+    wait_for_signal(&relay, path).await?;
     relay.stop().await;
     last_lines().await;
     Ok(())
 }
 
+/// Binds a listener with a long queue; the address may still be in use by closed connections.
 fn listen(address: SocketAddr) -> Result<TcpListener, Report<RelayError>> {
     let bound = || -> std::io::Result<TcpListener> {
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
         socket.bind(address)?;
-        socket.listen(BACKLOG)
+        socket.listen(LISTEN_BACKLOG)
     };
     bound().change_context(RelayError::Listen)
 }
 
-/// Serves each connection of a listener by a task of its own, until the daemon closes.
+/// Accepts connections and serves each in a task of its own, until the daemon closes.
 async fn accept<F>(state: Rc<State>, listener: TcpListener, serve: fn(Rc<State>, TcpStream) -> F)
 where
     F: Future<Output = ()> + 'static,
 {
-    let closed = until_accepted(&state);
-    tokio::pin!(closed);
+    let end = accept_end(&state);
+    tokio::pin!(end);
     loop {
         let accepted = tokio::select! {
             biased;
             accepted = listener.accept() => accepted,
-            () = &mut closed => return,
+            () = &mut end => return,
         };
         match accepted {
             Ok((stream, _)) => {
                 actix_web::rt::spawn(serve(Rc::clone(&state), stream));
             }
             Err(error) => {
-                // Out of descriptors, most likely; trying at once would only spin.
-                log::warn!("daemon: no connection accepted, {error}.");
+                // Most likely the file descriptors are used up; retrying at once would busy-loop.
+                log::warn!("daemon: accepting a connection failed, {error}; retrying.");
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         }
     }
 }
 
-/// Ends when those are accepted who were waiting when the daemon began to close.
-async fn until_accepted(state: &State) {
+/// Waits until the connections are accepted that were queued when the daemon began to close.
+async fn accept_end(state: &State) {
     state.closing().await;
     if let Phase::Closing(closing) = state.life() {
         tokio::time::sleep_until(closing.accept_until.into()).await;
     }
 }
 
-async fn clean(state: Rc<State>) {
+/// Removes expired rows from all tables until the process ends.
+async fn expire(state: Rc<State>) {
     loop {
-        tokio::time::sleep(CLEAN).await;
+        tokio::time::sleep(EXPIRY_INTERVAL).await;
         let now = Instant::now();
         state.upstreams.expire(now);
         state.quota.borrow_mut().expire(now);
@@ -215,14 +224,14 @@
         let current = state.window_at(now);
         state.usage.borrow_mut().expire(current);
         for id in state.endpoints.borrow_mut().expire(now) {
-            log::info!("board: endpoint {id} did not come back.");
+            log::info!("board: endpoint {id} did not register again and is dropped.");
         }
     }
 }
 
-/// Waits for SIGTERM or SIGINT. Meanwhile the settings are read again on SIGHUP, and
-/// now and then, as they may change without a signal.
-async fn wait_for_end(relay: &Relay, path: &Path) -> Result<(), Report<RelayError>> {
+/// Waits for SIGTERM or SIGINT. Meanwhile the settings are read again on SIGHUP and
+/// periodically, as they may change without a signal.
+async fn wait_for_signal(relay: &Relay, path: &Path) -> Result<(), Report<RelayError>> {
     let mut term = signal(SignalKind::terminate()).change_context(RelayError::Signals)?;
     let mut int = signal(SignalKind::interrupt()).change_context(RelayError::Signals)?;
     let mut hup = signal(SignalKind::hangup()).change_context(RelayError::Signals)?;
@@ -230,28 +239,28 @@
         tokio::select! {
             _ = term.recv() => return Ok(()),
             _ = int.recv() => return Ok(()),
-            _ = hup.recv() => log::info!("daemon: told to read its settings."),
-            () = tokio::time::sleep(RELOAD) => {}
+            _ = hup.recv() => log::info!("daemon: received SIGHUP, reading the settings again."),
+            () = tokio::time::sleep(RELOAD_INTERVAL) => {}
         }
         match read_settings(path) {
             Ok(settings) => relay.reload(&settings),
-            Err(error) => log::warn!("daemon: new settings not used, {error:?}."),
+            Err(error) => log::warn!("daemon: ignored the new settings, {error:?}."),
         }
     }
 }
 
-/// Waits until the daemon may close. It closes in the same step in which it sees that
-/// nothing is in progress, so no request comes in between.
-async fn until_quiet(state: &State, leaving: &Draining) {
+/// Waits until the daemon may close. The caller then enters the closing phase without another
+/// await, so no request can start between the check that none is in progress and that phase.
+async fn until_closable(state: &State, draining: &Draining) {
     loop {
         let now = Instant::now();
-        if leaving.may_close(state.active.get(), now) {
+        if draining.may_close(state.active.get(), now) {
             return;
         }
-        let next = if now < leaving.earliest_close {
-            leaving.earliest_close
+        let next = if now < draining.earliest_close {
+            draining.earliest_close
         } else {
-            leaving.latest_close
+            draining.latest_close
         };
         tokio::select! {
             () = tokio::time::sleep_until(next.into()) => {}
@@ -260,7 +269,7 @@
     }
 }
 
-/// Waits until connections are closed and answers are out.
+/// Waits until idle connections are closed and all answers are sent.
 async fn until_closed(state: &State, closing: Closing) {
     tokio::time::sleep_until(closing.read_until.into()).await;
     while state.active.get() > 0 && Instant::now() < closing.write_until {
--- a/daemon/src/relay/status.rs
+++ b/daemon/src/relay/status.rs
@@ -1,4 +1,4 @@
-//! What operators read: metrics and a dump of the daemon's state.
+//! Metrics and a dump of the daemon's state, for operators.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -13,16 +13,17 @@
 use serde_json::{Value, json};
 use tokio::net::TcpStream;
 
-use super::questions::serve_questions;
+use super::plain_server::serve_plain;
 use super::state::State;
 
-/// Answers one connection's questions until it ends.
+/// Answers the requests of one connection until it ends.
 pub(crate) async fn serve_status(state: Rc<State>, stream: TcpStream) {
-    serve_questions(state, stream, answer).await;
+    serve_plain(state, stream, answer).await;
 }
 
+/// Answers one request for the metrics or the dump.
 fn answer(state: &State, request: &Request) -> BytesMut {
-    let (kind, body) = match &*request.target {
+    let (content_type, body) = match &*request.target {
         b"/metrics" => {
             let page = state.metrics.as_ref().map(super::metrics::Metrics::page);
             ("text/plain; version=0.0.4", page.unwrap_or_default())
@@ -31,13 +32,13 @@
         _ => return refusal(Code::NoTable, Ran::No, None, None, request.keep_alive),
     };
     let head = format!(
-        "HTTP/1.1 200 OK\r\nContent-Type: {kind}\r\nContent-Length: {}\r\n\r\n",
+        "HTTP/1.1 200 OK\r\nContent-Type: {content_type}\r\nContent-Length: {}\r\n\r\n",
         body.len()
     );
     BytesMut::from((head + &body).as_bytes())
 }
 
-/// State of the daemon; holds no key and nothing of a request's content.
+/// The state of the daemon. It contains no keys and no content of requests.
 fn dump(state: &State) -> Value {
     let now = Instant::now();
     let table = state.endpoints.borrow();
@@ -50,13 +51,13 @@
             let name = row.identity.as_ref().map(|known| known.0.as_str());
             json!({"address": row.address.to_string(), "name": name,
                    "heard_ms": now.duration_since(row.received).as_millis() as u64,
-                   "store_steady_ms": steady(row.store, now)})
+                   "store_steady_ms": reachable_ms(row.store, now)})
         })
         .collect();
     let crashes = state.crashes.borrow();
     let quarantined: Vec<String> = crashes
         .quarantined()
-        .map(|content| format!("{content:016x}"))
+        .map(|fingerprint| format!("{fingerprint:016x}"))
         .collect();
     json!({
         "name": state.settings.name.as_str(),
@@ -64,9 +65,9 @@
         "ready": state.is_ready(),
         "ending": !state.life().is_serving(),
         "active": state.active.get(),
-        "catalog": state.catalog.borrow().as_ref().map(|held| held.version),
+        "catalog": state.catalog.borrow().as_ref().map(|catalog| catalog.version),
         "store_heard_ms": state.contact.get().since_answer(now).as_millis() as u64,
-        "store_steady_ms": steady(state.contact.get().span(), now),
+        "store_steady_ms": reachable_ms(state.contact.get().span(), now),
         "holder": state.leader.borrow().as_deref(),
         "log_lines_dropped": super::trail::dropped(),
         "quarantined": quarantined,
@@ -75,14 +76,15 @@
     })
 }
 
-/// For how long the store has been answering without a break.
-fn steady(span: Option<ReachableSpan>, now: Instant) -> Option<u64> {
+/// For how long the store has answered without an interruption, in milliseconds.
+fn reachable_ms(span: Option<ReachableSpan>, now: Instant) -> Option<u64> {
     let since = span?.since;
     Some(now.saturating_duration_since(since).as_millis() as u64)
 }
 
+/// One row of the endpoint table.
 fn endpoint(row: &Endpoint, now: Instant) -> Value {
-    let standing = match row.state {
+    let state = match row.state {
         EndpointState::Ready => "ready",
         EndpointState::Doubtful(_) => "doubtful",
         EndpointState::Leaving => "leaving",
@@ -92,7 +94,7 @@
         "service": row.listing.service.as_str(),
         "zone": row.listing.zone.as_str(),
         "address": row.listing.address.to_string(),
-        "standing": standing,
+        "standing": state,
         "fit": row.evidence.allows_request(now),
         "requests": row.in_flight.len(),
         "others": row.remote_load.requests,
--- a/daemon/src/relay/watch.rs
+++ b/daemon/src/relay/watch.rs
@@ -229,6 +229,7 @@
     Ok(())
 }
 
+/// Applies a change of any watched key.
 fn apply_change(state: &State, change: &Change) {
     match change {
         Change::Put(item) if item.key.starts_with(OPERATORS) => {
@@ -336,6 +337,7 @@
     }
 }
 
+/// Adds the order of a version move.
 fn apply_rollout(state: &State, item: &Item) {
     let (service, target, limit) = match read_rollout(&item.value) {
         Ok(order) => order,
@@ -361,6 +363,7 @@
     }
 }
 
+/// Applies the stored state of a version move.
 fn apply_status(state: &State, item: &Item) {
     let Some(service) = item.key.strip_prefix(STATUS) else {
         return;
--- a/daemon/src/relay/wire.rs
+++ b/daemon/src/relay/wire.rs
@@ -1,4 +1,5 @@
-//! A connection to a service or an endpoint, and what was read from it but not used yet.
+//! A client connection to an endpoint or a service of the platform, with the bytes that were read
+//! from it but not parsed yet.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,8 +11,8 @@
 use tokio::net::TcpStream;
 use tokio::net::tcp::ReadHalf;
 
-/// Bytes asked for by one read; most requests and answers fit.
-const READ: usize = 8 * 1024;
+/// Buffer space for one read; most requests and answers fit.
+const READ_BYTES: usize = 8 * 1024;
 
 /// A connection and its read buffer.
 #[derive(Debug)]
@@ -28,25 +29,25 @@
         }
     }
 
-    /// Connects within `limit`.
+    /// Connects within `timeout`.
     ///
-    /// `silence` bounds how long sent bytes may go unacknowledged: a partitioned
-    /// peer answers nothing, and without it the connection would hang for minutes.
+    /// `ack_timeout` bounds how long sent bytes may stay unacknowledged. Without it a connection
+    /// to a partitioned peer, which answers nothing, would hang for minutes.
     pub(crate) async fn connect(
         address: SocketAddr,
-        limit: Duration,
-        silence: Duration,
+        timeout: Duration,
+        ack_timeout: Duration,
     ) -> io::Result<Self> {
-        let stream = tokio::time::timeout(limit, TcpStream::connect(address))
+        let stream = tokio::time::timeout(timeout, TcpStream::connect(address))
             .await
             .map_err(|_elapsed| io::Error::from(io::ErrorKind::TimedOut))??;
         stream.set_nodelay(true)?;
-        SockRef::from(&stream).set_tcp_user_timeout(Some(silence))?;
+        SockRef::from(&stream).set_tcp_user_timeout(Some(ack_timeout))?;
         Ok(Self::new(stream))
     }
 
-    /// Whether an idle connection is still as the last exchange left it: open, and
-    /// without bytes that belong to no request.
+    /// Whether an idle connection can be used again: it is open, and nothing was received on it
+    /// since the last exchange.
     pub(crate) fn is_clean(&self) -> bool {
         let mut byte = [0];
         self.buffer.is_empty()
@@ -58,20 +59,20 @@
 }
 
 impl Drop for Wire {
-    /// Ends the connection by a reset, which takes back what a partition holds up on the
-    /// way. After an ordinary close the system goes on delivering it for minutes: a request
-    /// that was given up would reach an endpoint long after it left, or beside its repeat,
-    /// and an order of a former holder of the duties would come after its successor's.
-    /// Nothing is lost by it: the last exchange is over, or nobody waits for its answer.
+    /// Closes the connection by a reset, which discards bytes that were sent but not delivered
+    /// because of a partition. After a normal close the kernel keeps sending them for minutes: an
+    /// abandoned request would reach an endpoint long after the endpoint left, or in addition to
+    /// its retry, and a call of a former duty holder would arrive after those of its successor.
+    /// The reset loses nothing: the last exchange is over, or nobody waits for its answer.
     fn drop(&mut self) {
         if let Err(error) = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO)) {
-            log::debug!("wire: closed without a reset, {error}.");
+            log::debug!("wire: cannot set up a reset, {error}; closing the connection normally.");
         }
     }
 }
 
-/// Reads more into a buffer; 0 at the end of the connection.
+/// Reads more bytes into a buffer; returns their number, 0 at the end of the connection.
 pub(crate) async fn fill(read: &mut ReadHalf<'_>, buffer: &mut BytesMut) -> io::Result<usize> {
-    buffer.reserve(READ);
+    buffer.reserve(READ_BYTES);
     read.read_buf(buffer).await
 }
