--- a/daemon/src/relay/attempt.rs
+++ b/daemon/src/relay/attempt.rs
@@ -215,7 +215,7 @@
         .record_limit(&endpoint.id, said)
     {
         log::info!(now:? = rate; "limit: endpoint {} names another.", endpoint.id);
-        state.news.notify_one();
+        state.digest_due.notify_one();
     }
 }
 
@@ -277,7 +277,7 @@
 }
 
 fn book(state: &Rc<State>, job: &Job<'_>, choice: &Choice) -> Booked {
-    let number = state.number();
+    let number = state.next_number();
     let wanted = Criteria {
         service: job.service,
         prompt: job.head.prompt.as_ref(),
@@ -342,13 +342,13 @@
     let (service, route) = (&job.service.name, &job.route.name);
     let sample = Sample { good, took };
     let mut rollouts = state.rollouts.borrow_mut();
-    if rollouts.record(service, route, version, sample, state.true_ms()) {
+    if rollouts.record(service, route, version, sample, state.unix_ms()) {
         log::warn!(
             request = job.head.id.as_str(), route = route.as_str(), good,
             took_ms = took.as_millis() as u64;
             "rollout: {service} goes back from version {version}."
         );
-        state.news.notify_one();
+        state.digest_due.notify_one();
     }
 }
 
--- a/daemon/src/relay/caller.rs
+++ b/daemon/src/relay/caller.rs
@@ -14,7 +14,7 @@
 use tokio::time::{Instant, timeout_at};
 
 use super::serve::{After, SOON, serve};
-use super::state::{Active, State};
+use super::state::{ActiveRequest, State};
 use super::wire::fill;
 
 /// Bytes of further requests that are read while one is served.
@@ -37,7 +37,7 @@
             return;
         }
         // Counted from its first byte: a daemon that ends waits for what is still read.
-        let _active = Active::new(&state);
+        let _active = ActiveRequest::new(&state);
         match next(&state, &mut read, &mut write, &mut buffer).await {
             Some(After::Keep) => {}
             Some(After::Close) => return close(read, write).await,
@@ -56,7 +56,7 @@
 ) -> bool {
     while buffer.is_empty() {
         let limit = limits(state).idle;
-        let until = state.life().idle_deadline(idle.into_std(), limit);
+        let until = state.phase().idle_deadline(idle.into_std(), limit);
         tokio::select! {
             biased;
             more = timeout_at(until.into(), fill(read, buffer)) => match more {
@@ -64,7 +64,7 @@
                 _ => return false,
             },
             // The limit is sooner once the daemon is told to end.
-            () = state.turned() => {}
+            () = state.phase_changed() => {}
         }
     }
     true
@@ -99,7 +99,7 @@
     let body = tokio::select! {
         biased;
         body = read_body(read, buffer, request.framing, &limits) => body?,
-        () = state.closing() => Err(Code::Draining),
+        () = state.until_closing() => Err(Code::Draining),
     };
     let body = match body {
         Ok(body) => body,
@@ -141,16 +141,16 @@
             Err(HeadError::TooLarge) => return Some(Err(Code::LargeHead)),
             Err(HeadError::Malformed | HeadError::Framing) => return Some(Err(Code::BadBody)),
         }
-        let until = state.life().read_deadline(slow.into_std());
+        let until = state.phase().read_deadline(slow.into_std());
         tokio::select! {
             biased;
             more = timeout_at(until.into(), fill(read, buffer)) => match more {
                 Ok(Ok(len)) if len > 0 => {}
                 Ok(_) => return None,
-                Err(_) if state.life().is_closing() => return Some(Err(Code::Draining)),
+                Err(_) if state.phase().is_closing() => return Some(Err(Code::Draining)),
                 Err(_) => return Some(Err(Code::SlowBody)),
             },
-            () = state.turned() => {}
+            () = state.phase_changed() => {}
         }
     }
 }
--- a/daemon/src/relay/checkpoint.rs
+++ b/daemon/src/relay/checkpoint.rs
@@ -38,7 +38,7 @@
         rate: row.rate as u32,
     });
     let mut written = Checkpoint {
-        wall_ms: state.true_ms(),
+        wall_ms: state.unix_ms(),
         daemons: state.peers.borrow().lately(now).len() as u32 + 1,
         spent: spent.collect(),
         ..Checkpoint::default()
@@ -86,7 +86,7 @@
 
 /// Takes in, when this daemon starts, what all let in before.
 pub(crate) fn restore_quota(state: &State, read: &Checkpoint) {
-    let age = State::wall().abs_diff(read.wall_ms);
+    let age = State::wall_ms().abs_diff(read.wall_ms);
     if u128::from(age) > CURRENT.as_millis() {
         log::info!("checkpoint: allowances begin at nothing, it is {age} ms old.");
         return;
--- a/daemon/src/relay/crash.rs
+++ b/daemon/src/relay/crash.rs
@@ -151,7 +151,7 @@
             state.quarantined.notify_one();
         }
     }
-    state.news.notify_one();
+    state.digest_due.notify_one();
 }
 
 /// Takes in what another daemon tells of a request.
@@ -188,7 +188,7 @@
             content:% = format_args!("{content:016x}");
             "crash: request cleared, it was served."
         );
-        state.news.notify_one();
+        state.digest_due.notify_one();
     }
 }
 
--- a/daemon/src/relay/duties.rs
+++ b/daemon/src/relay/duties.rs
@@ -72,12 +72,12 @@
 }
 
 fn is_vacant(state: &State) -> bool {
-    let is_free = state.leader.borrow().is_none();
+    let is_free = state.duty_holder.borrow().is_none();
     // Who held the duties before a return of the store does not know yet that it is over.
     let is_over = !state
         .eras
         .may_outlast(state.settings.bounds.lease, Instant::now());
-    state.listed.get() && state.life().is_serving() && is_free && is_over
+    state.listed.get() && state.phase().is_serving() && is_free && is_over
 }
 
 /// Waits longer the further back this daemon stands among the others. Right after the
@@ -157,7 +157,7 @@
             log::info!("duty: the store came back without what was written for it.");
             return;
         }
-        if !state.life().is_serving() {
+        if !state.phase().is_serving() {
             give_up(store, &holder).await;
             return;
         }
@@ -207,7 +207,7 @@
             checkpoint::restore_needs(&mut orders, saved);
         }
         let counted = state.usage.borrow().since(0).map(|row| row.1).min();
-        let first = state.window_at(state.started);
+        let first = state.usage_window(state.started);
         let first = counted.map_or(first, |counted| first.min(counted));
         let next = last.as_ref().map_or(first, |last| last.window + 1);
         return Some(Holder {
@@ -322,7 +322,7 @@
     let due = state
         .rollouts
         .borrow_mut()
-        .due_statuses(state.true_ms(), busy);
+        .due_statuses(state.unix_ms(), busy);
     for status in due {
         if !holder.held.may_act(Instant::now()) {
             return;
@@ -364,7 +364,7 @@
     }
     if holder.unsent.is_none() {
         let length = state.settings.bounds.usage_window.as_millis() as u64;
-        let true_now = state.true_ms();
+        let true_now = state.unix_ms();
         let late = state.settings.bounds.report_deadline.as_millis() as u64;
         // Windows that would come too late are passed over.
         while (holder.next + 1) * length + late < true_now {
--- a/daemon/src/relay/peers.rs
+++ b/daemon/src/relay/peers.rs
@@ -53,7 +53,7 @@
         state.peers.borrow_mut().expire(now);
         share_limits(&state, now);
         let rounds = state.peers.borrow().rounds();
-        urgent |= !state.left.borrow().is_empty();
+        urgent |= !state.left_endpoints.borrow().is_empty();
         tell(&state, &socket, turns.next(rounds, urgent, now));
         if rounds > 1 && state.peers.borrow().is_watcher(now) {
             tell_zone(&state, &socket, now);
@@ -61,7 +61,7 @@
         let period = state.peers.borrow().near_period();
         tokio::select! {
             () = tokio::time::sleep(period) => urgent = false,
-            () = state.news.notified() => urgent = true,
+            () = state.digest_due.notified() => urgent = true,
         }
     }
 }
@@ -91,7 +91,7 @@
 fn tell(state: &State, socket: &UdpSocket, turn: Turn) {
     let now = Instant::now();
     let sequence = state.next_digest();
-    let left = std::mem::take(&mut *state.left.borrow_mut());
+    let left = std::mem::take(&mut *state.left_endpoints.borrow_mut());
     let peers = state.peers.borrow();
     if let Some(whole) = turn.far {
         let bytes = digest(state, sequence, whole, &left, now).encode_to_vec();
@@ -176,7 +176,7 @@
     let busy = table.rows().iter().filter(|row| !row.in_flight.is_empty());
     let endpoints = busy.map(|row| tell_use((row.hash, row.local_load())));
     let usage = state.usage.borrow();
-    let current = state.window_at(now);
+    let current = state.usage_window(now);
     let windows = usage.mine();
     let windows = windows.filter(|(number, _)| whole || number + 1 == current);
     let windows = windows.map(|(number, counts)| digest::Window {
@@ -206,7 +206,7 @@
         memory: place.memory,
         news: None,
         zone_use: None,
-        wall_ms: State::wall(),
+        wall_ms: State::wall_ms(),
         catalog: state
             .catalog
             .borrow()
@@ -485,12 +485,12 @@
                 order.service,
                 order.target
             );
-            state.news.notify_one();
+            state.digest_due.notify_one();
         }
     }
     let mut usage = state.usage.borrow_mut();
     if let Some(told) = digest.fixed {
-        hear_fixed(&mut usage, told, state.window_at(now), &name);
+        hear_fixed(&mut usage, told, state.usage_window(now), &name);
     }
     for window in digest.windows {
         let row = |count: digest::Count| (CompactString::from(count.team), count.runs);
--- a/daemon/src/relay/probe.rs
+++ b/daemon/src/relay/probe.rs
@@ -26,7 +26,7 @@
     if state.is_ready() {
         return BytesMut::from(READY);
     }
-    let code = if state.life().is_serving() {
+    let code = if state.phase().is_serving() {
         Code::NoLists
     } else {
         Code::Draining
--- a/daemon/src/relay/run.rs
+++ b/daemon/src/relay/run.rs
@@ -112,8 +112,8 @@
     /// Takes settings that were read again. Hosts of other daemons are learned;
     /// addresses, zone and bounds hold until the next start.
     fn reload(&self, settings: &RelaySettings) {
-        self.state.learn(settings);
-        if *settings != self.state.settings && !self.state.differs.replace(true) {
+        self.state.add_seeds(settings);
+        if *settings != self.state.settings && !self.state.settings_changed.replace(true) {
             log::info!("daemon: the settings differ from those of the start.");
         }
     }
@@ -123,12 +123,12 @@
     pub async fn stop(&self) {
         let state = &self.state;
         let leaving = Draining::begin(Instant::now(), state.settings.bounds.grace);
-        state.turn(Phase::Draining(leaving));
+        state.set_phase(Phase::Draining(leaving));
         let active = state.active.get();
         log::info!("daemon: shutting down with {active} requests in progress.");
         until_quiet(state, &leaving).await;
         let closing = leaving.close(Instant::now());
-        state.turn(Phase::Closing(closing));
+        state.set_phase(Phase::Closing(closing));
         let active = state.active.get();
         log::info!("daemon: begins nothing more, with {active} requests in progress.");
         until_closed(state, closing).await;
@@ -198,8 +198,8 @@
 
 /// Ends when those are accepted who were waiting when the daemon began to close.
 async fn until_accepted(state: &State) {
-    state.closing().await;
-    if let Phase::Closing(closing) = state.life() {
+    state.until_closing().await;
+    if let Phase::Closing(closing) = state.phase() {
         tokio::time::sleep_until(closing.accept_until.into()).await;
     }
 }
@@ -212,7 +212,7 @@
         state.quota.borrow_mut().expire(now);
         state.demand.borrow_mut().expire(now);
         state.crashes.borrow_mut().expire(now);
-        let current = state.window_at(now);
+        let current = state.usage_window(now);
         state.usage.borrow_mut().expire(current);
         for id in state.endpoints.borrow_mut().expire(now) {
             log::info!("board: endpoint {id} did not come back.");
--- a/daemon/src/relay/serve.rs
+++ b/daemon/src/relay/serve.rs
@@ -87,7 +87,7 @@
     arrived: Instant,
     write: &mut WriteHalf<'_>,
 ) -> After {
-    let keep = request.keep && state.life().is_serving();
+    let keep = request.keep && state.phase().is_serving();
     let catalog = state.catalog.borrow().clone();
     let Some(catalog) = catalog else {
         let refused = Refusal::later(Code::NoLists, SOON);
@@ -100,7 +100,7 @@
     let team = team.map(|at| &catalog.teams[at]);
     let wait = head.timeout.unwrap_or(route.timeout).min(route.timeout);
     let deadline = (arrived + wait).into_std();
-    if !state.life().serves(deadline, Std::now()) {
+    if !state.phase().serves(deadline, Std::now()) {
         let refused = Refusal::later(Code::Draining, SOON);
         return refuse(state, write, head, refused, keep).await;
     }
@@ -149,7 +149,7 @@
         table.count_other_versions(service, version).0
     };
     let mut rollouts = state.rollouts.borrow_mut();
-    rollouts.choose_versions(service, olds, state.true_ms())
+    rollouts.choose_versions(service, olds, state.unix_ms())
 }
 
 /// Route and team of a request.
--- a/daemon/src/relay/state.rs
+++ b/daemon/src/relay/state.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a relaying daemon share.
+//! State that the tasks of a relaying daemon share.
 
 use std::cell::{Cell, RefCell};
 use std::net::{IpAddr, Ipv4Addr};
@@ -31,57 +31,57 @@
 
 const MEGABYTE: u64 = 1024 * 1024;
 
-/// Shared state; all tasks run on one thread and none holds a borrow across a wait.
+/// State of one daemon. All tasks run on one thread, and none holds a borrow across an `await`.
 #[derive(Debug)]
 pub(crate) struct State {
     pub(crate) settings: RelaySettings,
-    /// Configuration in force; `None` until the first one was read.
+    /// Configuration in use; `None` until the first one was read.
     pub(crate) catalog: RefCell<Option<Rc<Catalog>>>,
     pub(crate) endpoints: RefCell<EndpointTable>,
     pub(crate) quota: RefCell<Quota>,
     pub(crate) budget: RefCell<Budget>,
     pub(crate) crashes: RefCell<Crashes>,
-    /// Endpoints that may have ended, until that is known.
+    /// Endpoints whose process may have ended, until a new connection shows whether it has.
     pub(crate) suspicions: RefCell<Vec<Suspicion>>,
-    /// Told when a request is quarantined.
+    /// Notified when a request is quarantined.
     pub(crate) quarantined: Notify,
     pub(crate) demand: RefCell<Demand>,
     pub(crate) rollouts: RefCell<Rollouts>,
     pub(crate) usage: RefCell<Usage>,
     pub(crate) clock: RefCell<Clock>,
     pub(crate) peers: RefCell<Peers>,
-    /// How the store is followed.
+    /// How far this daemon knows the changes in the store.
     pub(crate) follow: RefCell<Follow>,
-    /// Told when this daemon has to look into the store itself.
-    pub(crate) look: Notify,
+    /// Notified when this daemon has to read the store itself.
+    pub(crate) read_store: Notify,
     pub(crate) eras: Rc<Eras>,
-    /// Who holds the duties, as far as the store told.
-    pub(crate) leader: RefCell<Option<CompactString>>,
-    /// Drawn at the start.
+    /// Daemon that holds the duties according to the store; `None` if none does.
+    pub(crate) duty_holder: RefCell<Option<CompactString>>,
+    /// Random number of this process, chosen at its start.
     pub(crate) incarnation: Incarnation,
     pub(crate) started: Instant,
-    /// Whether the list of endpoints was read at least once.
+    /// Whether the list of endpoints was read from the store at least once.
     pub(crate) listed: Cell<bool>,
     pub(crate) upstreams: Upstreams,
     pub(crate) contact: Cell<Contact>,
     pub(crate) metrics: Option<Metrics>,
-    /// Which requests that went well are told.
+    /// Which successful requests are logged.
     pub(crate) sampler: Sampler,
-    /// Requests in progress, from their first byte.
+    /// Number of requests in progress, each from its first byte on.
     pub(crate) active: Cell<usize>,
-    life: Cell<Phase>,
-    /// Endpoints that were seen to leave and that the others are still to be told.
-    pub(crate) left: RefCell<Vec<u32>>,
-    /// Told when there is something to be told at once.
-    pub(crate) news: Notify,
-    /// Told when no request is in progress any more.
+    phase: Cell<Phase>,
+    /// Hashes of endpoints that left and that the next digest reports as leaving.
+    pub(crate) left_endpoints: RefCell<Vec<u32>>,
+    /// Notified when the other daemons are to get a digest at once.
+    pub(crate) digest_due: Notify,
+    /// Notified when the last request in progress has ended.
     pub(crate) idle: Notify,
-    /// Told when `life` changes.
-    turned: Notify,
-    /// Whether the settings were seen to differ from those of the start.
-    pub(crate) differs: Cell<bool>,
-    numbers: Cell<u64>,
-    digests: Cell<u64>,
+    /// Notified when `phase` changes.
+    phase_changes: Notify,
+    /// Whether the settings file was seen to differ from the settings read at the start.
+    pub(crate) settings_changed: Cell<bool>,
+    last_number: Cell<u64>,
+    last_digest: Cell<u64>,
 }
 
 impl State {
@@ -117,9 +117,9 @@
             clock: RefCell::new(Clock::new(started)),
             peers: RefCell::new(Peers::new(me, place, &seeds, started)),
             follow: RefCell::default(),
-            look: Notify::new(),
+            read_store: Notify::new(),
             eras: Rc::default(),
-            leader: RefCell::new(None),
+            duty_holder: RefCell::new(None),
             incarnation,
             started,
             settings,
@@ -129,55 +129,55 @@
             metrics: Metrics::new(),
             sampler: Sampler::new(started),
             active: Cell::new(0),
-            life: Cell::new(Phase::Serving),
-            left: RefCell::default(),
-            news: Notify::new(),
+            phase: Cell::new(Phase::Serving),
+            left_endpoints: RefCell::default(),
+            digest_due: Notify::new(),
             idle: Notify::new(),
-            turned: Notify::new(),
-            differs: Cell::new(false),
-            numbers: Cell::new(0),
-            digests: Cell::new(0),
+            phase_changes: Notify::new(),
+            settings_changed: Cell::new(false),
+            last_number: Cell::new(0),
+            last_digest: Cell::new(0),
         })
     }
 
-    pub(crate) fn life(&self) -> Phase {
-        self.life.get()
+    pub(crate) fn phase(&self) -> Phase {
+        self.phase.get()
     }
 
-    /// Goes on to the next phase of life and tells all connections.
-    pub(crate) fn turn(&self, life: Phase) {
-        self.life.set(life);
-        self.turned.notify_waiters();
+    /// Enters the next phase and notifies all connections.
+    pub(crate) fn set_phase(&self, phase: Phase) {
+        self.phase.set(phase);
+        self.phase_changes.notify_waiters();
     }
 
-    /// Ends when the daemon goes on to another phase of life.
-    pub(crate) async fn turned(&self) {
-        self.turned.notified().await;
+    /// Waits until the daemon enters another phase.
+    pub(crate) async fn phase_changed(&self) {
+        self.phase_changes.notified().await;
     }
 
-    /// Ends when the daemon begins nothing more.
-    pub(crate) async fn closing(&self) {
-        while !self.life().is_closing() {
-            self.turned().await;
+    /// Waits until the daemon starts no request any more.
+    pub(crate) async fn until_closing(&self) {
+        while !self.phase().is_closing() {
+            self.phase_changed().await;
         }
     }
 
-    /// Notes that the store answered.
+    /// Records that the store answered a call.
     pub(crate) fn store_answered(&self, now: Instant) {
         let mut contact = self.contact.get();
         contact.answered(now);
         self.contact.set(contact);
     }
 
-    /// Notes that the store did not answer a call which began at a moment.
+    /// Records that the store did not answer a call that was started at `began`.
     pub(crate) fn store_failed(&self, began: Instant) {
         let mut contact = self.contact.get();
         contact.failed(began, Instant::now());
         self.contact.set(contact);
     }
 
-    /// Learns the hosts of other daemons that the settings name.
-    pub(crate) fn learn(&self, settings: &RelaySettings) {
+    /// Adds the seed addresses of these settings to the peers.
+    pub(crate) fn add_seeds(&self, settings: &RelaySettings) {
         let now = Instant::now();
         let mut peers = self.peers.borrow_mut();
         for seed in settings.seeds.iter().filter_map(v4) {
@@ -185,55 +185,55 @@
         }
     }
 
-    /// Whether callers should be sent here.
+    /// Whether the load balancer should send callers to this daemon.
     pub(crate) fn is_ready(&self) -> bool {
-        self.life.get().is_serving() && self.listed.get() && self.catalog.borrow().is_some()
+        self.phase.get().is_serving() && self.listed.get() && self.catalog.borrow().is_some()
     }
 
-    /// Unix milliseconds by this host's own clock, which may jump.
-    pub(crate) fn wall() -> u64 {
-        // A clock before 1970 is as wrong as one that jumped; the others correct it.
+    /// Unix time in milliseconds by this host's own clock, which may jump.
+    pub(crate) fn wall_ms() -> u64 {
+        // A clock before 1970 is treated like one that jumped: the clocks of the others correct it.
         let since = SystemTime::now().duration_since(UNIX_EPOCH);
         since.map_or(0, |since| since.as_millis() as u64)
     }
 
-    /// Unix milliseconds by the clocks of all daemons.
-    pub(crate) fn true_ms(&self) -> u64 {
-        self.clock.borrow().now(Self::wall(), Instant::now())
+    /// Unix time in milliseconds, by the clock that all daemons agree on.
+    pub(crate) fn unix_ms(&self) -> u64 {
+        self.clock.borrow().now(Self::wall_ms(), Instant::now())
     }
 
-    /// Usage window at a moment of the steady clock.
-    pub(crate) fn window_at(&self, at: Instant) -> WindowId {
+    /// Usage window that contains a moment of the monotonic clock.
+    pub(crate) fn usage_window(&self, at: Instant) -> WindowId {
         let ago = at.elapsed().as_millis() as u64;
         let length = self.settings.bounds.usage_window.as_millis().max(1) as u64;
-        self.true_ms().saturating_sub(ago) / length
+        self.unix_ms().saturating_sub(ago) / length
     }
 
-    /// Counts a run of a team's request that began at a moment.
+    /// Counts a request of a team that an endpoint began to run at `began`, for its usage report.
     pub(crate) fn count_run(&self, team: Option<&CustomerId>, began: Instant) {
         if let Some(team) = team {
-            let window = self.window_at(began);
+            let window = self.usage_window(began);
             self.usage.borrow_mut().count(window, team);
         }
     }
 
-    /// Counts something, if metrics are kept.
+    /// Updates the metrics, if they are kept.
     pub(crate) fn measure(&self, count: impl FnOnce(&Metrics)) {
         if let Some(metrics) = &self.metrics {
             count(metrics);
         }
     }
 
-    /// Number of the next digest.
+    /// Sequence number of the next digest.
     pub(crate) fn next_digest(&self) -> u64 {
-        self.digests.set(self.digests.get() + 1);
-        self.digests.get()
+        self.last_digest.set(self.last_digest.get() + 1);
+        self.last_digest.get()
     }
 
-    /// A number for a request that no other of this process has.
-    pub(crate) fn number(&self) -> u64 {
-        self.numbers.set(self.numbers.get() + 1);
-        self.numbers.get()
+    /// Number for a request, unique within this process.
+    pub(crate) fn next_number(&self) -> u64 {
+        self.last_number.set(self.last_number.get() + 1);
+        self.last_number.get()
     }
 }
 
@@ -244,18 +244,18 @@
     }
 }
 
-/// Counts a request as in progress until it is dropped.
+/// Guard that counts a request as in progress until it is dropped.
 #[derive(Debug)]
-pub(crate) struct Active(Rc<State>);
+pub(crate) struct ActiveRequest(Rc<State>);
 
-impl Active {
+impl ActiveRequest {
     pub(crate) fn new(state: &Rc<State>) -> Self {
         state.active.set(state.active.get() + 1);
         Self(Rc::clone(state))
     }
 }
 
-impl Drop for Active {
+impl Drop for ActiveRequest {
     fn drop(&mut self) {
         let left = self.0.active.get() - 1;
         self.0.active.set(left);
--- a/daemon/src/relay/watch.rs
+++ b/daemon/src/relay/watch.rs
@@ -138,7 +138,7 @@
         }
         tokio::select! {
             () = tokio::time::sleep_until(until.into()) => {}
-            () = state.look.notified() => return,
+            () = state.read_store.notified() => return,
         }
     }
 }
@@ -295,7 +295,7 @@
     let heard = state.follow.borrow_mut().hear(news, silent, now);
     let entries = match heard {
         Heard::Take(entries) => entries,
-        Heard::Look => return state.look.notify_one(),
+        Heard::Look => return state.read_store.notify_one(),
         Heard::Nothing => return,
     };
     if let Some(answered) = answered {
@@ -308,7 +308,7 @@
     let mine = state.endpoints.borrow().checksum();
     if !state.follow.borrow_mut().compare(check, mine) {
         log::warn!("store: what is told differs, everything is read anew.");
-        state.look.notify_one();
+        state.read_store.notify_one();
     }
 }
 
@@ -329,7 +329,7 @@
             return;
         }
     };
-    let now = state.true_ms();
+    let now = state.unix_ms();
     let life_ms = u64::try_from(life.as_millis()).unwrap_or(u64::MAX);
     let finish = now.saturating_add(life_ms);
     let order = Order {
@@ -359,15 +359,15 @@
 /// Notes who holds the duties.
 fn take_leader(state: &State, item: Option<&Item>) {
     let name = item.map(|item| String::from_utf8_lossy(&item.value).into());
-    *state.leader.borrow_mut() = name;
+    *state.duty_holder.borrow_mut() = name;
 }
 
 /// Tells the other daemons of an endpoint that leaves.
 fn tell(state: &State, id: &str, change: Changed) {
     log_change(state, id, change);
     if change == Changed::Left {
-        state.left.borrow_mut().push(name_hash(id));
-        state.news.notify_one();
+        state.left_endpoints.borrow_mut().push(name_hash(id));
+        state.digest_due.notify_one();
     }
 }
 
