--- a/daemon/src/relay/caller.rs
+++ b/daemon/src/relay/caller.rs
@@ -13,7 +13,7 @@
 use tokio::net::tcp::{ReadHalf, WriteHalf};
 use tokio::time::{Instant, timeout_at};
 
-use super::serve::{After, SOON, serve};
+use super::serve::{Connection, RETRY_SOON, serve};
 use super::state::{ActiveRequest, State};
 use super::wire::fill;
 
@@ -39,8 +39,8 @@
         // Counted from its first byte: a daemon that ends waits for what is still read.
         let _active = ActiveRequest::new(&state);
         match next(&state, &mut read, &mut write, &mut buffer).await {
-            Some(After::Keep) => {}
-            Some(After::Close) => return close(read, write).await,
+            Some(Connection::KeepAlive) => {}
+            Some(Connection::Close) => return close(read, write).await,
             None => return,
         }
     }
@@ -76,7 +76,7 @@
     read: &mut ReadHalf<'_>,
     write: &mut WriteHalf<'_>,
     buffer: &mut BytesMut,
-) -> Option<After> {
+) -> Option<Connection> {
     let limits = limits(state);
     let request = match read_head(state, read, buffer, &limits).await? {
         Ok(request) => request,
@@ -207,13 +207,13 @@
 
 /// Refuses what cannot be understood, or is not read any further. Where the next request
 /// begins is not known, so the connection ends.
-async fn reject(write: &mut WriteHalf<'_>, code: Code, id: Option<&str>) -> After {
-    let again = (code == Code::Draining).then_some(SOON);
+async fn reject(write: &mut WriteHalf<'_>, code: Code, id: Option<&str>) -> Connection {
+    let again = (code == Code::Draining).then_some(RETRY_SOON);
     let out = refusal(code, Ran::No, id, again, false);
     if let Err(error) = write.write_all(&out).await {
         log::debug!("caller: refusal not sent, {error}.");
     }
-    After::Close
+    Connection::Close
 }
 
 /// Closes a connection in order: says that nothing more is written, and reads on for a
--- a/daemon/src/relay/dispatch.rs
+++ b/daemon/src/relay/dispatch.rs
@@ -15,7 +15,7 @@
 use super::attempt::{Ended, Job, attempt};
 use super::crash::quarantined;
 use super::exchange::FAILED;
-use super::serve::{After, Refusal, SOON, after, answer, refuse};
+use super::serve::{Connection, RETRY_SOON, Rejection, connection, forward_response, reject};
 use super::state::State;
 use super::stream::{Passed, Patience};
 
@@ -54,7 +54,7 @@
     job: &Job<'_>,
     write: &mut WriteHalf<'_>,
     keep: bool,
-) -> After {
+) -> Connection {
     let now = Std::now();
     state
         .budget
@@ -131,7 +131,7 @@
         choice: &Choice,
         ended: Ended,
         write: &mut WriteHalf<'_>,
-    ) -> Option<After> {
+    ) -> Option<Connection> {
         if !matches!(ended, Ended::NotSent) {
             self.sends += 1;
         }
@@ -139,9 +139,9 @@
         match ended {
             Ended::Streamed => {
                 told(state, job, &choice.id, 200, self.sends);
-                Some(after(self.keep))
+                Some(connection(self.keep))
             }
-            Ended::CallerGone => Some(After::Close),
+            Ended::CallerGone => Some(Connection::Close),
             Ended::NotSent | Ended::NotRun => None,
             Ended::Whole(head, body) => {
                 self.runs += 1;
@@ -154,7 +154,7 @@
                     return Some(self.cut(state, job));
                 }
                 told(state, job, &choice.id, head.status, self.sends);
-                Some(answer(write, &head, &body, self.keep).await)
+                Some(forward_response(write, &head, &body, self.keep).await)
             }
             Ended::Broken(_) => {
                 self.runs += 1;
@@ -168,21 +168,21 @@
     }
 
     /// Answers a request that goes nowhere any more.
-    async fn finish(self, state: &State, job: &Job<'_>, write: &mut WriteHalf<'_>) -> After {
+    async fn finish(self, state: &State, job: &Job<'_>, write: &mut WriteHalf<'_>) -> Connection {
         if self.passed.begun {
             return self.cut(state, job);
         }
         if let Some((head, body)) = self.failure {
             told(state, job, "", head.status, self.sends);
-            return answer(write, &head, &body, self.keep).await;
+            return forward_response(write, &head, &body, self.keep).await;
         }
         let late = Instant::now() + LEAST >= job.deadline;
-        let refused = match (self.unknown, self.stopped) {
-            (true, _) if late => Refusal::unknown(Code::Overdue),
-            (true, _) => Refusal::unknown(Code::Broken),
-            (false, Some(SelectError::Busy(again))) => Refusal::later(Code::Full, again),
-            (false, Some(SelectError::Full)) => Refusal::later(Code::Full, SOON),
-            (false, _) => Refusal::later(Code::NoEndpoint, SOON),
+        let rejection = match (self.unknown, self.stopped) {
+            (true, _) if late => Rejection::unknown_outcome(Code::Overdue),
+            (true, _) => Rejection::unknown_outcome(Code::Broken),
+            (false, Some(SelectError::Busy(again))) => Rejection::retry_later(Code::Full, again),
+            (false, Some(SelectError::Full)) => Rejection::retry_later(Code::Full, RETRY_SOON),
+            (false, _) => Rejection::retry_later(Code::NoEndpoint, RETRY_SOON),
         };
         if let Some(team) = job.team
             && !self.unknown
@@ -191,12 +191,12 @@
             let units = quota::units(team, job.head);
             state.quota.borrow_mut().refund(team, units);
         }
-        refuse(state, write, job.head, refused, self.keep).await
+        reject(state, write, job.head, rejection, self.keep).await
     }
 
     /// Ends a stream of which the caller has a part: only a broken connection tells
     /// that it is not all.
-    fn cut(&self, state: &State, job: &Job<'_>) -> After {
+    fn cut(&self, state: &State, job: &Job<'_>) -> Connection {
         log::info!(
             request = job.head.id.as_str(), last_event = self.passed.events.last(),
             sends = self.sends;
@@ -204,7 +204,7 @@
         );
         let code = Code::Broken.number();
         state.measure(|metrics| metrics.ended(&job.route.name, code, Duration::ZERO));
-        After::Close
+        Connection::Close
     }
 }
 
@@ -218,8 +218,8 @@
     budget.try_retry(&job.service.name, daemons, now)
 }
 
-/// What a request may wait for. One that an endpoint has begun is sent on in any case:
-/// refused, all that was done for it would be lost.
+/// Limits of how long a request may wait at an engine; `None` for one that an endpoint has begun:
+/// if it were rejected, the work done for it so far would be lost.
 fn limits(job: &Job<'_>, avoid: &[EndpointId]) -> Option<Limits> {
     if !avoid.is_empty() || job.head.resume.is_some() {
         return None;
--- a/daemon/src/relay/serve.rs
+++ b/daemon/src/relay/serve.rs
@@ -1,4 +1,8 @@
-//! One request of a caller, from its head to its last byte.
+//! Serves one request of a caller: admits it or rejects it, and has it sent to an endpoint.
+//!
+//! A request is rejected here, before any endpoint gets it, if there is no configuration, no
+//! route or no known team, if the daemon shuts down, or if the request is quarantined or its team
+//! is over its rate. Every rejection states whether the request ran and when a retry is useful.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant as Std};
@@ -21,64 +25,68 @@
 use super::dispatch::dispatch;
 use super::state::State;
 
-/// Rank of a team that states none.
-const USUAL_RANK: u8 = 1;
-/// Ranks that are told apart, and the least urgent of them: engines take 0 to 9,
-/// three for the team times three for the route.
-const RANKS: u8 = 3;
-const LAST_RANK: u8 = RANKS - 1;
-/// When to come back where nothing better is known: after a change of daemons or
-/// endpoints has spread.
-pub(crate) const SOON: Duration = Duration::from_millis(500);
-
-/// Share by which the time to come back is spread.
-const SPREAD: f64 = 0.3;
-
-/// What becomes of the caller's connection.
+/// Rank of a team whose settings give none.
+const DEFAULT_RANK: u8 = 1;
+/// Number of ranks of a team and of a route. Engines accept ranks 0 to 9, and each pair of a
+/// team's rank and a route's rank has its own.
+const RANK_COUNT: u8 = 3;
+/// Least urgent rank of a team or a route.
+const LEAST_URGENT: u8 = RANK_COUNT - 1;
+/// Time after which a caller may retry if nothing better is known: by then a change of daemons
+/// or endpoints has reached all daemons.
+pub(crate) const RETRY_SOON: Duration = Duration::from_millis(500);
+
+/// Random addition to the retry time of a rejection, at most this fraction of it.
+const RETRY_JITTER: f64 = 0.3;
+
+/// Whether the caller's connection is kept after a response, like the HTTP field of that name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum After {
-    Keep,
+pub(crate) enum Connection {
+    KeepAlive,
     Close,
 }
 
-/// An answer of our own.
+/// Error response that the daemon sends itself.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Refusal {
+pub(crate) struct Rejection {
     pub(crate) code: Code,
+    /// Whether an endpoint ran the request.
     pub(crate) ran: Ran,
-    pub(crate) again: Option<Duration>,
+    /// When the caller may retry; `None` if a retry would be rejected too or might run the request
+    /// twice.
+    pub(crate) retry_after: Option<Duration>,
 }
 
-impl Refusal {
-    /// Not run, and not to be asked again like this.
-    pub(crate) fn bad(code: Code) -> Self {
+impl Rejection {
+    /// The request did not run, and the same request would be rejected again.
+    pub(crate) fn permanent(code: Code) -> Self {
         Self {
             code,
             ran: Ran::No,
-            again: None,
+            retry_after: None,
         }
     }
 
-    /// Not run; to be asked again after a while.
-    pub(crate) fn later(code: Code, again: Duration) -> Self {
+    /// The request did not run and may be retried after this time.
+    pub(crate) fn retry_later(code: Code, retry_after: Duration) -> Self {
         Self {
             code,
             ran: Ran::No,
-            again: Some(again),
+            retry_after: Some(retry_after),
         }
     }
 
-    /// May have run.
-    pub(crate) fn unknown(code: Code) -> Self {
+    /// The request may have run.
+    pub(crate) fn unknown_outcome(code: Code) -> Self {
         Self {
             code,
             ran: Ran::Unknown,
-            again: None,
+            retry_after: None,
         }
     }
 }
 
-/// Serves a request whose body was read; `arrived` is when its head was.
+/// Serves a request whose body was read. Its timeout counts from `arrived`, when its head was read.
 pub(crate) async fn serve(
     state: &Rc<State>,
     request: &Request,
@@ -86,39 +94,40 @@
     head: &RequestHead,
     arrived: Instant,
     write: &mut WriteHalf<'_>,
-) -> After {
+) -> Connection {
     let keep = request.keep && state.phase().is_serving();
     let catalog = state.catalog.borrow().clone();
     let Some(catalog) = catalog else {
-        let refused = Refusal::later(Code::NoLists, SOON);
-        return refuse(state, write, head, refused, keep).await;
+        let rejection = Rejection::retry_later(Code::NoLists, RETRY_SOON);
+        return reject(state, write, head, rejection, keep).await;
     };
-    let (route, team) = match admit(&catalog, head) {
-        Ok(admitted) => admitted,
-        Err(refused) => return refuse(state, write, head, refused, keep).await,
+    let (route, team) = match route_and_team(&catalog, head) {
+        Ok(found) => found,
+        Err(rejection) => return reject(state, write, head, rejection, keep).await,
     };
     let team = team.map(|at| &catalog.teams[at]);
-    let wait = head.timeout.unwrap_or(route.timeout).min(route.timeout);
-    let deadline = (arrived + wait).into_std();
+    let timeout = head.timeout.unwrap_or(route.timeout).min(route.timeout);
+    let deadline = (arrived + timeout).into_std();
     if !state.phase().serves(deadline, Std::now()) {
-        let refused = Refusal::later(Code::Draining, SOON);
-        return refuse(state, write, head, refused, keep).await;
+        let rejection = Rejection::retry_later(Code::Draining, RETRY_SOON);
+        return reject(state, write, head, rejection, keep).await;
     }
-    let Some(service) = pick_backend(route).and_then(|name| catalog.service(&name.service)) else {
-        let refused = Refusal::later(Code::NoEndpoint, SOON);
-        return refuse(state, write, head, refused, keep).await;
+    let Some(service) = pick_backend(route).and_then(|backend| catalog.service(&backend.service))
+    else {
+        let rejection = Rejection::retry_later(Code::NoEndpoint, RETRY_SOON);
+        return reject(state, write, head, rejection, keep).await;
     };
     let name = team.map_or("", |team| team.name.as_str());
     let content = Content::new(name, &head.host, request, body);
     if let Some(left) = quarantined(state, &content) {
-        let refused = Refusal::later(Code::Quarantined, left);
-        return refuse(state, write, head, refused, keep).await;
+        let rejection = Rejection::retry_later(Code::Quarantined, left);
+        return reject(state, write, head, rejection, keep).await;
     }
-    let cost = team.map_or(0.0, |team| quota::units(team, head));
-    let allowed = team.map(|team| state.quota.borrow_mut().admit(team, cost, Std::now()));
-    if let Some(Err(again)) = allowed {
-        let refused = Refusal::later(Code::TokenRate, again);
-        return refuse(state, write, head, refused, keep).await;
+    let units = team.map_or(0.0, |team| quota::units(team, head));
+    let admission = team.map(|team| state.quota.borrow_mut().admit(team, units, Std::now()));
+    if let Some(Err(retry_after)) = admission {
+        let rejection = Rejection::retry_later(Code::TokenRate, retry_after);
+        return reject(state, write, head, rejection, keep).await;
     }
     if let Some(prompt) = &head.prompt {
         let work = demand::work(prompt);
@@ -134,7 +143,7 @@
         service,
         rank: rank(route, team.and_then(|team| team.rank)),
         arrived,
-        deadline: arrived + wait,
+        deadline: arrived + timeout,
         version: catalog.version,
         versions: versions(state, &service.name),
         content,
@@ -142,32 +151,33 @@
     dispatch(state, &job, write, keep).await
 }
 
-/// Versions of a service that a new request may go to.
+/// Versions of a service that a new request may be sent to.
 fn versions(state: &State, service: &str) -> Versions {
-    let olds = |version: &str| {
+    let old_endpoints = |version: &str| {
         let table = state.endpoints.borrow();
         table.count_other_versions(service, version).0
     };
     let mut rollouts = state.rollouts.borrow_mut();
-    rollouts.choose_versions(service, olds, state.unix_ms())
+    rollouts.choose_versions(service, old_endpoints, state.unix_ms())
 }
 
-/// Route and team of a request.
-fn admit<'c>(
+/// Finds the route of a request, and its team by its key. A request without a known team is
+/// rejected unless its route is public or no teams are configured.
+fn route_and_team<'c>(
     catalog: &'c Catalog,
     head: &RequestHead,
-) -> Result<(&'c Route, Option<usize>), Refusal> {
+) -> Result<(&'c Route, Option<usize>), Rejection> {
     let route = catalog
         .route(&head.host, &head.path)
-        .ok_or(Refusal::bad(Code::NoRoute))?;
+        .ok_or(Rejection::permanent(Code::NoRoute))?;
     let team = head.key.as_ref().and_then(|key| catalog.team_of(key));
     if team.is_none() && !route.public && !catalog.teams.is_empty() {
-        return Err(Refusal::bad(Code::NoCustomer));
+        return Err(Rejection::permanent(Code::NoCustomer));
     }
     Ok((route, team))
 }
 
-/// A service of the route, drawn by weight.
+/// Chooses a service of the route at random, by weight.
 fn pick_backend(route: &Route) -> Option<&Backend> {
     let total: u32 = route.backends.iter().map(|backend| backend.weight).sum();
     if total == 0 {
@@ -181,54 +191,65 @@
     })
 }
 
-/// Rank at an engine: the team's goes first, the route's decides within it.
+/// Rank of a request at an engine: requests are ordered by the rank of their team, and those of
+/// teams of equal rank by the rank of their route.
 fn rank(route: &Route, team: Option<u8>) -> u8 {
-    team.unwrap_or(USUAL_RANK).min(LAST_RANK) * RANKS + route.rank.min(LAST_RANK)
+    team.unwrap_or(DEFAULT_RANK).min(LEAST_URGENT) * RANK_COUNT + route.rank.min(LEAST_URGENT)
 }
 
-pub(crate) fn after(keep: bool) -> After {
-    if keep { After::Keep } else { After::Close }
+pub(crate) fn connection(keep: bool) -> Connection {
+    if keep {
+        Connection::KeepAlive
+    } else {
+        Connection::Close
+    }
 }
 
-/// Passes an endpoint's whole answer on.
-pub(crate) async fn answer(
+/// Forwards the complete response of an endpoint to the caller.
+pub(crate) async fn forward_response(
     write: &mut WriteHalf<'_>,
     head: &Response,
     body: &Bytes,
     keep: bool,
-) -> After {
+) -> Connection {
     let mut out = response_head(head, Framing::Length(body.len() as u64), keep);
     out.extend_from_slice(body);
     match write.write_all(&out).await {
-        Ok(()) => after(keep),
-        Err(_) => After::Close,
+        Ok(()) => connection(keep),
+        Err(_) => Connection::Close,
     }
 }
 
-/// Gives an answer of our own.
-pub(crate) async fn refuse(
+/// Sends an error response of the daemon itself.
+pub(crate) async fn reject(
     state: &State,
     write: &mut WriteHalf<'_>,
     head: &RequestHead,
-    refused: Refusal,
+    rejection: Rejection,
     keep: bool,
-) -> After {
-    let code = refused.code.number();
+) -> Connection {
+    let code = rejection.code.number();
     state.measure(|metrics| metrics.ended("", code, Duration::ZERO));
     log::info!(
-        request = head.id.as_str(), path = head.path.as_str(), code, ran = refused.ran.word(),
-        again_ms = refused.again.map_or(0, |again| again.as_millis() as u64),
-        catalog = state.catalog.borrow().as_ref().map_or(0, |held| held.version),
+        request = head.id.as_str(), path = head.path.as_str(), code, ran = rejection.ran.word(),
+        again_ms = rejection.retry_after.map_or(0, |time| time.as_millis() as u64),
+        catalog = state.catalog.borrow().as_ref().map_or(0, |catalog| catalog.version),
         store_heard_ms = state.contact.get().silence(Std::now()).as_millis() as u64;
-        "refuse: {}", refused.code.title()
+        "refuse: {}", rejection.code.title()
+    );
+    // Callers that are rejected at the same time must not all retry at the same time.
+    let retry_after = rejection
+        .retry_after
+        .map(|time| time.mul_f64(1.0 + RETRY_JITTER * fastrand::f64()));
+    let out = refusal(
+        rejection.code,
+        rejection.ran,
+        Some(&head.id),
+        retry_after,
+        keep,
     );
-    // Those who are refused at one moment must not come back at one moment.
-    let again = refused
-        .again
-        .map(|again| again.mul_f64(1.0 + SPREAD * fastrand::f64()));
-    let out = refusal(refused.code, refused.ran, Some(&head.id), again, keep);
     match write.write_all(&out).await {
-        Ok(()) => after(keep),
-        Err(_) => After::Close,
+        Ok(()) => connection(keep),
+        Err(_) => Connection::Close,
     }
 }
