--- a/daemon/src/relay/attempt.rs
+++ b/daemon/src/relay/attempt.rs
@@ -1,4 +1,7 @@
-//! One sending of a request to one endpoint.
+//! One attempt: sends a request to one endpoint and reads or forwards its response.
+//!
+//! Every result counts for the endpoint's circuit breaker and for a running rollout of its service.
+//! If the connection breaks, the endpoint may have crashed because of the request, so it is checked.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -21,21 +24,21 @@
 use tokio::time::{Instant, timeout_at};
 
 use super::crash::{Content, clear, suspect};
-use super::exchange::{Answer, FAILED, Fault, exchange, whole_body};
+use super::exchange::{EndpointResponse, ExchangeError, SERVER_ERROR, exchange, read_body};
 use super::state::State;
-use super::stream::{Passed, Patience, StreamEnd, pass_on};
+use super::stream::{Forwarded, StallTimeout, StreamEnd, forward_stream};
 use super::wire::Wire;
 
-/// Longest answer that is not a stream, in bytes; it is held whole, so that one
-/// that breaks off can still be asked for elsewhere.
-const MOST_ANSWER: usize = 4 * 1024 * 1024;
-/// How long an endpoint that said it is full gets nothing; its queue empties by a
-/// request every few milliseconds.
-const FULL: Duration = Duration::from_millis(60);
-/// Status of an answer whose body is a stream.
+/// Longest response that is not a stream. It is buffered completely, so that the request can
+/// still be retried at another endpoint if the response breaks off.
+const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
+/// How long an endpoint that reported itself full gets no request; its queue shrinks by a request
+/// every few milliseconds.
+const FULL_PAUSE: Duration = Duration::from_millis(60);
+/// Status of a response whose body is a stream.
 const OK: u16 = 200;
 
-/// A request that is being served.
+/// An admitted request that is being served.
 #[derive(Debug)]
 pub(crate) struct Job<'r> {
     pub(crate) request: &'r Request,
@@ -47,40 +50,40 @@
     pub(crate) rank: u8,
     pub(crate) arrived: Instant,
     pub(crate) deadline: Instant,
-    /// Version of the configuration that it is served by.
+    /// Version of the configuration that was in use when it was admitted.
     pub(crate) version: CatalogVersion,
-    /// Versions of the service that it may go to.
+    /// Versions of the service that it may be sent to.
     pub(crate) versions: Versions,
     pub(crate) content: Content<'r>,
 }
 
-/// How a sending ended.
+/// How an attempt ended.
 #[derive(Debug)]
-pub(crate) enum Ended {
-    /// A whole answer that is not a stream.
-    Whole(Response, Bytes),
-    /// The stream is out to its end.
+pub(crate) enum AttemptOutcome {
+    /// A complete response that is not a stream.
+    Complete(Response, Bytes),
+    /// The complete stream was sent to the caller.
     Streamed,
     /// The endpoint states that it did not run the request.
     NotRun,
-    /// Nothing left for the endpoint.
+    /// No byte of the request was sent.
     NotSent,
-    /// It may have run.
-    Broken(Fault),
-    /// The caller takes nothing more.
+    /// The attempt failed after something was sent; the request may have run.
+    Failed(ExchangeError),
+    /// The caller accepts no more data.
     CallerGone,
 }
 
-/// Keeps a request booked at an endpoint until it is dropped, however the task
-/// that carries it ends.
+/// Counts a request as in flight at an endpoint until the guard is dropped, however the task that
+/// serves it ends.
 #[derive(Debug)]
-struct Booked {
+struct RequestGuard {
     state: Rc<State>,
     endpoint: EndpointId,
     number: u64,
 }
 
-impl Drop for Booked {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         if let Some(row) = self.state.endpoints.borrow_mut().get_mut(&self.endpoint) {
             row.remove_request(self.number);
@@ -89,145 +92,154 @@
     }
 }
 
-impl Booked {
-    fn note(&self, change: impl FnOnce(&mut Endpoint)) {
+impl RequestGuard {
+    fn update(&self, change: impl FnOnce(&mut Endpoint)) {
         if let Some(row) = self.state.endpoints.borrow_mut().get_mut(&self.endpoint) {
             change(row);
         }
     }
 }
 
-/// Sends a request to the chosen endpoint and brings its answer.
+/// Sends a request to the chosen endpoint and reads its response, or forwards it if it is a stream.
 pub(crate) async fn attempt(
     state: &Rc<State>,
     job: &Job<'_>,
     choice: &Choice,
-    passed: &mut Passed,
+    forwarded: &mut Forwarded,
     write: &mut WriteHalf<'_>,
-    mut patience: Patience<'_>,
-) -> Ended {
-    let booked = book(state, job, choice);
-    let Some((endpoint, mut wire, kept)) = connect(state, job, choice).await else {
-        return Ended::NotSent;
+    mut stall: StallTimeout<'_>,
+) -> AttemptOutcome {
+    let guard = add_in_flight(state, job, choice);
+    let Some((endpoint, mut wire, reused)) = connect(state, job, choice).await else {
+        return AttemptOutcome::NotSent;
     };
     let address = endpoint.address;
-    tell_doubt(state, job, choice);
-    let bytes = head_and_body(job, choice, passed);
+    log_doubtful(state, job, choice);
+    let bytes = encode_request(job, choice, forwarded);
     let team = job.team.map(|team| &team.name);
     let sent_at = Std::now();
-    let sent = exchange(&mut wire, &bytes, &job.head.id);
-    let answer = match patience.wait(true, sent).await {
-        Some(Ok(answer)) => answer,
-        Some(Err(Fault::NotSent)) => return Ended::NotSent,
-        silent_or_broken => {
-            let fault = silent_or_broken.and_then(Result::err);
-            let fault = fault.unwrap_or(Fault::Silent);
-            failed(&booked, job, &endpoint, fault, kept, None);
-            let ended = Ended::Broken(fault);
-            compare(state, job, choice, &ended, sent_at.elapsed());
-            return ended;
+    let exchanged = exchange(&mut wire, &bytes, &job.head.id);
+    let response = match stall.wait(true, exchanged).await {
+        Some(Ok(response)) => response,
+        Some(Err(ExchangeError::NotSent)) => return AttemptOutcome::NotSent,
+        failed => {
+            let error = failed.and_then(Result::err);
+            let error = error.unwrap_or(ExchangeError::TimedOut);
+            record_failed(&guard, job, &endpoint, error, reused, None);
+            let outcome = AttemptOutcome::Failed(error);
+            record_sample(state, job, choice, &outcome, sent_at.elapsed());
+            return outcome;
         }
     };
-    note_limit(state, &endpoint, &answer, sent_at);
-    if answer.said.not_run {
-        booked.note(|row| row.full_until = Some(Std::now() + FULL));
+    record_limit(state, &endpoint, &response, sent_at);
+    if response.meta.not_run {
+        guard.update(|row| row.full_until = Some(Std::now() + FULL_PAUSE));
         state.measure(|metrics| metrics.sent("not run"));
         log::info!(
             request = job.head.id.as_str(), endpoint = choice.id.as_str(),
-            status = answer.head.status; "send: not run there."
+            status = response.head.status; "send: the endpoint did not run the request."
         );
-        finish(state, address, wire, &answer).await;
-        return Ended::NotRun;
+        drain_rejection(state, address, wire, &response).await;
+        return AttemptOutcome::NotRun;
     }
-    let is_stream = job.route.repeat.is_stream() && answer.head.status == OK;
-    let mut first = None;
-    passed.events.restart();
-    let events = passed.events.count();
-    let ended = if is_stream && answer.said.sealed {
-        let number = booked.number;
-        let began = || {
-            if first.is_none() {
+    let is_stream = job.route.repeat.is_stream() && response.head.status == OK;
+    let mut first_event = None;
+    forwarded.events.restart();
+    let events = forwarded.events.count();
+    let outcome = if is_stream && response.meta.sealed {
+        let number = guard.number;
+        let on_event = || {
+            if first_event.is_none() {
                 let now = Std::now();
-                first = Some(now);
+                first_event = Some(now);
                 let mut table = state.endpoints.borrow_mut();
                 table.record_first_event(&choice.id, number, now);
                 state.measure(|metrics| metrics.first(job.arrived.elapsed()));
                 state.count_run(team, now);
             }
         };
-        match pass_on(&mut wire, &answer, passed, write, &mut patience, began).await {
-            StreamEnd::Whole => {
-                let events = passed.events.count().saturating_sub(events + 1) as u32;
+        match forward_stream(&mut wire, &response, forwarded, write, &mut stall, on_event).await {
+            StreamEnd::Complete => {
+                let events = forwarded.events.count().saturating_sub(events + 1) as u32;
                 let tokens = events * job.service.engine.as_ref().map_or(0, |row| row.stride);
                 let mut table = state.endpoints.borrow_mut();
                 table.record_stream(&choice.id, number, tokens, Std::now());
-                Ended::Streamed
+                AttemptOutcome::Streamed
             }
-            StreamEnd::CallerGone => return Ended::CallerGone,
-            StreamEnd::Broken => Ended::Broken(Fault::Broken),
+            StreamEnd::CallerGone => return AttemptOutcome::CallerGone,
+            StreamEnd::Broken => AttemptOutcome::Failed(ExchangeError::Broken),
         }
     } else {
-        whole(&mut wire, &answer, &mut patience).await
+        read_response(&mut wire, &response, &mut stall).await
     };
     if !is_stream {
         state.count_run(team, sent_at);
     }
-    let events = passed.events.count().saturating_sub(events).max(1);
+    let events = forwarded.events.count().saturating_sub(events).max(1);
     let took = sent_at.elapsed() / u32::try_from(events).unwrap_or(u32::MAX);
-    compare(state, job, choice, &ended, took);
-    if !matches!(ended, Ended::Broken(_)) && !state.crashes.borrow().is_empty() {
+    record_sample(state, job, choice, &outcome, took);
+    if !matches!(outcome, AttemptOutcome::Failed(_)) && !state.crashes.borrow().is_empty() {
         clear(state, job.content.hash());
     }
-    match &ended {
-        Ended::Broken(fault) => failed(&booked, job, &endpoint, *fault, kept, first),
-        Ended::Whole(head, _) if head.status >= FAILED => {
-            booked.note(|row| {
+    match &outcome {
+        AttemptOutcome::Failed(error) => {
+            record_failed(&guard, job, &endpoint, *error, reused, first_event);
+        }
+        AttemptOutcome::Complete(head, _) if head.status >= SERVER_ERROR => {
+            guard.update(|row| {
                 row.evidence.record_failure(Std::now());
             });
-            keep(state, address, wire, &answer);
+            keep_connection(state, address, wire, &response);
         }
         _ => {
             state.measure(|metrics| metrics.sent("answered"));
-            booked.note(|row| row.evidence.record_success());
-            keep(state, address, wire, &answer);
+            guard.update(|row| row.evidence.record_success());
+            keep_connection(state, address, wire, &response);
         }
     }
-    ended
+    outcome
 }
 
-/// Takes in which limit an answer to a request that was sent at `sent` names.
-fn note_limit(state: &State, endpoint: &Listing, answer: &Answer, sent: Std) {
+/// Records the rate limit that an endpoint announced in its response to a request that was sent
+/// at `sent_at`.
+fn record_limit(state: &State, endpoint: &Listing, response: &EndpointResponse, sent_at: Std) {
     let now = Std::now();
-    let rate = match answer.said.limit {
+    let rate = match response.meta.limit {
         NamedLimit::Rate(rate) => Some(rate),
-        // Answers overtake one another, and only those of requests that ran tell of no need.
-        NamedLimit::Unnamed if answer.said.sealed && is_after_limit(state, endpoint, sent) => None,
+        // Responses overtake one another, and only one to a request that ran shows that the
+        // endpoint needs no limit any more.
+        NamedLimit::Unnamed if response.meta.sealed && is_after_limit(state, endpoint, sent_at) => {
+            None
+        }
         NamedLimit::Unnamed => return,
         NamedLimit::Unreadable => {
-            log::warn!("limit: what endpoint {} names is no rate.", endpoint.id);
+            log::warn!(
+                "limit: the limit that endpoint {} announced is not a valid rate and is ignored.",
+                endpoint.id
+            );
             return;
         }
     };
-    let said = AnnouncedLimit { rate, at: now };
+    let limit = AnnouncedLimit { rate, at: now };
     if state
         .endpoints
         .borrow_mut()
-        .record_limit(&endpoint.id, said)
+        .record_limit(&endpoint.id, limit)
     {
-        log::info!(now:? = rate; "limit: endpoint {} names another.", endpoint.id);
+        log::info!(now:? = rate; "limit: endpoint {} announced another limit.", endpoint.id);
         state.digest_due.notify_one();
     }
 }
 
-/// Whether a moment is after the last word of an endpoint's limit.
-fn is_after_limit(state: &State, endpoint: &Listing, sent: Std) -> bool {
+/// Whether a request was sent after the endpoint last announced its limit.
+fn is_after_limit(state: &State, endpoint: &Listing, sent_at: Std) -> bool {
     let table = state.endpoints.borrow();
     let limit = table.get(&endpoint.id).and_then(|row| row.limit.as_ref());
-    limit.is_some_and(|limit| sent > limit.announced_at())
+    limit.is_some_and(|limit| sent_at > limit.announced_at())
 }
 
-/// A connection to the chosen endpoint, and whether it was used before; `None` if
-/// there is none to be had.
+/// Gets a connection to the chosen endpoint, and whether it was used before; `None` if none could
+/// be made.
 async fn connect(
     state: &Rc<State>,
     job: &Job<'_>,
@@ -235,50 +247,56 @@
 ) -> Option<(Listing, Wire, bool)> {
     let endpoint = state.endpoints.borrow().get(&choice.id)?.listing.clone();
     match state.upstreams.get(endpoint.address).await {
-        Ok((wire, kept)) => Some((endpoint, wire, kept)),
+        Ok((wire, reused)) => Some((endpoint, wire, reused)),
         Err(error) => {
             let mut table = state.endpoints.borrow_mut();
             let row = table.get_mut(&choice.id);
-            let out = row.is_some_and(|row| row.evidence.record_connect_failure(Std::now()));
+            let opened = row.is_some_and(|row| row.evidence.record_connect_failure(Std::now()));
             state.measure(|metrics| metrics.sent("not connected"));
             log::info!(
-                request = job.head.id.as_str(), endpoint = choice.id.as_str(), left_out = out;
-                "send: not connected, {error}."
+                request = job.head.id.as_str(), endpoint = choice.id.as_str(), left_out = opened;
+                "send: could not connect to the endpoint, {error}; another one may be tried."
             );
             None
         }
     }
 }
 
-/// Whether an endpoint may have ended because of a request that broke off there; `first` is
-/// when the first event of its stream came.
-fn may_have_ended(state: &State, endpoint: &Listing, fault: Fault, first: Option<Std>) -> bool {
-    let is_settled = first.is_some_and(|first| first.elapsed() >= SAFE_AFTER);
+/// Whether an endpoint may have crashed because of a request whose attempt failed there.
+/// `first_event` is when the first event of its stream was received.
+fn may_have_crashed(
+    state: &State,
+    endpoint: &Listing,
+    error: ExchangeError,
+    first_event: Option<Std>,
+) -> bool {
+    let is_safe = first_event.is_some_and(|at| at.elapsed() >= SAFE_AFTER);
     let table = state.endpoints.borrow();
     let row = table.get(&endpoint.id);
-    // One that leaves ends in any case.
+    // The process of a leaving endpoint ends in any case.
     let is_leaving = row.is_none_or(|row| row.state == EndpointState::Leaving);
-    fault == Fault::Broken && !is_settled && !is_leaving
+    error == ExchangeError::Broken && !is_safe && !is_leaving
 }
 
-/// Tells that a request goes to an endpoint whose entry is missing: if it fails or the
-/// endpoint had left, this line is the reason why it was sent there.
-fn tell_doubt(state: &State, job: &Job<'_>, choice: &Choice) {
+/// Logs that a request is sent to an endpoint whose registry entry is missing. If the request
+/// fails or the endpoint had left, this line explains why it was sent there.
+fn log_doubtful(state: &State, job: &Job<'_>, choice: &Choice) {
     let table = state.endpoints.borrow();
-    let standing = table.get(&choice.id).map(|row| row.state);
-    if let Some(EndpointState::Doubtful(until)) = standing {
+    let endpoint_state = table.get(&choice.id).map(|row| row.state);
+    if let Some(EndpointState::Doubtful(until)) = endpoint_state {
         let left = until.saturating_duration_since(Std::now());
         log::info!(
             request = job.head.id.as_str(), endpoint = choice.id.as_str(),
             until_ms = left.as_millis() as u64;
-            "send: goes to an endpoint whose entry is missing."
+            "send: the registry entry of the endpoint is missing; the request is sent there anyway."
         );
     }
 }
 
-fn book(state: &Rc<State>, job: &Job<'_>, choice: &Choice) -> Booked {
+/// Counts a request as in flight at the chosen endpoint.
+fn add_in_flight(state: &Rc<State>, job: &Job<'_>, choice: &Choice) -> RequestGuard {
     let number = state.next_number();
-    let wanted = Criteria {
+    let criteria = Criteria {
         service: job.service,
         prompt: job.head.prompt.as_ref(),
         target: job.route.target,
@@ -289,15 +307,16 @@
         seed: 0,
         now: Std::now(),
     };
-    selection::book(&mut state.endpoints.borrow_mut(), &wanted, choice, number);
-    Booked {
+    selection::book(&mut state.endpoints.borrow_mut(), &criteria, choice, number);
+    RequestGuard {
         state: Rc::clone(state),
         endpoint: choice.id.clone(),
         number,
     }
 }
 
-fn head_and_body(job: &Job<'_>, choice: &Choice, passed: &Passed) -> Bytes {
+/// Head and body of the request as they are sent to the endpoint.
+fn encode_request(job: &Job<'_>, choice: &Choice, forwarded: &Forwarded) -> Bytes {
     let left = job.deadline.saturating_duration_since(Instant::now());
     let mut bytes = request_head(
         job.request,
@@ -306,7 +325,10 @@
             team: job.team.map(|team| team.name.as_str()),
             left,
             rank: job.head.prompt.is_some().then_some(job.rank),
-            resume: passed.begun.then(|| passed.events.last()).flatten(),
+            resume: forwarded
+                .head_sent
+                .then(|| forwarded.events.last())
+                .flatten(),
             body: job.body.len(),
         },
     );
@@ -314,25 +336,36 @@
     bytes.freeze()
 }
 
-async fn whole(wire: &mut Wire, answer: &Answer, patience: &mut Patience<'_>) -> Ended {
-    let body = whole_body(wire, &answer.head, MOST_ANSWER);
-    match patience.wait(true, body).await {
-        Some(Ok(body)) if answer.head.status >= 300 || answer.said.sealed => {
-            Ended::Whole(answer.head.clone(), body)
+/// Reads the body of a response that is not a stream.
+async fn read_response(
+    wire: &mut Wire,
+    response: &EndpointResponse,
+    stall: &mut StallTimeout<'_>,
+) -> AttemptOutcome {
+    let body = read_body(wire, &response.head, MAX_RESPONSE_BYTES);
+    match stall.wait(true, body).await {
+        Some(Ok(body)) if response.head.status >= 300 || response.meta.sealed => {
+            AttemptOutcome::Complete(response.head.clone(), body)
         }
-        Some(Ok(_)) => Ended::Broken(Fault::Wrong),
-        Some(Err(_)) => Ended::Broken(Fault::Broken),
-        None => Ended::Broken(Fault::Silent),
+        Some(Ok(_)) => AttemptOutcome::Failed(ExchangeError::Invalid),
+        Some(Err(_)) => AttemptOutcome::Failed(ExchangeError::Broken),
+        None => AttemptOutcome::Failed(ExchangeError::TimedOut),
     }
 }
 
-/// Counts how a request went for the move of its service to another version.
-fn compare(state: &State, job: &Job<'_>, choice: &Choice, ended: &Ended, took: Duration) {
-    let good = match ended {
-        Ended::Whole(head, _) => head.status < FAILED,
-        Ended::Streamed => true,
-        Ended::Broken(_) => false,
-        Ended::NotRun | Ended::NotSent | Ended::CallerGone => return,
+/// Records the result of an attempt for a rollout of the service, which compares the versions.
+fn record_sample(
+    state: &State,
+    job: &Job<'_>,
+    choice: &Choice,
+    outcome: &AttemptOutcome,
+    took: Duration,
+) {
+    let good = match outcome {
+        AttemptOutcome::Complete(head, _) => head.status < SERVER_ERROR,
+        AttemptOutcome::Streamed => true,
+        AttemptOutcome::Failed(_) => false,
+        AttemptOutcome::NotRun | AttemptOutcome::NotSent | AttemptOutcome::CallerGone => return,
     };
     let table = state.endpoints.borrow();
     let Some(row) = table.get(&choice.id) else {
@@ -346,48 +379,59 @@
         log::warn!(
             request = job.head.id.as_str(), route = route.as_str(), good,
             took_ms = took.as_millis() as u64;
-            "rollout: {service} goes back from version {version}."
+            "rollout: {service} is rolled back from version {version}."
         );
         state.digest_due.notify_one();
     }
 }
 
-/// Notes a failed sending; `first` is when the first event of its stream came.
-fn failed(
-    booked: &Booked,
+/// Records a failed attempt. `first_event` is when the first event of its stream was received.
+fn record_failed(
+    guard: &RequestGuard,
     job: &Job<'_>,
     endpoint: &Listing,
-    fault: Fault,
-    kept: bool,
-    first: Option<Std>,
+    error: ExchangeError,
+    reused: bool,
+    first_event: Option<Std>,
 ) {
-    let state = &booked.state;
-    let mut out = false;
-    booked.note(|row| out = row.evidence.record_failure(Std::now()));
+    let state = &guard.state;
+    let mut opened = false;
+    guard.update(|row| opened = row.evidence.record_failure(Std::now()));
     state.measure(|metrics| metrics.sent("failed"));
     log::info!(
-        request = job.head.id.as_str(), endpoint = endpoint.id.as_str(), kept, left_out = out,
-        after_ms = job.arrived.elapsed().as_millis() as u64,
+        request = job.head.id.as_str(), endpoint = endpoint.id.as_str(), kept = reused,
+        left_out = opened, after_ms = job.arrived.elapsed().as_millis() as u64,
         content:% = format_args!("{:016x}", job.content.hash()),
-        ran_ms = first.map(|first| first.elapsed().as_millis() as u64);
-        "send: failed, {fault}."
+        ran_ms = first_event.map(|at| at.elapsed().as_millis() as u64);
+        "send: failed, {error}."
     );
-    if may_have_ended(state, endpoint, fault, first) {
+    if may_have_crashed(state, endpoint, error, first_event) {
         suspect(state, endpoint, job.content.hash());
     }
 }
 
-/// Reads a refusal's body, so that its connection can be used again.
-async fn finish(state: &Rc<State>, address: SocketAddr, mut wire: Wire, answer: &Answer) {
-    let limit = Instant::now() + FULL;
-    let body = whole_body(&mut wire, &answer.head, MOST_ANSWER);
-    if let Ok(Ok(_)) = timeout_at(limit, body).await {
-        keep(state, address, wire, answer);
+/// Reads the body of a rejection, so that its connection can be reused.
+async fn drain_rejection(
+    state: &Rc<State>,
+    address: SocketAddr,
+    mut wire: Wire,
+    response: &EndpointResponse,
+) {
+    let until = Instant::now() + FULL_PAUSE;
+    let body = read_body(&mut wire, &response.head, MAX_RESPONSE_BYTES);
+    if let Ok(Ok(_)) = timeout_at(until, body).await {
+        keep_connection(state, address, wire, response);
     }
 }
 
-fn keep(state: &Rc<State>, address: SocketAddr, wire: Wire, answer: &Answer) {
-    if answer.head.keep && answer.sent && wire.buffer.is_empty() {
-        state.upstreams.put(address, wire, answer.said.idle);
+/// Keeps a connection for later requests if its exchange ended cleanly.
+fn keep_connection(
+    state: &Rc<State>,
+    address: SocketAddr,
+    wire: Wire,
+    response: &EndpointResponse,
+) {
+    if response.head.keep && response.request_sent && wire.buffer.is_empty() {
+        state.upstreams.put(address, wire, response.meta.idle);
     }
 }
--- a/daemon/src/relay/dispatch.rs
+++ b/daemon/src/relay/dispatch.rs
@@ -1,4 +1,8 @@
-//! Sends a request to endpoints until one answers or none may be asked any more.
+//! Sends an admitted request to endpoints until one responds or no further attempt is allowed.
+//!
+//! A request that no endpoint ran may be sent to another one whatever its route. One that ran, or
+//! may have, is retried only if its route allows that. Once the request has reached an endpoint,
+//! every further attempt is taken from the retry budget of its service.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant as Std};
@@ -12,43 +16,43 @@
 use tokio::net::tcp::WriteHalf;
 use tokio::time::Instant;
 
-use super::attempt::{Ended, Job, attempt};
+use super::attempt::{AttemptOutcome, Job, attempt};
 use super::crash::quarantined;
-use super::exchange::FAILED;
+use super::exchange::SERVER_ERROR;
 use super::serve::{Connection, RETRY_SOON, Rejection, connection, forward_response, reject};
 use super::state::State;
-use super::stream::{Passed, Patience};
+use super::stream::{Forwarded, StallTimeout};
 
-/// Most endpoints that a request reaches, those that did not run it included.
-const MOST_SENDS: u32 = 3;
-/// Least silence after which a request is moved; a slow tail of plain answers lasts
-/// about 200 ms.
-const LEAST_SILENCE: Duration = Duration::from_millis(350);
-/// Least time that an endpoint must have for an answer to be worth asking for.
-const LEAST: Duration = Duration::from_millis(5);
+/// Maximum number of endpoints that a request is sent to, including those that did not run it.
+const MAX_ENDPOINTS: u32 = 3;
+/// Minimum time without a response after which a request is moved to another endpoint. The
+/// slowest of normal plain responses take about 200 ms.
+const MIN_STALL_TIME: Duration = Duration::from_millis(350);
+/// Time left until the deadline below which an attempt is not worth making.
+const MIN_TIME_LEFT: Duration = Duration::from_millis(5);
 
-/// What happened to a request so far.
+/// Progress of a request over its attempts.
 #[derive(Debug)]
-struct Course {
-    passed: Passed,
+struct Progress {
+    forwarded: Forwarded,
     keep: bool,
-    /// Endpoints that it was at.
+    /// Endpoints of earlier attempts.
     avoid: Vec<EndpointId>,
-    /// Sendings that ran, or may have.
+    /// Number of attempts that ran the request, or may have.
     runs: u32,
-    /// Sendings that reached an endpoint.
-    sends: u32,
-    /// Whether a repeat was already taken for the next sending.
+    /// Number of attempts that sent the request to an endpoint.
+    reached: u32,
+    /// Whether a retry is already taken from the budget for the next attempt.
     reserved: bool,
-    /// Whether an outcome is not known.
+    /// Whether an attempt failed after which the request may have run.
     unknown: bool,
-    /// Why it is not sent on.
+    /// Why no further attempt is made; `None` while one may be.
     stopped: Option<SelectError>,
-    /// A failure of an endpoint, to be passed on if nothing better comes.
+    /// Error response of an endpoint; it is forwarded if no later attempt responds.
     failure: Option<(Response, Bytes)>,
 }
 
-/// Serves a request that was let in.
+/// Serves a request that was admitted.
 pub(crate) async fn dispatch(
     state: &Rc<State>,
     job: &Job<'_>,
@@ -60,30 +64,30 @@
         .budget
         .borrow_mut()
         .record_request(&job.service.name, now);
-    let mut course = Course {
-        passed: Passed::nothing(job.head.resume, keep),
+    let mut progress = Progress {
+        forwarded: Forwarded::new(job.head.resume, keep),
         keep,
         avoid: Vec::new(),
         runs: 0,
-        sends: 0,
+        reached: 0,
         reserved: false,
         unknown: false,
         stopped: None,
         failure: None,
     };
-    while let Some(choice) = course.next(state, job) {
-        let ended = course.send(state, job, &choice, write).await;
-        if let Some(after) = course.take(state, job, &choice, ended, write).await {
-            return after;
+    while let Some(choice) = progress.next_endpoint(state, job) {
+        let outcome = progress.send(state, job, &choice, write).await;
+        if let Some(connection) = progress.apply(state, job, &choice, outcome, write).await {
+            return connection;
         }
     }
-    course.finish(state, job, write).await
+    progress.finish(state, job, write).await
 }
 
-impl Course {
-    /// Where to send next; `None` if nowhere.
-    fn next(&mut self, state: &State, job: &Job<'_>) -> Option<Choice> {
-        if Instant::now() + LEAST >= job.deadline || self.stopped.is_some() {
+impl Progress {
+    /// Chooses the endpoint of the next attempt; `None` if there is to be none.
+    fn next_endpoint(&mut self, state: &State, job: &Job<'_>) -> Option<Choice> {
+        if Instant::now() + MIN_TIME_LEFT >= job.deadline || self.stopped.is_some() {
             return None;
         }
         if quarantined(state, &job.content).is_some() {
@@ -92,8 +96,8 @@
         }
         match pick(state, job, &self.avoid) {
             Ok(choice) => {
-                let granted = std::mem::take(&mut self.reserved) || self.sends == 0;
-                if granted || (self.sends < MOST_SENDS && may_repeat(state, job)) {
+                let granted = std::mem::take(&mut self.reserved) || self.reached == 0;
+                if granted || (self.reached < MAX_ENDPOINTS && try_retry(state, job)) {
                     return Some(choice);
                 }
                 self.stopped = Some(SelectError::Full);
@@ -103,63 +107,64 @@
         None
     }
 
+    /// Makes an attempt at the chosen endpoint.
     async fn send(
         &mut self,
         state: &Rc<State>,
         job: &Job<'_>,
         choice: &Choice,
         write: &mut WriteHalf<'_>,
-    ) -> Ended {
+    ) -> AttemptOutcome {
         self.avoid.push(choice.id.clone());
-        let more = job.route.repeat.may_repeat()
+        let may_continue = job.route.repeat.may_repeat()
             && self.runs + 1 < job.route.attempts
-            && self.sends + 1 < MOST_SENDS;
+            && self.reached + 1 < MAX_ENDPOINTS;
         let (avoid, reserved) = (&self.avoid, &mut self.reserved);
-        let mut moves = || {
-            *reserved = more && pick(state, job, avoid).is_ok() && may_repeat(state, job);
+        let mut try_move = || {
+            *reserved = may_continue && pick(state, job, avoid).is_ok() && try_retry(state, job);
             *reserved
         };
-        let patience = patience(job, choice.wait, &mut moves);
-        attempt(state, job, choice, &mut self.passed, write, patience).await
+        let stall = stall_timeout(job, choice.wait, &mut try_move);
+        attempt(state, job, choice, &mut self.forwarded, write, stall).await
     }
 
-    /// Takes in how a sending ended; `Some` if the request is done.
-    async fn take(
+    /// Applies the outcome of an attempt; `Some` if the request is done.
+    async fn apply(
         &mut self,
         state: &State,
         job: &Job<'_>,
         choice: &Choice,
-        ended: Ended,
+        outcome: AttemptOutcome,
         write: &mut WriteHalf<'_>,
     ) -> Option<Connection> {
-        if !matches!(ended, Ended::NotSent) {
-            self.sends += 1;
+        if !matches!(outcome, AttemptOutcome::NotSent) {
+            self.reached += 1;
         }
-        let repeats = job.route.repeat.may_repeat();
-        match ended {
-            Ended::Streamed => {
-                told(state, job, &choice.id, 200, self.sends);
+        let retryable = job.route.repeat.may_repeat();
+        match outcome {
+            AttemptOutcome::Streamed => {
+                log_response(state, job, &choice.id, 200, self.reached);
                 Some(connection(self.keep))
             }
-            Ended::CallerGone => Some(Connection::Close),
-            Ended::NotSent | Ended::NotRun => None,
-            Ended::Whole(head, body) => {
+            AttemptOutcome::CallerGone => Some(Connection::Close),
+            AttemptOutcome::NotSent | AttemptOutcome::NotRun => None,
+            AttemptOutcome::Complete(head, body) => {
                 self.runs += 1;
-                let again = head.status >= FAILED && repeats && !self.passed.begun;
-                if again && self.runs < job.route.attempts {
+                let retries = head.status >= SERVER_ERROR && retryable && !self.forwarded.head_sent;
+                if retries && self.runs < job.route.attempts {
                     self.failure = Some((head, body));
                     return None;
                 }
-                if self.passed.begun {
-                    return Some(self.cut(state, job));
+                if self.forwarded.head_sent {
+                    return Some(self.cut_off(state, job));
                 }
-                told(state, job, &choice.id, head.status, self.sends);
+                log_response(state, job, &choice.id, head.status, self.reached);
                 Some(forward_response(write, &head, &body, self.keep).await)
             }
-            Ended::Broken(_) => {
+            AttemptOutcome::Failed(_) => {
                 self.runs += 1;
                 self.unknown = true;
-                if !repeats || self.runs >= job.route.attempts {
+                if !retryable || self.runs >= job.route.attempts {
                     self.stopped = Some(SelectError::None);
                 }
                 None
@@ -167,40 +172,40 @@
         }
     }
 
-    /// Answers a request that goes nowhere any more.
+    /// Ends a request of which no further attempt is made.
     async fn finish(self, state: &State, job: &Job<'_>, write: &mut WriteHalf<'_>) -> Connection {
-        if self.passed.begun {
-            return self.cut(state, job);
+        if self.forwarded.head_sent {
+            return self.cut_off(state, job);
         }
         if let Some((head, body)) = self.failure {
-            told(state, job, "", head.status, self.sends);
+            log_response(state, job, "", head.status, self.reached);
             return forward_response(write, &head, &body, self.keep).await;
         }
-        let late = Instant::now() + LEAST >= job.deadline;
+        let late = Instant::now() + MIN_TIME_LEFT >= job.deadline;
         let rejection = match (self.unknown, self.stopped) {
             (true, _) if late => Rejection::unknown_outcome(Code::Overdue),
             (true, _) => Rejection::unknown_outcome(Code::Broken),
-            (false, Some(SelectError::Busy(again))) => Rejection::retry_later(Code::Full, again),
+            (false, Some(SelectError::Busy(wait))) => Rejection::retry_later(Code::Full, wait),
             (false, Some(SelectError::Full)) => Rejection::retry_later(Code::Full, RETRY_SOON),
             (false, _) => Rejection::retry_later(Code::NoEndpoint, RETRY_SOON),
         };
         if let Some(team) = job.team
             && !self.unknown
         {
-            // What did not run is not charged.
+            // A request that did not run does not count against the rate of its team.
             let units = quota::units(team, job.head);
             state.quota.borrow_mut().refund(team, units);
         }
         reject(state, write, job.head, rejection, self.keep).await
     }
 
-    /// Ends a stream of which the caller has a part: only a broken connection tells
-    /// that it is not all.
-    fn cut(&self, state: &State, job: &Job<'_>) -> Connection {
+    /// Ends a stream of which the caller has received a part. Only closing the connection before
+    /// the end of the body shows the caller that the stream is incomplete.
+    fn cut_off(&self, state: &State, job: &Job<'_>) -> Connection {
         log::info!(
-            request = job.head.id.as_str(), last_event = self.passed.events.last(),
-            sends = self.sends;
-            "serve: cut off in the middle of a stream."
+            request = job.head.id.as_str(), last_event = self.forwarded.events.last(),
+            sends = self.reached;
+            "serve: the stream failed and no endpoint resumes it; the connection is closed."
         );
         let code = Code::Broken.number();
         state.measure(|metrics| metrics.ended(&job.route.name, code, Duration::ZERO));
@@ -208,18 +213,18 @@
     }
 }
 
-/// Whether the request may be sent once more.
-fn may_repeat(state: &State, job: &Job<'_>) -> bool {
+/// Takes a retry of the request from the budget of its service; `false` if none is left.
+fn try_retry(state: &State, job: &Job<'_>) -> bool {
     let now = Std::now();
-    // Those that were only heard of count too: after a start of all, each would else take
-    // most of what they share for itself.
+    // Peers that are known only through other daemons count too. Otherwise, after a start of all
+    // daemons, each would take most of the shared budget for itself.
     let daemons = state.peers.borrow().rows().len() + 1;
     let mut budget = state.budget.borrow_mut();
     budget.try_retry(&job.service.name, daemons, now)
 }
 
-/// Limits of how long a request may wait at an engine; `None` for one that an endpoint has begun:
-/// if it were rejected, the work done for it so far would be lost.
+/// How long a request may wait at an engine; `None` if its service has no target, or if an endpoint
+/// has begun it: if it were rejected then, all work done for it would be lost.
 fn limits(job: &Job<'_>, avoid: &[EndpointId]) -> Option<Limits> {
     if !avoid.is_empty() || job.head.resume.is_some() {
         return None;
@@ -229,10 +234,11 @@
     Some(Limits::new(shortest, job.rank, left))
 }
 
-/// An endpoint for the request, other than those it was at.
+/// Chooses an endpoint for the request, other than those of its earlier attempts. If none of the
+/// chosen versions can take it, the fallback versions are tried.
 fn pick(state: &State, job: &Job<'_>, avoid: &[EndpointId]) -> Result<Choice, SelectError> {
     let table = state.endpoints.borrow();
-    let wanted = Criteria {
+    let criteria = Criteria {
         service: job.service,
         prompt: job.head.prompt.as_ref(),
         target: job.route.target,
@@ -243,42 +249,45 @@
         seed: fastrand::u64(..),
         now: Std::now(),
     };
-    let chosen = choose(&table, &wanted);
+    let chosen = choose(&table, &criteria);
     match job.versions.fallback() {
         Some(versions) if chosen.is_err() => choose(
             &table,
             &Criteria {
                 versions: &versions,
-                ..wanted
+                ..criteria
             },
         ),
         _ => chosen,
     }
 }
 
-/// How long an endpoint may be silent before the request is moved, if it can be.
-fn patience<'m>(job: &Job<'_>, wait: Duration, moves: &'m mut dyn FnMut() -> bool) -> Patience<'m> {
-    let first = (wait * 3).max(job.route.target * 3 / 2).max(LEAST_SILENCE);
-    Patience {
-        first: Instant::now() + first,
+/// How long an endpoint may send nothing before the request is moved, if it can be.
+fn stall_timeout<'m>(
+    job: &Job<'_>,
+    wait: Duration,
+    try_move: &'m mut dyn FnMut() -> bool,
+) -> StallTimeout<'m> {
+    let first_event = (wait * 3).max(job.route.target * 3 / 2).max(MIN_STALL_TIME);
+    StallTimeout {
+        first_event: Instant::now() + first_event,
         pause: job.route.pause.unwrap_or(job.route.target) * 3,
         deadline: job.deadline,
-        moves,
+        try_move,
     }
 }
 
-/// Tells how a request was answered: always if it failed or was late, a few a
-/// second otherwise.
-fn told(state: &State, job: &Job<'_>, endpoint: &str, status: u16, sends: u32) {
+/// Logs how a request ended: always if it failed or was late, a few a second otherwise.
+fn log_response(state: &State, job: &Job<'_>, endpoint: &str, status: u16, reached: u32) {
     let took = job.arrived.elapsed();
     state.measure(|metrics| metrics.ended(&job.route.name, 0, took));
     let late = !job.route.repeat.is_stream() && took > job.route.target;
-    if status < FAILED && !late && !state.sampler.lets(Std::now()) {
+    if status < SERVER_ERROR && !late && !state.sampler.lets(Std::now()) {
         return;
     }
     log::info!(
         request = job.head.id.as_str(), route = job.route.name.as_str(), endpoint,
-        team = job.team.map_or("", |team| team.name.as_str()), status, sends,
+        team = job.team.map_or("", |team| team.name.as_str()), status, sends = reached,
         took_ms = took.as_millis() as u64, catalog = job.version;
         "serve: answered."
     );
--- a/daemon/src/relay/exchange.rs
+++ b/daemon/src/relay/exchange.rs
@@ -1,4 +1,4 @@
-//! One exchange with an endpoint, up to the head of its answer.
+//! Sends a request to an endpoint and reads the head of its response.
 
 use std::io;
 
@@ -9,111 +9,128 @@
 
 use super::wire::{Wire, fill};
 
-/// Answers to earlier requests that are passed over before a connection is given up.
-const MOST_STRAY: usize = 3;
+/// Responses to earlier requests that are skipped before the connection is abandoned.
+const MAX_STRAY_RESPONSES: usize = 3;
 
-/// Status from which on an endpoint's answer is a failure.
-pub(crate) const FAILED: u16 = 500;
+/// Lowest status of a response that counts as a failure of the endpoint.
+pub(crate) const SERVER_ERROR: u16 = 500;
 
-/// Why no answer came.
+/// Why an endpoint gave no usable response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub(crate) enum Fault {
-    /// Nothing left for the endpoint.
+pub(crate) enum ExchangeError {
+    /// No byte was sent to the endpoint.
     #[error("nothing was sent")]
     NotSent,
-    /// The connection broke after something was sent.
+    /// The connection broke after a part of the request was sent.
     #[error("the connection broke")]
     Broken,
-    /// Nothing came for too long.
-    #[error("the endpoint was silent")]
-    Silent,
-    /// What came is not an answer to this request.
-    #[error("the answer is not one to this request")]
-    Wrong,
+    /// Nothing was received in time.
+    #[error("the endpoint sent nothing in time")]
+    TimedOut,
+    /// What was received is malformed or not a response to this request.
+    #[error("the response is malformed or does not belong to this request")]
+    Invalid,
 }
 
-/// Head of an endpoint's answer.
+/// Head of an endpoint's response.
 #[derive(Debug)]
-pub(crate) struct Answer {
+pub(crate) struct EndpointResponse {
     pub(crate) head: Response,
-    pub(crate) said: Answered,
-    /// Whether the whole request was sent by then; if not, the connection cannot
-    /// be used again, as the endpoint would read the rest as a request.
-    pub(crate) sent: bool,
+    /// What the endpoint states in its own fields of the head.
+    pub(crate) meta: Answered,
+    /// Whether the whole request was sent by then. If not, the connection cannot be reused: the
+    /// endpoint would parse the rest of this request as a new one.
+    pub(crate) request_sent: bool,
 }
 
-/// Sends a request and reads the head of its answer.
+/// Sends a request and reads the head of its response.
 ///
-/// An endpoint may answer before it has read a long request, so both go on at
-/// the same time. Late second answers to earlier requests are passed over; their
-/// id tells them.
-pub(crate) async fn exchange(wire: &mut Wire, request: &Bytes, id: &str) -> Result<Answer, Fault> {
+/// An endpoint may respond before it has read all of a long request, so writing and reading go
+/// on at the same time. Late second responses to earlier requests are recognized by their request
+/// id and skipped.
+pub(crate) async fn exchange(
+    wire: &mut Wire,
+    request: &Bytes,
+    id: &str,
+) -> Result<EndpointResponse, ExchangeError> {
     let (mut read, mut write) = wire.stream.split();
     let buffer = &mut wire.buffer;
     let mut written = 0;
-    let mut strays = 0;
+    let mut stray_responses = 0;
     loop {
-        while let Some(head) = Response::take(buffer).map_err(|_error| Fault::Wrong)? {
+        while let Some(head) = Response::take(buffer).map_err(|_error| ExchangeError::Invalid)? {
             if (100..200).contains(&head.status) {
                 continue;
             }
-            let said = answered(&head, id);
-            if said.ours {
-                let sent = written == request.len();
-                return Ok(Answer { head, said, sent });
+            let meta = answered(&head, id);
+            if meta.ours {
+                let request_sent = written == request.len();
+                return Ok(EndpointResponse {
+                    head,
+                    meta,
+                    request_sent,
+                });
             }
-            strays += 1;
-            if strays > MOST_STRAY {
-                return Err(Fault::Wrong);
+            stray_responses += 1;
+            if stray_responses > MAX_STRAY_RESPONSES {
+                return Err(ExchangeError::Invalid);
             }
-            pass_over(&mut read, buffer, &head).await?;
+            skip_body(&mut read, buffer, &head).await?;
         }
         tokio::select! {
             more = write.write(&request[written..]), if written < request.len() => match more {
                 Ok(len) if len > 0 => written += len,
-                _ if written == 0 => return Err(Fault::NotSent),
-                _ => return Err(Fault::Broken),
+                _ if written == 0 => return Err(ExchangeError::NotSent),
+                _ => return Err(ExchangeError::Broken),
             },
             more = fill(&mut read, buffer) => match more {
                 Ok(len) if len > 0 => {}
-                _ if written == 0 => return Err(Fault::NotSent),
-                _ => return Err(Fault::Broken),
+                _ if written == 0 => return Err(ExchangeError::NotSent),
+                _ => return Err(ExchangeError::Broken),
             },
         }
     }
 }
 
-/// Reads an answer that belongs to an earlier request to its end.
-async fn pass_over(
+/// Reads and discards the rest of a response to an earlier request.
+async fn skip_body(
     read: &mut tokio::net::tcp::ReadHalf<'_>,
     buffer: &mut BytesMut,
     head: &Response,
-) -> Result<(), Fault> {
+) -> Result<(), ExchangeError> {
     let mut body = Body::new(head.framing);
     loop {
-        while body.take(buffer).map_err(|_error| Fault::Wrong)?.is_some() {}
+        while body
+            .take(buffer)
+            .map_err(|_error| ExchangeError::Invalid)?
+            .is_some()
+        {}
         if body.is_done() {
             return Ok(());
         }
         match fill(read, buffer).await {
             Ok(len) if len > 0 => {}
-            _ => return Err(Fault::Broken),
+            _ => return Err(ExchangeError::Broken),
         }
     }
 }
 
-/// Reads a whole body of at most `most` bytes.
+/// Reads a complete body of at most `max_len` bytes.
 ///
 /// # Errors
-/// If it broke off, is not in the protocol or is longer.
-pub(crate) async fn whole_body(wire: &mut Wire, head: &Response, most: usize) -> io::Result<Bytes> {
+/// If the connection ends before the body does, or the body is malformed or longer.
+pub(crate) async fn read_body(
+    wire: &mut Wire,
+    head: &Response,
+    max_len: usize,
+) -> io::Result<Bytes> {
     let (mut read, _write) = wire.stream.split();
     let mut body = Body::new(head.framing);
     let mut bytes = BytesMut::new();
     loop {
         while let Some(part) = body.take(&mut wire.buffer).map_err(io::Error::other)? {
             bytes.extend_from_slice(&part);
-            if bytes.len() > most {
+            if bytes.len() > max_len {
                 return Err(io::ErrorKind::FileTooLarge.into());
             }
         }
--- a/daemon/src/relay/stream.rs
+++ b/daemon/src/relay/stream.rs
@@ -1,4 +1,7 @@
-//! Passes a stream of events on to a caller.
+//! Forwards a stream of events from an endpoint to a caller.
+//!
+//! If the endpoint fails or stalls, another one can resume the stream. So only complete events are
+//! forwarded, and an endpoint that sends nothing is abandoned only if another one can take over.
 
 use std::io;
 use std::time::Duration;
@@ -11,51 +14,50 @@
 use tokio::net::tcp::WriteHalf;
 use tokio::time::{Instant, timeout_at};
 
-use super::exchange::Answer;
+use super::exchange::EndpointResponse;
 use super::wire::{Wire, fill};
 
-/// What a caller has of its stream so far.
+/// What was sent to a caller of its stream so far.
 #[derive(Debug)]
-pub(crate) struct Passed {
-    /// Whether the head is out; it is that of the first endpoint.
-    pub(crate) begun: bool,
-    /// Events that are out.
+pub(crate) struct Forwarded {
+    /// Whether the head was sent. It is that of the first endpoint that responded.
+    pub(crate) head_sent: bool,
+    /// Events that were sent.
     pub(crate) events: Events,
-    /// Whether the caller keeps its connection for more requests.
+    /// Whether the caller's connection is kept for more requests.
     pub(crate) keep: bool,
 }
 
-impl Passed {
-    /// Nothing is out yet; the stream goes on after an event that the caller has.
-    pub(crate) fn nothing(after: Option<u64>, keep: bool) -> Self {
+impl Forwarded {
+    /// Nothing was sent yet. The stream starts after the last event that the caller already has.
+    pub(crate) fn new(last_event: Option<u64>, keep: bool) -> Self {
         Self {
-            begun: false,
-            events: Events::after(after),
+            head_sent: false,
+            events: Events::after(last_event),
             keep,
         }
     }
 }
 
-/// How long an endpoint may be silent before the request is moved, if it can be.
+/// How long an endpoint may send nothing before the request is moved to another one.
 ///
-/// Silence alone is no reason to end an answer: an endpoint that is only slow would
-/// still have given it. So silence ends an exchange only if the request may be
-/// repeated, another endpoint has room and a repeat is left, which `moves` tells
-/// and then holds in reserve.
-pub(crate) struct Patience<'m> {
-    /// When the first event should have come.
-    pub(crate) first: Instant,
-    /// Longest usual pause between events afterwards.
+/// A stall alone does not end an attempt: an endpoint that is only slow would still complete its
+/// response. So an attempt ends only if the request may be retried, another endpoint has room and
+/// the retry budget allows it. `try_move` checks that and reserves the retry.
+pub(crate) struct StallTimeout<'m> {
+    /// When the first event is overdue.
+    pub(crate) first_event: Instant,
+    /// Pause after a later event from which on the stream counts as stalled.
     pub(crate) pause: Duration,
     /// When the request ends in any case.
     pub(crate) deadline: Instant,
-    /// Whether the request can be moved now.
-    pub(crate) moves: &'m mut dyn FnMut() -> bool,
+    /// Whether the request can be moved now; if so, its retry is reserved.
+    pub(crate) try_move: &'m mut dyn FnMut() -> bool,
 }
 
-impl Patience<'_> {
-    /// Waits for something that an endpoint does; `None` if the endpoint was silent
-    /// for too long.
+impl StallTimeout<'_> {
+    /// Waits for `work` by an endpoint; `None` if it took too long. `first` tells whether the first
+    /// event or response is still awaited.
     pub(crate) async fn wait<T>(
         &mut self,
         first: bool,
@@ -63,7 +65,7 @@
     ) -> Option<T> {
         let mut work = std::pin::pin!(work);
         let mut until = if first {
-            self.first
+            self.first_event
         } else {
             Instant::now() + self.pause
         };
@@ -72,7 +74,7 @@
             if let Ok(done) = done {
                 return Some(done);
             }
-            if Instant::now() >= self.deadline || (self.moves)() {
+            if Instant::now() >= self.deadline || (self.try_move)() {
                 return None;
             }
             until = Instant::now() + self.pause;
@@ -83,62 +85,64 @@
 /// How a stream ended.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum StreamEnd {
-    /// The endpoint's answer is out to its end.
-    Whole,
-    /// The endpoint broke off, fell silent or sent what is no stream.
+    /// The complete stream was sent to the caller.
+    Complete,
+    /// The endpoint's connection broke, or it stalled or sent an invalid stream.
     Broken,
-    /// The caller takes nothing more.
+    /// The caller accepts no more data.
     CallerGone,
 }
 
-/// Passes an endpoint's stream on, whole events only. `began` is called at the
-/// first event.
-pub(crate) async fn pass_on(
+/// Forwards an endpoint's stream, complete events only. `on_event` is called when the first event
+/// was received, and again for data after it.
+pub(crate) async fn forward_stream(
     wire: &mut Wire,
-    answer: &Answer,
-    passed: &mut Passed,
+    answer: &EndpointResponse,
+    forwarded: &mut Forwarded,
     write: &mut WriteHalf<'_>,
-    patience: &mut Patience<'_>,
-    mut began: impl FnMut(),
+    stall: &mut StallTimeout<'_>,
+    mut on_event: impl FnMut(),
 ) -> StreamEnd {
     let (mut read, _write) = wire.stream.split();
     let mut body = Body::new(answer.head.framing);
-    let first = passed.events.count();
+    let count_before = forwarded.events.count();
     loop {
         let mut out = BytesMut::new();
         loop {
             match body.take(&mut wire.buffer) {
                 Ok(None) => break,
                 Err(_) => return StreamEnd::Broken,
-                Ok(Some(part)) => match passed.events.push(&part) {
+                Ok(Some(part)) => match forwarded.events.push(&part) {
                     Ok(events) => out.put_slice(&events),
                     Err(error) => {
-                        log::warn!("stream: dropped, {error}.");
+                        log::warn!(
+                            "stream: invalid event stream from the endpoint, {error}; the attempt ends."
+                        );
                         return StreamEnd::Broken;
                     }
                 },
             }
         }
         let done = body.is_done();
-        if done && passed.events.is_torn() {
+        if done && forwarded.events.is_torn() {
             return StreamEnd::Broken;
         }
-        if passed.events.count() > first {
-            began();
+        if forwarded.events.count() > count_before {
+            on_event();
         }
         if !out.is_empty() || done {
-            let sent = send(write, answer, passed, &out, done);
-            match timeout_at(patience.deadline, sent).await {
+            let sent = write_events(write, answer, forwarded, &out, done);
+            match timeout_at(stall.deadline, sent).await {
                 Ok(Ok(())) => {}
                 Ok(Err(_)) | Err(_) => return StreamEnd::CallerGone,
             }
         }
         if done {
-            return StreamEnd::Whole;
+            return StreamEnd::Complete;
         }
-        let is_first = passed.events.count() == first;
+        let is_first = forwarded.events.count() == count_before;
         let more = fill(&mut read, &mut wire.buffer);
-        match patience.wait(is_first, more).await {
+        match stall.wait(is_first, more).await {
             Some(Ok(0)) if body.end().is_ok() => {}
             Some(Ok(len)) if len > 0 => {}
             _ => return StreamEnd::Broken,
@@ -146,19 +150,19 @@
     }
 }
 
-/// Sends events as one chunk, with the head before the first and the empty chunk
-/// after the last.
-async fn send(
+/// Writes events to the caller as one chunk, with the head before the first one and the empty
+/// chunk after the last one.
+async fn write_events(
     write: &mut WriteHalf<'_>,
-    answer: &Answer,
-    passed: &mut Passed,
+    answer: &EndpointResponse,
+    forwarded: &mut Forwarded,
     events: &[u8],
     done: bool,
 ) -> io::Result<()> {
     let mut out = BytesMut::new();
-    if !passed.begun {
-        out = response_head(&answer.head, Framing::Chunked, passed.keep);
-        passed.begun = true;
+    if !forwarded.head_sent {
+        out = response_head(&answer.head, Framing::Chunked, forwarded.keep);
+        forwarded.head_sent = true;
     }
     if !events.is_empty() {
         let size = compact_str::format_compact!("{:x}\r\n", events.len());
