--- a/daemon/src/relay/attempt.rs
+++ b/daemon/src/relay/attempt.rs
@@ -87,7 +87,7 @@
     fn drop(&mut self) {
         if let Some(row) = self.state.endpoints.borrow_mut().get_mut(&self.endpoint) {
             row.remove_request(self.number);
-            row.evidence.record_inconclusive();
+            row.breaker.record_inconclusive();
         }
     }
 }
@@ -187,13 +187,13 @@
         }
         AttemptOutcome::Complete(head, _) if head.status >= SERVER_ERROR => {
             guard.update(|row| {
-                row.evidence.record_failure(Std::now());
+                row.breaker.record_failure(Std::now());
             });
             keep_connection(state, address, wire, &response);
         }
         _ => {
             state.measure(|metrics| metrics.sent("answered"));
-            guard.update(|row| row.evidence.record_success());
+            guard.update(|row| row.breaker.record_success());
             keep_connection(state, address, wire, &response);
         }
     }
@@ -251,7 +251,7 @@
         Err(error) => {
             let mut table = state.endpoints.borrow_mut();
             let row = table.get_mut(&choice.id);
-            let opened = row.is_some_and(|row| row.evidence.record_connect_failure(Std::now()));
+            let opened = row.is_some_and(|row| row.breaker.record_connect_failure(Std::now()));
             state.measure(|metrics| metrics.sent("not connected"));
             log::info!(
                 request = job.head.id.as_str(), endpoint = choice.id.as_str(), left_out = opened;
@@ -396,7 +396,7 @@
 ) {
     let state = &guard.state;
     let mut opened = false;
-    guard.update(|row| opened = row.evidence.record_failure(Std::now()));
+    guard.update(|row| opened = row.breaker.record_failure(Std::now()));
     state.measure(|metrics| metrics.sent("failed"));
     log::info!(
         request = job.head.id.as_str(), endpoint = endpoint.id.as_str(), kept = reused,
--- a/daemon/src/relay/status.rs
+++ b/daemon/src/relay/status.rs
@@ -93,7 +93,7 @@
         "zone": row.listing.zone.as_str(),
         "address": row.listing.address.to_string(),
         "standing": standing,
-        "fit": row.evidence.allows_request(now),
+        "fit": row.breaker.allows_request(now),
         "requests": row.in_flight.len(),
         "others": row.remote_load.requests,
         "backlog_tokens": row.backlog() as u64,
--- a/lib/src/relay/endpoint_table.rs
+++ b/lib/src/relay/endpoint_table.rs
@@ -100,7 +100,7 @@
     /// Learned speed.
     pub speed: Speed,
     /// Evidence of failures.
-    pub evidence: CircuitBreaker,
+    pub breaker: CircuitBreaker,
     /// Prompt prefixes that it probably has in its KV cache.
     pub cache: PrefixCache,
     /// Until when it counts as full, after it reported to be so.
@@ -608,7 +608,7 @@
             in_flight: Vec::new(),
             remote_load: reported_load(reports, hash),
             speed: Speed::default(),
-            evidence: CircuitBreaker::default(),
+            breaker: CircuitBreaker::default(),
             cache: PrefixCache::default(),
             full_until: None,
             limit: None,
@@ -617,7 +617,7 @@
 
     /// Whether it may get requests, whatever its load.
     pub fn is_usable(&self, now: Instant) -> bool {
-        self.state.is_in_use(now) && self.evidence.allows_request(now)
+        self.state.is_in_use(now) && self.breaker.allows_request(now)
     }
 
     /// Requests in progress, from all daemons.
@@ -649,7 +649,7 @@
 
     /// Records a request that is sent.
     pub fn add_request(&mut self, request: InFlight) {
-        self.evidence.record_sent();
+        self.breaker.record_sent();
         if let Some(limit) = &mut self.limit {
             limit.take(request.sent);
         }
--- a/lib/tests/test_relay_endpoint_table.rs
+++ b/lib/tests/test_relay_endpoint_table.rs
@@ -101,7 +101,7 @@
     table.put(listing("a"));
     let row = table.get_mut("a").expect("the endpoint is in the table");
     for _ in 0..8 {
-        row.evidence.record_failure(now);
+        row.breaker.record_failure(now);
     }
     assert!(!usable(&table, "a", now));
     let restarted = Listing {
--- a/lib/tests/test_relay_selection.rs
+++ b/lib/tests/test_relay_selection.rs
@@ -202,17 +202,17 @@
 #[test]
 fn a_failing_endpoint_is_excluded_and_tried_with_one_request() {
     let now = Instant::now();
-    let mut evidence = CircuitBreaker::default();
+    let mut breaker = CircuitBreaker::default();
     for _ in 0..6 {
-        evidence.record_failure(now);
+        breaker.record_failure(now);
     }
-    assert!(!evidence.allows_request(now));
+    assert!(!breaker.allows_request(now));
     let later = now + Duration::from_secs(1);
-    assert!(evidence.allows_request(later));
-    evidence.record_sent();
-    assert!(!evidence.allows_request(later));
-    evidence.record_success();
-    assert!(evidence.allows_request(later));
+    assert!(breaker.allows_request(later));
+    breaker.record_sent();
+    assert!(!breaker.allows_request(later));
+    breaker.record_success();
+    assert!(breaker.allows_request(later));
 }
 
 /// Some services usually fail 14 of 100 requests. If their endpoints were excluded for that,
@@ -220,14 +220,14 @@
 #[test]
 fn a_few_failures_exclude_no_endpoint() {
     let now = Instant::now();
-    let mut evidence = CircuitBreaker::default();
+    let mut breaker = CircuitBreaker::default();
     for at in 0..700 {
         if at % 7 == 0 {
-            evidence.record_failure(now);
+            breaker.record_failure(now);
         } else {
-            evidence.record_success();
+            breaker.record_success();
         }
-        assert!(evidence.allows_request(now));
+        assert!(breaker.allows_request(now));
     }
 }
 
