--- a/daemon/src/relay/client.rs
+++ b/daemon/src/relay/client.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform's services over one kept connection.
+//! Client of the platform's services, such as the store, over one persistent connection.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,29 +14,29 @@
 use super::state::State;
 use super::wire::{Wire, fill};
 
-/// Time for a connection to a service of the platform; it answers in a few
-/// milliseconds when it is well.
-const CONNECT: Duration = Duration::from_millis(700);
+/// Timeout of a new connection to a service of the platform. A healthy one accepts within a few
+/// milliseconds.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Why a call brought no answer. Except after [`CallError::NotSent`] the call may
-/// have been carried out, or may be later.
+/// Why a call got no response. Except after [`CallError::NotSent`], the service may have executed
+/// the call or may still do so.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CallError {
-    #[error("no connection was made: {0}")]
+    #[error("could not connect: {0}")]
     NotSent(io::Error),
     #[error("the connection broke: {0}")]
     Broken(io::Error),
-    #[error("no answer came in time")]
-    Silent,
-    #[error("the answer is of an era that is over")]
-    Over,
-    #[error("the answer is not in the protocol: {0}")]
+    #[error("no response was received in time")]
+    TimedOut,
+    #[error("the response is from an old era of the store")]
+    OldEra,
+    #[error("the head of the response is malformed: {0}")]
     Head(#[from] HeadError),
-    #[error("the answer is not in the protocol: {0}")]
+    #[error("the body of the response is malformed: {0}")]
     Body(#[from] BodyError),
 }
 
-/// Why something was not written, or not read back.
+/// Why a value was not written to the store, or not read back.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum WriteError {
     #[error("{0}")]
@@ -45,16 +45,16 @@
     Store(#[from] StoreError),
     #[error("{0}")]
     Format(#[from] serde_json::Error),
-    #[error("the record in the store is not as it was left")]
-    Raced,
+    #[error("the record in the store was changed unexpectedly")]
+    Conflict,
 }
 
-/// Client of one of the platform's services.
+/// Client of one of the platform's services. It keeps its connection for the next call.
 #[derive(Debug)]
 pub(crate) struct Client {
     address: SocketAddr,
     wire: Option<Wire>,
-    /// Eras of the store; `None` for other services.
+    /// Eras of the store, to drop responses of an old era; `None` for other services.
     eras: Option<Rc<Eras>>,
 }
 
@@ -67,7 +67,7 @@
         }
     }
 
-    /// A client of the store.
+    /// Creates a client of the store.
     pub(crate) fn of_store(state: &State) -> Self {
         Self {
             eras: Some(Rc::clone(&state.eras)),
@@ -75,24 +75,25 @@
         }
     }
 
-    /// Makes a call and waits for its answer for at most `limit`.
+    /// Makes a call and waits for its response, for at most `limit` each for a new connection and
+    /// for the exchange.
     pub(crate) async fn call(&mut self, call: &Call, limit: Duration) -> Result<Reply, CallError> {
-        let kept = self.wire.take().filter(Wire::is_clean);
-        let mut wire = match kept {
+        let idle = self.wire.take().filter(Wire::is_clean);
+        let mut wire = match idle {
             Some(wire) => wire,
-            None => Wire::connect(self.address, CONNECT.min(limit), limit)
+            None => Wire::connect(self.address, CONNECT_TIMEOUT.min(limit), limit)
                 .await
                 .map_err(CallError::NotSent)?,
         };
         let exchange = exchange(&mut wire, &call.0);
-        let answer = tokio::time::timeout(limit, exchange).await;
-        let answer = answer.map_err(|_elapsed| CallError::Silent).flatten();
-        let (head, body) = answer?;
+        let response = tokio::time::timeout(limit, exchange).await;
+        let response = response.map_err(|_elapsed| CallError::TimedOut).flatten();
+        let (head, body) = response?;
         if head.keep {
             self.wire = Some(wire);
         }
         let era = match &self.eras {
-            Some(eras) => eras.see(read_era(&head)).ok_or(CallError::Over)?,
+            Some(eras) => eras.see(read_era(&head)).ok_or(CallError::OldEra)?,
             None => 0,
         };
         Ok(Reply {
@@ -103,7 +104,7 @@
     }
 }
 
-/// Sends a request and reads its whole answer.
+/// Sends a request and reads its complete response.
 async fn exchange(wire: &mut Wire, request: &Bytes) -> Result<(Response, Bytes), CallError> {
     let (mut read, mut write) = wire.stream.split();
     write.write_all(request).await.map_err(CallError::Broken)?;
--- a/daemon/src/relay/duties.rs
+++ b/daemon/src/relay/duties.rs
@@ -447,7 +447,7 @@
             return Ok(());
         }
     }
-    Err(WriteError::Raced)
+    Err(WriteError::Conflict)
 }
 
 /// Notes a report that lies in the store, for when that comes back from an older copy.
--- a/daemon/src/relay/upstream.rs
+++ b/daemon/src/relay/upstream.rs
@@ -1,4 +1,4 @@
-//! Kept connections to endpoints.
+//! Pool of idle connections to endpoints.
 
 use std::cell::RefCell;
 use std::io;
@@ -7,37 +7,39 @@
 
 use super::wire::Wire;
 
-/// Time for a connection to an endpoint. Endpoints accept within a few
-/// milliseconds; one that is dark or cut off must not cost a caller more.
-const CONNECT: Duration = Duration::from_millis(250);
-/// How long bytes sent to an endpoint may go unacknowledged.
-const SILENCE: Duration = Duration::from_millis(1500);
-/// How long a connection is kept idle if the endpoint states nothing else.
-const IDLE: Duration = Duration::from_secs(4);
-/// Idle connections kept for one endpoint; a burst opens more and they are closed
-/// after it, so that all daemons together stay below what an endpoint accepts.
-const MOST_IDLE: usize = 12;
+/// Timeout of a new connection to an endpoint. Endpoints accept within a few milliseconds; one that
+/// is unreachable must not delay a caller longer than this.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// How long bytes sent to an endpoint may stay unacknowledged before its connection is closed.
+const ACK_TIMEOUT: Duration = Duration::from_millis(1500);
+/// How long an idle connection is kept if the endpoint does not state its own idle timeout.
+const DEFAULT_IDLE: Duration = Duration::from_secs(4);
+/// Maximum number of idle connections to one endpoint. A burst opens more, and those are closed
+/// after it, so that all daemons together stay below the connection limit of an endpoint.
+const MAX_IDLE: usize = 12;
 
-/// A new connection to an endpoint.
+/// Opens a new connection to an endpoint.
 pub(crate) async fn connect(address: SocketAddr) -> io::Result<Wire> {
-    Wire::connect(address, CONNECT, SILENCE).await
+    Wire::connect(address, CONNECT_TIMEOUT, ACK_TIMEOUT).await
 }
 
+/// An idle connection, kept until a time.
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     address: SocketAddr,
     wire: Wire,
     until: Instant,
 }
 
-/// Idle connections, the most recently used last.
+/// Idle connections of all endpoints, the most recently used last.
 #[derive(Debug, Default)]
 pub(crate) struct Upstreams {
-    idle: RefCell<Vec<Idle>>,
+    idle: RefCell<Vec<IdleConnection>>,
 }
 
 impl Upstreams {
-    /// A kept connection that is still clean, or a new one; tells which.
+    /// Takes an idle connection that is still usable, or opens a new one. The flag tells whether the
+    /// connection was used before.
     pub(crate) async fn get(&self, address: SocketAddr) -> io::Result<(Wire, bool)> {
         while let Some(idle) = self.take(address) {
             if Instant::now() < idle.until && idle.wire.is_clean() {
@@ -48,31 +50,31 @@
         Ok((wire, false))
     }
 
-    fn take(&self, address: SocketAddr) -> Option<Idle> {
+    fn take(&self, address: SocketAddr) -> Option<IdleConnection> {
         let mut idle = self.idle.borrow_mut();
         let at = idle.iter().rposition(|idle| idle.address == address)?;
         Some(idle.remove(at))
     }
 
-    /// Keeps a connection on which an exchange ended cleanly. `stated` is how many
-    /// whole seconds the endpoint says that it keeps it.
-    pub(crate) fn put(&self, address: SocketAddr, wire: Wire, stated: Option<u64>) {
-        // Given up well before the endpoint closes it: a request that crosses the
-        // close is lost, and one that must not run twice cannot be sent again.
-        let life = stated.map_or(IDLE, |seconds| Duration::from_millis(seconds * 600));
+    /// Keeps a connection on which an exchange ended cleanly. `idle_s` is the idle timeout that the
+    /// endpoint states, in seconds.
+    pub(crate) fn put(&self, address: SocketAddr, wire: Wire, idle_s: Option<u64>) {
+        // Closed well before the endpoint would close it: a request sent at that moment is lost, and
+        // a non-idempotent one cannot be retried.
+        let keep_for = idle_s.map_or(DEFAULT_IDLE, |seconds| Duration::from_millis(seconds * 600));
         let mut idle = self.idle.borrow_mut();
-        if idle.iter().filter(|idle| idle.address == address).count() >= MOST_IDLE {
+        if idle.iter().filter(|idle| idle.address == address).count() >= MAX_IDLE {
             return;
         }
-        let until = Instant::now() + life;
-        idle.push(Idle {
+        let until = Instant::now() + keep_for;
+        idle.push(IdleConnection {
             address,
             wire,
             until,
         });
     }
 
-    /// Closes connections whose time is over.
+    /// Closes connections that were idle for too long.
     pub(crate) fn expire(&self, now: Instant) {
         self.idle.borrow_mut().retain(|idle| now < idle.until);
     }
--- a/lib/src/relay/endpoint_table.rs
+++ b/lib/src/relay/endpoint_table.rs
@@ -99,7 +99,7 @@
     pub remote_load: Load,
     /// Learned speed.
     pub speed: Speed,
-    /// Evidence of failures.
+    /// Circuit breaker, by the results of its requests.
     pub breaker: CircuitBreaker,
     /// Prompt prefixes that it probably has in its KV cache.
     pub cache: PrefixCache,
