--- a/daemon/src/relay/attempt.rs
+++ b/daemon/src/relay/attempt.rs
@@ -1,7 +1,8 @@
 //! One attempt: sends a request to one endpoint and reads or forwards its response.
 //!
 //! Every result counts for the endpoint's circuit breaker and for a running rollout of its service.
-//! If the connection breaks, the endpoint may have crashed because of the request, so it is checked.
+//! If the connection breaks, the endpoint may have crashed because of the request, so it is
+//! checked.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/daemon/src/relay/stream.rs
+++ b/daemon/src/relay/stream.rs
@@ -116,7 +116,7 @@
                     Ok(events) => out.put_slice(&events),
                     Err(error) => {
                         log::warn!(
-                            "stream: invalid event stream from the endpoint, {error}; the attempt ends."
+                            "stream: invalid stream from the endpoint, {error}; attempt ended."
                         );
                         return StreamEnd::Broken;
                     }
--- a/daemon/src/relay/upstream.rs
+++ b/daemon/src/relay/upstream.rs
@@ -38,8 +38,8 @@
 }
 
 impl Upstreams {
-    /// Takes an idle connection that is still usable, or opens a new one. The flag tells whether the
-    /// connection was used before.
+    /// Takes an idle connection that is still usable, or opens a new one. The flag tells whether
+    /// the connection was used before.
     pub(crate) async fn get(&self, address: SocketAddr) -> io::Result<(Wire, bool)> {
         while let Some(idle) = self.take(address) {
             if Instant::now() < idle.until && idle.wire.is_clean() {
@@ -59,8 +59,8 @@
     /// Keeps a connection on which an exchange ended cleanly. `idle_s` is the idle timeout that the
     /// endpoint states, in seconds.
     pub(crate) fn put(&self, address: SocketAddr, wire: Wire, idle_s: Option<u64>) {
-        // Closed well before the endpoint would close it: a request sent at that moment is lost, and
-        // a non-idempotent one cannot be retried.
+        // Closed well before the endpoint would close it: a request sent at that moment is lost,
+        // and a non-idempotent one cannot be retried.
         let keep_for = idle_s.map_or(DEFAULT_IDLE, |seconds| Duration::from_millis(seconds * 600));
         let mut idle = self.idle.borrow_mut();
         if idle.iter().filter(|idle| idle.address == address).count() >= MAX_IDLE {
--- a/daemon/tests/test_relay_answers.rs
+++ b/daemon/tests/test_relay_answers.rs
@@ -1,4 +1,4 @@
-//! Endpoints that fail in the middle of things, and what the caller gets.
+//! Endpoints that fail while they run a request, and the response that the caller gets.
 
 use std::time::Duration;
 
@@ -10,11 +10,11 @@
     Step::Send("0\r\n\r\n".into())
 }
 
-/// An engine is slow for a moment in the middle of a stream, and there is no other
-/// engine to go on at. Ending the stream for its silence would cut off an answer
-/// that was on its way.
+/// An engine stalls for a moment in the middle of a stream, and there is no other engine that
+/// could resume it. If the daemon ended the stream because of the stall, it would cut off a
+/// response that the engine would still have completed.
 #[actix_web::test]
-async fn a_pause_ends_no_stream_that_cannot_go_on_elsewhere() {
+async fn a_stall_does_not_end_a_stream_that_cannot_be_resumed_elsewhere() {
     let slow = Endpoint::start("i-1", |seen| {
         let pause = Step::Wait(Duration::from_millis(900));
         vec![stream(seen), event(0), pause, event(1), end()]
@@ -28,19 +28,19 @@
     assert_eq!(slow.seen().len(), 1);
 }
 
-/// An engine falls silent in the middle of a stream that may go on elsewhere. The
-/// caller gets the rest from another engine, each event once.
+/// An engine sends nothing more in the middle of a stream that another engine can resume. The
+/// caller must get the rest from that one, and each event once.
 #[actix_web::test]
-async fn a_silent_stream_goes_on_at_another_engine() {
+async fn a_stalled_stream_is_resumed_at_another_engine() {
     let script = |seen: &poplarvale_standin::Seen| {
         if seen.after() == "0" {
             return vec![stream(seen), event(1), event(2), end()];
         }
-        let torn = Step::Send("8\r\nid: 1\nda\r\n".into());
+        let half_event = Step::Send("8\r\nid: 1\nda\r\n".into());
         vec![
             stream(seen),
             event(0),
-            torn,
+            half_event,
             Step::Wait(Duration::from_mins(1)),
         ]
     };
@@ -58,10 +58,10 @@
     assert_eq!(pieces, ["data: piece 0", "data: piece 1", "data: piece 2"]);
 }
 
-/// A booking was sent, and the connection broke before an answer. Sent once more it
-/// could be booked twice; "not run" would be a lie.
+/// A non-idempotent request was sent, and the connection broke before a response. A retry might
+/// run it twice, and reporting it as not run might be wrong.
 #[actix_web::test]
-async fn a_request_that_must_run_once_is_not_sent_again() {
+async fn a_non_idempotent_request_is_not_retried() {
     let script = |_: &poplarvale_standin::Seen| vec![Step::Close];
     let one = Endpoint::start("i-1", script).await;
     let other = Endpoint::start("i-2", script).await;
@@ -71,10 +71,10 @@
     assert_eq!(one.seen().len() + other.seen().len(), 1);
 }
 
-/// An endpoint is full and says that it did not run the request. Another one runs
-/// it, also where it may run only once.
+/// An endpoint is full and states that it did not run the request. The request must be sent to
+/// another one, also if it is non-idempotent.
 #[actix_web::test]
-async fn a_request_that_was_not_run_goes_elsewhere() {
+async fn a_request_that_was_not_run_is_sent_to_another_endpoint() {
     let full = Endpoint::start("i-1", |seen| vec![refusal(seen)]).await;
     let free = Endpoint::start("i-2", |seen| vec![plain(seen, 200, "done")]).await;
     let site = Site::start(&[&full, &free]).await;
@@ -86,12 +86,12 @@
     assert_eq!(free.finished(), 8);
 }
 
-/// An endpoint sends a second answer to an earlier request late, just where the
-/// answer to the next request is due. The next caller must not get it.
+/// An endpoint sends a second response to an earlier request late, just when the response to the
+/// next request on that connection is due. The next caller must not get it.
 #[actix_web::test]
-async fn a_late_second_answer_reaches_nobody() {
+async fn a_late_second_response_reaches_no_caller() {
     let twice = Endpoint::start("i-1", |seen| {
-        let late = Step::Wait(Duration::from_millis(40));
+        let pause = Step::Wait(Duration::from_millis(40));
         if seen.id() == "r1" {
             return vec![plain(seen, 200, "first")];
         }
@@ -99,7 +99,7 @@
             return Vec::new();
         };
         let stray = own.replace("r2", "r1").replace("second", "sprawl");
-        vec![Step::Send(stray), late, Step::Send(own)]
+        vec![Step::Send(stray), pause, Step::Send(own)]
     })
     .await;
     let site = Site::start(&[&twice]).await;
@@ -109,10 +109,10 @@
     assert_eq!(second.expect("an answer").body, "second");
 }
 
-/// An answer breaks off. One that may be repeated is asked for elsewhere; the
-/// caller never gets half of it as if it were all.
+/// The connection breaks in the middle of a response. An idempotent request is retried at another
+/// endpoint; the caller must never get the half response as if it were complete.
 #[actix_web::test]
-async fn half_an_answer_is_never_passed_on() {
+async fn an_incomplete_response_is_never_forwarded() {
     let script = |seen: &poplarvale_standin::Seen| {
         let Step::Send(text) = plain(seen, 200, "0123456789") else {
             return Vec::new();
@@ -120,9 +120,9 @@
         let half = text[..text.len() - 4].to_owned();
         vec![Step::Send(half), Step::Close]
     };
-    let torn = Endpoint::start("i-1", script).await;
+    let broken = Endpoint::start("i-1", script).await;
     let whole = Endpoint::start("i-2", |seen| vec![plain(seen, 200, "whole")]).await;
-    let site = Site::start(&[&torn, &whole]).await;
+    let site = Site::start(&[&broken, &whole]).await;
     for number in 0..6 {
         let id = format!("r{number}");
         let answer = ask(site.address(), &request("GET", "/safe/a", &id, "")).await;
@@ -133,8 +133,8 @@
     assert!(answer.status == 502 || answer.body == "whole");
 }
 
-/// A caller leaves before its answer comes. The engine must not go on working for
-/// nobody.
+/// A caller disconnects before it gets its response. The endpoint must not go on working on a
+/// request that nobody waits for.
 #[actix_web::test]
 async fn work_stops_when_the_caller_leaves() {
     let slow = Endpoint::start("i-1", |seen| {
@@ -143,17 +143,17 @@
     .await;
     let site = Site::start(&[&slow]).await;
     let text = request("GET", "/safe/a", "r1", "");
-    let asked = tokio::time::timeout(Duration::from_millis(200), ask(site.address(), &text)).await;
-    assert!(asked.is_err());
+    let answer = tokio::time::timeout(Duration::from_millis(200), ask(site.address(), &text)).await;
+    assert!(answer.is_err());
     tokio::time::sleep(Duration::from_millis(2500)).await;
     assert_eq!(slow.seen().len(), 1);
     assert_eq!(slow.finished(), 0);
 }
 
-/// The route's time is over while the endpoint works. The caller hears so at once,
-/// and not that the request did not run.
+/// The timeout of the route passes while the endpoint works. The caller must get an error at once,
+/// and not one that claims that the request did not run.
 #[actix_web::test]
-async fn a_request_past_its_time_is_answered_then() {
+async fn a_request_is_rejected_at_its_deadline() {
     let slow = Endpoint::start("i-1", |_| vec![Step::Wait(Duration::from_mins(1))]).await;
     let site = Site::start(&[&slow]).await;
     let start = std::time::Instant::now();
--- a/daemon/tests/test_relay_callers.rs
+++ b/daemon/tests/test_relay_callers.rs
@@ -1,4 +1,4 @@
-//! What callers send that must not be forwarded, or not as it is.
+//! Requests of callers that must not be forwarded, or not unchanged.
 
 use poplarvale_standin::{Endpoint, FORGED, ask, config, plain, request, without_id};
 
@@ -10,24 +10,24 @@
     (endpoint, site)
 }
 
-/// A caller hides a second request behind two framings of the first. Nothing of it
-/// may reach an endpoint.
+/// Request smuggling: a caller gives a request two different framings, so that a second request
+/// could hide in its body. No part of it may reach an endpoint.
 #[actix_web::test]
 async fn a_smuggled_request_reaches_no_endpoint() {
     let (endpoint, site) = site().await;
     let hidden = request("POST", "/once/b", "hidden", "Content-Length: 0\r\n");
-    let both = "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n";
-    let text = request("POST", "/once/a", "r1", both) + "0\r\n\r\n" + &hidden;
+    let two_framings = "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n";
+    let text = request("POST", "/once/a", "r1", two_framings) + "0\r\n\r\n" + &hidden;
     let answer = ask(site.address(), &text).await.expect("an answer");
     assert_eq!(answer.status, 400);
     assert!(!answer.head.keep);
     assert!(endpoint.seen().is_empty());
 }
 
-/// A caller sends fields that only the system may set. The endpoint must get ours
-/// and never the key.
+/// A caller sends header fields that only the system may set. The endpoint must get those that the
+/// daemon sets, and never the key of the caller.
 #[actix_web::test]
-async fn fields_of_the_system_are_ours() {
+async fn callers_cannot_set_fields_of_the_system() {
     let (endpoint, site) = site().await;
     let forged = format!("{FORGED}X-Own: kept\r\n");
     let answer = ask(
@@ -47,10 +47,10 @@
     assert!((2000..=3000).contains(&left));
 }
 
-/// Wrong key, no key, no route, no id, too much: each has its own answer, and
-/// nothing reaches an endpoint.
+/// Requests with a wrong key, without a route or an id, or with a body or head that is too long:
+/// each is rejected with its own code, and none reaches an endpoint.
 #[actix_web::test]
-async fn bad_requests_are_refused_by_number() {
+async fn bad_requests_are_rejected_with_their_code() {
     let (endpoint, site) = site().await;
     let good = request("GET", "/safe/a", "r1", "");
     let cases = [
@@ -83,10 +83,10 @@
     assert!(endpoint.seen().is_empty());
 }
 
-/// A team uses up what it may. The refusal says when to come back, and the request
-/// did not run.
+/// A team uses up its allowance. The rejection must tell it when to retry, and the request must
+/// not run.
 #[actix_web::test]
-async fn a_team_beyond_its_allowance_is_told_when_to_come_back() {
+async fn a_team_over_its_allowance_is_told_when_to_retry() {
     let (endpoint, site) = site().await;
     site.store
         .put("op/config", config(2, &ROUTES, 4).as_bytes());
@@ -98,23 +98,23 @@
     })
     .await;
     let before = endpoint.seen().len();
-    let refused = ask(site.address(), &text).await.expect("an answer");
-    assert_eq!(refused.status, 429);
-    assert!(refused.head.fields.text("retry-after").is_some());
+    let rejected = ask(site.address(), &text).await.expect("an answer");
+    assert_eq!(rejected.status, 429);
+    assert!(rejected.head.fields.text("retry-after").is_some());
     assert_eq!(endpoint.seen().len(), before);
 }
 
-/// A daemon that knows no configuration yet says so; an unknown key is not an
-/// unknown key then.
+/// A daemon that has not read a configuration yet knows no keys. It must reject requests until
+/// then as retryable, and not because of an unknown key.
 #[actix_web::test]
-async fn a_daemon_without_a_configuration_refuses_for_a_while() {
+async fn a_daemon_without_a_configuration_rejects_requests_as_retryable() {
     let store = poplarvale_standin::Store::start().await;
     let cloud = poplarvale_standin::Cloud::start().await;
     let text = poplarvale_standin::settings(store.address, cloud.address);
-    let settings = poplarvale_platform::read_settings(&text).expect("they are good");
+    let settings = poplarvale_platform::read_settings(&text).expect("valid settings");
     let relay = poplarvaled::Relay::start(settings)
         .await
-        .expect("it listens");
+        .expect("the daemon starts");
     let answer = ask(relay.callers(), &request("GET", "/safe/a", "r1", "")).await;
     assert_eq!(answer.expect("an answer").status, 503);
     assert!(!crate::relay_site::is_ready(relay.ready()).await);
--- a/daemon/tests/test_relay_closing.rs
+++ b/daemon/tests/test_relay_closing.rs
@@ -1,8 +1,7 @@
-//! The last moments of a daemon that is told to end, as callers see them who go on
-//! sending until its process is gone.
+//! Shutdown of a daemon, as seen by callers that go on sending until its process has ended.
 //!
-//! More seeds are played with a range in the environment, one after the other:
-//! `POPLARVALE_ENDINGS=100..150 cargo test -p poplarvaled --test runner drops_nothing`.
+//! A range of more seeds can be given in the environment; they run one after the other:
+//! `POPLARVALE_ENDINGS=100..150 cargo test -p poplarvaled --test runner drops_no_request`.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -24,30 +23,32 @@
 use crate::site::DAEMON;
 use crate::soak::{free_port, seeds};
 
-/// Daemons that end in one run, each at a moment of its own.
-const ENDINGS: usize = 8;
-/// Callers of each kind at one daemon.
+/// Number of daemons in one run; each is shut down at a random time of its own.
+const SHUTDOWNS: usize = 8;
+/// Number of callers of each kind at one daemon.
 const CALLERS: usize = 2;
 /// How long an endpoint works on a request.
 const WORK: Duration = Duration::from_millis(30);
-/// Parts in which a slow caller sends a body, and the pause before each.
+/// Parts in which a slow caller sends a body.
 const PARTS: [&str; 4] = ["four", "slow", "body", "part"];
-const UPLOAD: Duration = Duration::from_millis(40);
-/// How long after its last byte a request may be unread when its connection ends.
-const CROSSED: Duration = Duration::from_millis(200);
-/// Longest time for a process to start, and to end after it was told to.
-const START: Duration = Duration::from_secs(10);
+/// Pause before each part.
+const PART_PAUSE: Duration = Duration::from_millis(40);
+/// Time after the last byte of a request within which its connection may be closed without a
+/// response: the daemon may have closed it before it could read the request.
+const CLOSE_RACE: Duration = Duration::from_millis(200);
+/// Longest time for a process to start, and to end after the signal.
+const PROCESS_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How a caller sends.
+/// How a caller sends its requests.
 #[derive(Clone, Copy, Debug)]
-enum Way {
-    /// Small requests on a connection that it keeps.
-    Kept,
+enum CallerKind {
+    /// Small requests on one persistent connection.
+    KeepAlive,
     /// Small requests, each on a new connection.
     Fresh,
-    /// Bodies that come in parts.
+    /// Requests with a body that is sent slowly, in parts.
     Upload,
-    /// Streams.
+    /// Requests for a stream.
     Stream,
 }
 
@@ -57,26 +58,26 @@
     id: String,
     /// Whether all of it was written.
     written: bool,
-    /// Status, and whether the answer was whole; `None` if none came.
-    answer: Option<(u16, bool)>,
-    /// From the last byte written to the end.
+    /// Status, and whether the response was complete; `None` without a response.
+    response: Option<(u16, bool)>,
+    /// Time from the last byte written to the end of the response or connection.
     waited: Duration,
 }
 
-/// Calls of one daemon.
+/// Callers of one daemon, and what they sent.
 #[derive(Clone)]
 struct Calls {
     to: SocketAddr,
     sent: Rc<RefCell<Vec<Sent>>>,
-    over: Rc<Cell<bool>>,
+    ended: Rc<Cell<bool>>,
 }
 
 impl Calls {
-    /// Sends requests in one way until the process is gone.
-    async fn go(self, way: Way, name: String, mut random: Rng) {
+    /// Sends requests of one kind until the process has ended.
+    async fn run(self, kind: CallerKind, name: String, mut random: Rng) {
         let mut kept = None;
         for number in 0.. {
-            if self.over.get() {
+            if self.ended.get() {
                 return;
             }
             let pause = Duration::from_millis(random.u64(..40));
@@ -87,46 +88,54 @@
             };
             if let Ok(mut caller) = caller {
                 let id = format!("{name}-{number}");
-                let keeps = self.one(way, &mut caller, id).await;
-                kept = (keeps && matches!(way, Way::Kept)).then_some(caller);
+                let keep = self.send_one(kind, &mut caller, id).await;
+                kept = (keep && matches!(kind, CallerKind::KeepAlive)).then_some(caller);
             }
         }
     }
 
-    /// Sends one request; tells whether the connection can be kept.
-    async fn one(&self, way: Way, caller: &mut Caller, id: String) -> bool {
-        let written = write(way, caller, &id).await;
+    /// Sends one request. Returns whether the connection can be used again.
+    async fn send_one(&self, kind: CallerKind, caller: &mut Caller, id: String) -> bool {
+        let written = write(kind, caller, &id).await;
         let last = Instant::now();
         let answer = caller.answer().await;
-        let keeps = answer.as_ref().is_ok_and(|answer| answer.head.keep);
-        let seen = answer
+        let keep = answer.as_ref().is_ok_and(|answer| answer.head.keep);
+        let response = answer
             .ok()
             .map(|answer: Answer| (answer.status, answer.whole));
         self.sent.borrow_mut().push(Sent {
             id,
             written: written.is_ok(),
-            answer: seen,
+            response,
             waited: last.elapsed(),
         });
-        keeps
+        keep
     }
 }
 
-/// A request with so little time that an ending daemon can still serve it.
-fn hasty(method: &str, path: &str, id: &str, more: &str) -> String {
+/// A request with a deadline so short that a daemon that shuts down can still serve it.
+fn short_request(method: &str, path: &str, id: &str, more: &str) -> String {
     request(method, path, id, more).replace("Deadline-Ms: 3000", "Deadline-Ms: 400")
 }
 
-async fn write(way: Way, caller: &mut Caller, id: &str) -> io::Result<()> {
-    match way {
-        Way::Kept | Way::Fresh => caller.send(&hasty("GET", "/safe/a", id, "")).await,
-        Way::Stream => caller.send(&hasty("GET", "/stream/a", id, "")).await,
-        Way::Upload => {
+async fn write(kind: CallerKind, caller: &mut Caller, id: &str) -> io::Result<()> {
+    match kind {
+        CallerKind::KeepAlive | CallerKind::Fresh => {
+            caller.send(&short_request("GET", "/safe/a", id, "")).await
+        }
+        CallerKind::Stream => {
+            caller
+                .send(&short_request("GET", "/stream/a", id, ""))
+                .await
+        }
+        CallerKind::Upload => {
             let length = PARTS.concat().len();
             let more = format!("Content-Length: {length}\r\n");
-            caller.send(&hasty("POST", "/once/a", id, &more)).await?;
+            caller
+                .send(&short_request("POST", "/once/a", id, &more))
+                .await?;
             for part in PARTS {
-                tokio::time::sleep(UPLOAD).await;
+                tokio::time::sleep(PART_PAUSE).await;
                 caller.send(part).await?;
             }
             Ok(())
@@ -146,7 +155,7 @@
     .await
 }
 
-/// Starts a daemon as a process; gives it with the address of callers.
+/// Starts a daemon as a process of its own. Returns it and the address for callers.
 async fn daemon(folder: &Folder, number: usize, store: &Store) -> (Process, SocketAddr) {
     let cloud = Cloud::start().await;
     let at = |port: u16| SocketAddr::from(([127, 0, 2, number as u8], port));
@@ -168,12 +177,12 @@
     let file = folder.write(&format!("settings-{number}.json"), &text);
     let log = folder.path().join(format!("daemon-{number}.log"));
     let process = Process::start_logged(Path::new(DAEMON), (SETTINGS_VARIABLE, &file), &log);
-    until(START, async || is_ready(ready).await).await;
+    until(PROCESS_TIMEOUT, async || is_ready(ready).await).await;
     (process, callers)
 }
 
-/// Tells a daemon to end while callers go on; gives what became of their requests.
-async fn end_one(folder: &Folder, number: usize, seed: u64) -> Vec<String> {
+/// Shuts a daemon down while callers go on sending. Returns what went wrong with their requests.
+async fn shut_down_one(folder: &Folder, number: usize, seed: u64) -> Vec<String> {
     let mut random = Rng::with_seed(seed + number as u64);
     let endpoint = endpoint().await;
     let store = store_with(&[&endpoint]).await;
@@ -181,22 +190,27 @@
     let calls = Calls {
         to,
         sent: Rc::default(),
-        over: Rc::default(),
+        ended: Rc::default(),
     };
     let mut callers = Vec::new();
-    for way in [Way::Kept, Way::Fresh, Way::Upload, Way::Stream] {
+    for kind in [
+        CallerKind::KeepAlive,
+        CallerKind::Fresh,
+        CallerKind::Upload,
+        CallerKind::Stream,
+    ] {
         for caller in 0..CALLERS {
-            let name = format!("{way:?}-{caller}");
+            let name = format!("{kind:?}-{caller}");
             let random = random.fork();
-            callers.push(actix_web::rt::spawn(calls.clone().go(way, name, random)));
+            callers.push(actix_web::rt::spawn(calls.clone().run(kind, name, random)));
         }
     }
     tokio::time::sleep(Duration::from_millis(random.u64(200..600))).await;
     process.signal("TERM");
-    until(START, async || process.has_ended()).await;
-    calls.over.set(true);
+    until(PROCESS_TIMEOUT, async || process.has_ended()).await;
+    calls.ended.set(true);
     for caller in callers {
-        caller.await.expect("a caller ends in order");
+        caller.await.expect("the caller task ends without a panic");
     }
     let reached: Vec<String> = endpoint.seen().iter().map(Seen::id).collect();
     let sent = calls.sent.borrow();
@@ -205,36 +219,37 @@
         .collect()
 }
 
-/// What is wrong with how a request ended, if anything is.
+/// What went wrong with a request; `None` if nothing did.
 fn broken(sent: &Sent, reached: &[String]) -> Option<String> {
     let ran = reached.contains(&sent.id);
-    let what = match sent.answer {
-        Some((503, _)) if ran => "was told that it did not run, and it did",
-        Some((_, false)) => "got a part of its answer",
-        None if ran => "ran and got no answer",
-        None if sent.written && sent.waited > CROSSED => "was left without an answer",
+    let fault = match sent.response {
+        Some((503, _)) if ran => "was rejected as not run, but it ran",
+        Some((_, false)) => "got an incomplete response",
+        None if ran => "ran and got no response",
+        None if sent.written && sent.waited > CLOSE_RACE => "got no response",
         Some((_, true)) | None => return None,
     };
-    Some(format!("{} {what}", sent.id))
+    Some(format!("{} {fault}", sent.id))
 }
 
-/// Seeds that showed a dropped request.
-const KEPT: [u64; 1] = [1];
+/// Seeds that have shown a dropped request.
+const REGRESSION_SEEDS: [u64; 1] = [1];
+/// Variable of the environment with a range of more seeds.
 const SEEDS: &str = "POPLARVALE_ENDINGS";
 
-/// A daemon is told to end while callers keep sending: on connections that they keep, on
-/// new ones, bodies that come slowly, and streams. It looks whether requests are in
-/// progress, sees none and ends; what came between that look and the end of the process
-/// was taken, sent to an endpoint and dropped. A caller's booking ran, and its
-/// connection closed without an answer. Before the process is gone some 100 ms pass in
-/// which the last log lines are written, long enough for a request of 30 ms to begin.
+/// A daemon is shut down while callers go on sending: on persistent connections and on new ones,
+/// with slow bodies, and for streams. If it checks once that no request is in progress and then
+/// ends, requests that arrive between this check and the end of the process are accepted, sent to
+/// an endpoint and dropped: a non-idempotent request ran, and its caller got no response. The last
+/// log lines are written during about 100 ms of that time, long enough for a request of 30 ms to
+/// begin.
 #[actix_web::test]
-async fn a_daemon_drops_nothing_that_it_took_before_its_end() {
+async fn a_daemon_that_shuts_down_drops_no_request() {
     let mut broken = Vec::new();
-    for seed in seeds(SEEDS, &KEPT) {
+    for seed in seeds(SEEDS, &REGRESSION_SEEDS) {
         let folder = Folder::new();
-        let endings = (1..=ENDINGS).map(|number| end_one(&folder, number, seed));
-        let found = join_all(endings).await.concat();
+        let shutdowns = (1..=SHUTDOWNS).map(|number| shut_down_one(&folder, number, seed));
+        let found = join_all(shutdowns).await.concat();
         println!("seed {seed}: {found:?}");
         broken.extend(found);
     }
--- a/daemon/tests/test_relay_limit.rs
+++ b/daemon/tests/test_relay_limit.rs
@@ -1,4 +1,4 @@
-//! Endpoints in need that name how many requests a second they take.
+//! Overloaded endpoints that announce a limit of requests a second.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -9,13 +9,13 @@
 
 use crate::relay_site::{Site, Zone, store_with};
 
-/// Span in which requests are counted.
+/// Time span in which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
-/// Time in which all daemons know of a limit.
-const SPREAD: Duration = Duration::from_secs(3);
+/// Time after which all daemons know of a limit.
+const SPREAD_TIME: Duration = Duration::from_secs(3);
 /// Time between two requests at one daemon.
 const PAUSE: Duration = Duration::from_millis(40);
-/// What an endpoint names, in requests a second.
+/// Limit that an endpoint announces, in requests a second.
 const RATE: f64 = 1.0;
 
 /// Most requests that an endpoint with a limit gets within [`WINDOW`].
@@ -23,23 +23,23 @@
     (rate * WINDOW.as_secs_f64() * 1.5 + 5.0) as usize
 }
 
-/// An endpoint that names a limit while it is in need, and when requests came.
-struct Needy {
+/// An endpoint that announces a limit while it is overloaded, and when it got requests.
+struct LimitedEndpoint {
     endpoint: Endpoint,
-    needs: Rc<Cell<bool>>,
+    overloaded: Rc<Cell<bool>>,
     arrivals: Rc<RefCell<Vec<Instant>>>,
 }
 
-impl Needy {
+impl LimitedEndpoint {
     async fn start(id: &str, rate: f64) -> Self {
-        let (needs, arrivals) = (Rc::new(Cell::new(false)), Rc::default());
+        let (overloaded, arrivals) = (Rc::new(Cell::new(false)), Rc::default());
         let script = {
-            let (needs, arrivals) = (Rc::clone(&needs), Rc::clone(&arrivals));
+            let (overloaded, arrivals) = (Rc::clone(&overloaded), Rc::clone(&arrivals));
             move |seen: &Seen| {
                 let arrivals: &RefCell<Vec<Instant>> = &arrivals;
                 arrivals.borrow_mut().push(Instant::now());
                 let work = Step::Wait(Duration::from_millis(10));
-                if needs.get() {
+                if overloaded.get() {
                     vec![work, limited(seen, rate, "done")]
                 } else {
                     vec![work, plain(seen, 200, "done")]
@@ -48,12 +48,12 @@
         };
         Self {
             endpoint: Endpoint::start(id, script).await,
-            needs,
+            overloaded,
             arrivals,
         }
     }
 
-    /// Most requests that came within a window, of those that came after a moment.
+    /// Largest number of requests within a window, of those that arrived at `since` or later.
     fn most_since(&self, since: Instant) -> usize {
         let arrivals = self.arrivals.borrow();
         let late: Vec<Instant> = arrivals.iter().copied().filter(|at| *at >= since).collect();
@@ -67,7 +67,8 @@
     }
 }
 
-/// Asks all daemons at once, again and again; gives how many requests were not served.
+/// Sends requests to all daemons at the same time, for a time span. Returns how many were not
+/// served.
 async fn ask_all(zone: &Zone, span: Duration) -> usize {
     let end = Instant::now() + span;
     let callers = zone
@@ -75,68 +76,70 @@
         .iter()
         .enumerate()
         .map(|(at, (_, relay))| async move {
-            let mut bad = 0;
+            let mut failed = 0;
             for number in 0.. {
                 if Instant::now() >= end {
                     break;
                 }
                 let text = request("GET", "/safe/a", &format!("r{at}-{number}"), "");
                 let answer = ask(relay.callers(), &text).await;
-                bad += usize::from(!answer.is_ok_and(|answer| answer.status == 200));
+                failed += usize::from(!answer.is_ok_and(|answer| answer.status == 200));
                 tokio::time::sleep(PAUSE).await;
             }
-            bad
+            failed
         });
     join_all(callers).await.into_iter().sum()
 }
 
-/// An endpoint in need names how little it takes, and each of many daemons that hear it goes
-/// on as before, or takes what is named for itself alone.
+/// An overloaded endpoint announces a limit. Guards against daemons that ignore it, and against
+/// many daemons that each send as much as all of them together may.
 #[actix_web::test]
-async fn all_daemons_together_keep_the_limit_that_an_endpoint_names() {
-    let needy = Needy::start("i-1", RATE).await;
-    let calm = Needy::start("i-2", RATE).await;
-    let zone = Zone::start(23, store_with(&[&needy.endpoint, &calm.endpoint]).await).await;
+async fn all_daemons_together_keep_the_limit_that_an_endpoint_announces() {
+    let busy = LimitedEndpoint::start("i-1", RATE).await;
+    let healthy = LimitedEndpoint::start("i-2", RATE).await;
+    let zone = Zone::start(23, store_with(&[&busy.endpoint, &healthy.endpoint]).await).await;
     let before = ask_all(&zone, Duration::from_secs(1)).await;
-    needy.needs.set(true);
-    let since = Instant::now() + SPREAD;
-    let during = ask_all(&zone, SPREAD + WINDOW * 2).await;
-    let most = needy.most_since(since);
+    busy.overloaded.set(true);
+    let since = Instant::now() + SPREAD_TIME;
+    let during = ask_all(&zone, SPREAD_TIME + WINDOW * 2).await;
+    let most = busy.most_since(since);
     assert!(
         most <= allowed(RATE),
         "{most} in {WINDOW:?} with a limit of {RATE} a second"
     );
-    assert!(most > 0, "what it takes is not used");
+    assert!(most > 0, "the endpoint gets no request at all");
     assert_eq!(
         (before, during),
         (0, 0),
-        "not served though an endpoint has room"
+        "requests failed although an endpoint has room"
     );
 }
 
-/// An endpoint's need is over, and nobody notices, as those who may ask it are few.
+/// The overload of an endpoint is over. Only a few daemons still send to it, and the others must
+/// learn of it too.
 #[actix_web::test]
-async fn an_endpoint_whose_need_is_over_is_used_again() {
-    let needy = Needy::start("i-1", RATE).await;
-    let calm = Needy::start("i-2", RATE).await;
-    let zone = Zone::start(24, store_with(&[&needy.endpoint, &calm.endpoint]).await).await;
-    needy.needs.set(true);
-    ask_all(&zone, SPREAD).await;
-    needy.needs.set(false);
+async fn an_endpoint_whose_overload_is_over_is_used_again() {
+    let busy = LimitedEndpoint::start("i-1", RATE).await;
+    let healthy = LimitedEndpoint::start("i-2", RATE).await;
+    let zone = Zone::start(24, store_with(&[&busy.endpoint, &healthy.endpoint]).await).await;
+    busy.overloaded.set(true);
+    ask_all(&zone, SPREAD_TIME).await;
+    busy.overloaded.set(false);
     ask_all(&zone, Duration::from_secs(6)).await;
     let since = Instant::now();
     ask_all(&zone, Duration::from_secs(2)).await;
-    let most = needy.most_since(since);
+    let most = busy.most_since(since);
     assert!(most > allowed(RATE) * 3, "{most} in {WINDOW:?}");
 }
 
-/// All endpoints of a service are in need. Who cannot be served hears so at once, and when
-/// to come back; waiting for room would hold callers until their deadline.
+/// All endpoints of a service are overloaded. Requests over the limit must be rejected at once,
+/// with the time when to retry; if they waited for room, callers would be held until their
+/// deadline.
 #[actix_web::test]
-async fn callers_beyond_all_limits_are_refused_at_once() {
-    let needy = Needy::start("i-1", RATE).await;
-    needy.needs.set(true);
-    let site = Site::start(&[&needy.endpoint]).await;
+async fn callers_beyond_all_limits_are_rejected_at_once() {
+    let busy = LimitedEndpoint::start("i-1", RATE).await;
+    busy.overloaded.set(true);
+    let site = Site::start(&[&busy.endpoint]).await;
     let text = request("GET", "/safe/a", "r1", "");
     let first = ask(site.address(), &text).await.expect("an answer");
     assert_eq!(first.status, 200);
