--- a/daemon/src/relay/attempt.rs
+++ b/daemon/src/relay/attempt.rs
@@ -143,9 +143,9 @@
         drain_rejection(state, address, wire, &response).await;
         return AttemptOutcome::NotRun;
     }
-    let is_stream = job.route.repeat.is_stream() && response.head.status == OK;
+    let is_stream = job.route.retry_policy.is_stream() && response.head.status == OK;
     let mut first_event = None;
-    forwarded.events.restart();
+    forwarded.events.drop_partial();
     let events = forwarded.events.count();
     let outcome = if is_stream && response.meta.sealed {
         let number = guard.number;
@@ -162,7 +162,12 @@
         match forward_stream(&mut wire, &response, forwarded, write, &mut stall, on_event).await {
             StreamEnd::Complete => {
                 let events = forwarded.events.count().saturating_sub(events + 1) as u32;
-                let tokens = events * job.service.engine.as_ref().map_or(0, |row| row.stride);
+                let tokens = events
+                    * job
+                        .service
+                        .engine
+                        .as_ref()
+                        .map_or(0, |row| row.event_tokens);
                 let mut table = state.endpoints.borrow_mut();
                 table.record_stream(&choice.id, number, tokens, Std::now());
                 AttemptOutcome::Streamed
--- a/daemon/src/relay/dispatch.rs
+++ b/daemon/src/relay/dispatch.rs
@@ -116,7 +116,7 @@
         write: &mut WriteHalf<'_>,
     ) -> AttemptOutcome {
         self.avoid.push(choice.id.clone());
-        let may_continue = job.route.repeat.may_repeat()
+        let may_continue = job.route.retry_policy.allows_retry()
             && self.runs + 1 < job.route.attempts
             && self.reached + 1 < MAX_ENDPOINTS;
         let (avoid, reserved) = (&self.avoid, &mut self.reserved);
@@ -140,7 +140,7 @@
         if !matches!(outcome, AttemptOutcome::NotSent) {
             self.reached += 1;
         }
-        let retryable = job.route.repeat.may_repeat();
+        let retryable = job.route.retry_policy.allows_retry();
         match outcome {
             AttemptOutcome::Streamed => {
                 log_response(state, job, &choice.id, 200, self.reached);
@@ -271,7 +271,7 @@
     let first_event = (wait * 3).max(job.route.target * 3 / 2).max(MIN_STALL_TIME);
     StallTimeout {
         first_event: Instant::now() + first_event,
-        pause: job.route.pause.unwrap_or(job.route.target) * 3,
+        pause: job.route.pause_target.unwrap_or(job.route.target) * 3,
         deadline: job.deadline,
         try_move,
     }
@@ -281,7 +281,7 @@
 fn log_response(state: &State, job: &Job<'_>, endpoint: &str, status: u16, reached: u32) {
     let took = job.arrived.elapsed();
     state.measure(|metrics| metrics.ended(&job.route.name, 0, took));
-    let late = !job.route.repeat.is_stream() && took > job.route.target;
+    let late = !job.route.retry_policy.is_stream() && took > job.route.target;
     if status < SERVER_ERROR && !late && !state.sampler.lets(Std::now()) {
         return;
     }
--- a/daemon/src/relay/stream.rs
+++ b/daemon/src/relay/stream.rs
@@ -124,7 +124,7 @@
             }
         }
         let done = body.is_done();
-        if done && forwarded.events.is_torn() {
+        if done && forwarded.events.has_partial() {
             return StreamEnd::Broken;
         }
         if forwarded.events.count() > count_before {
