--- a/daemon/src/relay/peers.rs
+++ b/daemon/src/relay/peers.rs
@@ -101,7 +101,7 @@
     let mut digest = digest(state, sequence, turn.local, &left, now);
     if peers.is_watcher(now) {
         let check = state.endpoints.borrow().checksum();
-        let news = state.follow.borrow().feed(check, now);
+        let news = state.store_progress.borrow().feed(check, now);
         digest.news = news.map(news::tell);
     }
     let bytes = digest.encode_to_vec();
@@ -236,7 +236,7 @@
             .map(|row| tell_limit(row, now))
             .collect(),
         contact: state
-            .contact
+            .connectivity
             .get()
             .span()
             .map(|span| tell_contact(span, now)),
@@ -284,7 +284,7 @@
 /// Ends doubt about endpoints, or shortens it, if another daemon had the store while
 /// this one did not.
 fn end_doubt(state: &State, name: &str, span: ReachableSpan, now: Instant) {
-    let Some(since) = state.contact.get().available_since(span) else {
+    let Some(since) = state.connectivity.get().available_since(span) else {
         return;
     };
     let well = now.saturating_duration_since(since);
--- a/daemon/src/relay/serve.rs
+++ b/daemon/src/relay/serve.rs
@@ -234,7 +234,7 @@
         request = head.id.as_str(), path = head.path.as_str(), code, ran = rejection.ran.word(),
         again_ms = rejection.retry_after.map_or(0, |time| time.as_millis() as u64),
         catalog = state.catalog.borrow().as_ref().map_or(0, |catalog| catalog.version),
-        store_heard_ms = state.contact.get().since_answer(Std::now()).as_millis() as u64;
+        store_heard_ms = state.connectivity.get().since_answer(Std::now()).as_millis() as u64;
         "refuse: {}", rejection.code.title()
     );
     // Callers that are rejected at the same time must not all retry at the same time.
--- a/daemon/src/relay/state.rs
+++ b/daemon/src/relay/state.rs
@@ -51,7 +51,7 @@
     pub(crate) clock: RefCell<Clock>,
     pub(crate) peers: RefCell<Peers>,
     /// How far this daemon knows the changes in the store.
-    pub(crate) follow: RefCell<StoreProgress>,
+    pub(crate) store_progress: RefCell<StoreProgress>,
     /// Notified when this daemon has to read the store itself.
     pub(crate) read_store: Notify,
     pub(crate) eras: Rc<Eras>,
@@ -63,7 +63,7 @@
     /// Whether the list of endpoints was read from the store at least once.
     pub(crate) listed: Cell<bool>,
     pub(crate) upstreams: Upstreams,
-    pub(crate) contact: Cell<Connectivity>,
+    pub(crate) connectivity: Cell<Connectivity>,
     pub(crate) metrics: Option<Metrics>,
     /// Which successful requests are logged.
     pub(crate) sampler: Sampler,
@@ -88,9 +88,9 @@
     pub(crate) fn new(settings: RelaySettings) -> Rc<Self> {
         let started = Instant::now();
         let incarnation = fastrand::u64(..);
-        let me = v4(&settings.peers.ip()).unwrap_or(Ipv4Addr::LOCALHOST);
+        let own_address = v4(&settings.peers.ip()).unwrap_or(Ipv4Addr::LOCALHOST);
         let seeds: Vec<Ipv4Addr> = settings.seeds.iter().filter_map(v4).collect();
-        let place = Location {
+        let location = Location {
             zone: name_hash(&settings.zone),
             memory_mb: u32::try_from(settings.memory / MEGABYTE).unwrap_or(u32::MAX),
         };
@@ -115,8 +115,8 @@
             rollouts: RefCell::new(Rollouts::new(settings.bounds.exposure)),
             usage: RefCell::new(Usage::new(settings.name.clone(), incarnation)),
             clock: RefCell::new(Clock::new(started)),
-            peers: RefCell::new(Peers::new(me, place, &seeds, started)),
-            follow: RefCell::default(),
+            peers: RefCell::new(Peers::new(own_address, location, &seeds, started)),
+            store_progress: RefCell::default(),
             read_store: Notify::new(),
             eras: Rc::default(),
             duty_holder: RefCell::new(None),
@@ -125,7 +125,7 @@
             settings,
             listed: Cell::new(false),
             upstreams: Upstreams::default(),
-            contact: Cell::new(Connectivity::new(started)),
+            connectivity: Cell::new(Connectivity::new(started)),
             metrics: Metrics::new(),
             sampler: Sampler::new(started),
             active: Cell::new(0),
@@ -164,16 +164,16 @@
 
     /// Records that the store answered a call.
     pub(crate) fn store_answered(&self, now: Instant) {
-        let mut contact = self.contact.get();
-        contact.record_answer(now);
-        self.contact.set(contact);
+        let mut connectivity = self.connectivity.get();
+        connectivity.record_answer(now);
+        self.connectivity.set(connectivity);
     }
 
     /// Records that the store did not answer a call that was started at `began`.
     pub(crate) fn store_failed(&self, began: Instant) {
-        let mut contact = self.contact.get();
-        contact.record_failure(began, Instant::now());
-        self.contact.set(contact);
+        let mut connectivity = self.connectivity.get();
+        connectivity.record_failure(began, Instant::now());
+        self.connectivity.set(connectivity);
     }
 
     /// Adds the seed addresses of these settings to the peers.
@@ -202,7 +202,7 @@
         self.clock.borrow().now(Self::wall_ms(), Instant::now())
     }
 
-    /// Usage window that contains a moment of the monotonic clock.
+    /// Number of the usage window that contains a moment of the monotonic clock.
     pub(crate) fn usage_window(&self, at: Instant) -> WindowId {
         let ago = at.elapsed().as_millis() as u64;
         let length = self.settings.bounds.usage_window.as_millis().max(1) as u64;
--- a/daemon/src/relay/watch.rs
+++ b/daemon/src/relay/watch.rs
@@ -66,17 +66,17 @@
     let mut failing = false;
     loop {
         let began = Instant::now();
-        let revision = state.follow.borrow_mut().begin_read();
+        let revision = state.store_progress.borrow_mut().begin_read();
         let step = match revision {
             None => read_all(&state, &mut client).await,
             Some(after) => watch_once(&state, &mut client, after).await,
         };
-        state.follow.borrow_mut().end_read();
+        state.store_progress.borrow_mut().end_read();
         match step {
             Ok(()) => {
                 let now = Instant::now();
                 if failing {
-                    let silence = state.contact.get().since_answer(now);
+                    let silence = state.connectivity.get().since_answer(now);
                     log::info!("store: back after {silence:?}.");
                     failing = false;
                 }
@@ -93,20 +93,20 @@
                 }
                 if matches!(error, WatchError::Store(StoreError::Compacted)) {
                     log::info!("store: its history is gone, everything is read anew.");
-                    state.follow.borrow_mut().invalidate();
+                    state.store_progress.borrow_mut().invalidate();
                     continue;
                 }
                 if matches!(error, WatchError::Store(StoreError::Returned)) {
                     log::info!("store: it came back from an older copy, everything is read anew.");
-                    state.follow.borrow_mut().invalidate();
+                    state.store_progress.borrow_mut().invalidate();
                     state.crashes.borrow_mut().mark_unsaved();
                     state.quarantined.notify_one();
                     continue;
                 }
                 // After an outage the whole list is read: a removal may have been missed.
                 state.store_failed(began);
-                if !state.contact.get().is_reachable() {
-                    state.follow.borrow_mut().invalidate();
+                if !state.connectivity.get().is_reachable() {
+                    state.store_progress.borrow_mut().invalidate();
                 }
                 tokio::time::sleep(retry).await;
                 retry = (retry * 2).min(MOST_RETRY);
@@ -130,7 +130,7 @@
 async fn until_due(state: &State, due: Instant) {
     loop {
         let now = Instant::now();
-        let told = state.follow.borrow().fed_until(now);
+        let told = state.store_progress.borrow().fed_until(now);
         let told = told.filter(|_| !state.peers.borrow().is_watcher(now));
         let until = told.map_or(due, |told| told.max(due));
         if now >= until {
@@ -177,7 +177,7 @@
     let listings = items.iter().filter_map(listing).collect();
     let changes = {
         let mut table = state.endpoints.borrow_mut();
-        let contact = state.contact.get();
+        let contact = state.connectivity.get();
         if state.listed.get() && !contact.is_reachable() {
             table.registry_back(now);
         } else if state.listed.get() && returned {
@@ -192,7 +192,10 @@
         tell(state, &id, change);
     }
     state.listed.set(true);
-    state.follow.borrow_mut().record_snapshot(revision, now);
+    state
+        .store_progress
+        .borrow_mut()
+        .record_snapshot(revision, now);
     Ok(())
 }
 
@@ -220,7 +223,7 @@
     for change in &watched.changes {
         take_change(state, change);
     }
-    let mut follow = state.follow.borrow_mut();
+    let mut follow = state.store_progress.borrow_mut();
     follow.record_watch(watched.revision, Instant::now());
     Ok(())
 }
@@ -229,14 +232,14 @@
     match change {
         Change::Put(item) if item.key.starts_with(OPERATORS) => {
             state
-                .follow
+                .store_progress
                 .borrow_mut()
                 .record_config_change(item.revision);
             take_order(state, item);
         }
         Change::Put(item) if item.key.starts_with(STATUS) => {
             state
-                .follow
+                .store_progress
                 .borrow_mut()
                 .record_config_change(item.revision);
             take_status(state, item);
@@ -249,13 +252,16 @@
         }
         Change::Put(item) if item.key == LEADER => {
             state
-                .follow
+                .store_progress
                 .borrow_mut()
                 .record_config_change(item.revision);
             take_leader(state, Some(item));
         }
         Change::Gone(key, revision) if key == LEADER => {
-            state.follow.borrow_mut().record_config_change(*revision);
+            state
+                .store_progress
+                .borrow_mut()
+                .record_config_change(*revision);
             take_leader(state, None);
         }
         Change::Gone(key, revision) => {
@@ -276,7 +282,7 @@
         RegistryChange::Removed(_) => true,
     };
     if is_news {
-        let mut follow = state.follow.borrow_mut();
+        let mut follow = state.store_progress.borrow_mut();
         follow.record_change(revision, entry.clone(), now);
     }
     let (id, change) = apply(state, entry, now);
@@ -301,7 +307,7 @@
     }
     let (answered, check) = (now.checked_sub(news.age), news.checksum);
     let silent = state.peers.borrow().local_timeout();
-    let heard = state.follow.borrow_mut().merge(news, silent, now);
+    let heard = state.store_progress.borrow_mut().merge(news, silent, now);
     let entries = match heard {
         FeedAction::Apply(entries) => entries,
         FeedAction::Read => return state.read_store.notify_one(),
@@ -315,7 +321,7 @@
         log_change(state, &id, change);
     }
     let mine = state.endpoints.borrow().checksum();
-    if !state.follow.borrow_mut().compare(check, mine) {
+    if !state.store_progress.borrow_mut().compare(check, mine) {
         log::warn!("store: what is told differs, everything is read anew.");
         state.read_store.notify_one();
     }
