--- a/daemon/src/relay/stream.rs
+++ b/daemon/src/relay/stream.rs
@@ -97,14 +97,14 @@
 /// was received, and again for data after it.
 pub(crate) async fn forward_stream(
     wire: &mut Wire,
-    answer: &EndpointResponse,
+    response: &EndpointResponse,
     forwarded: &mut Forwarded,
     write: &mut WriteHalf<'_>,
     stall: &mut StallTimeout<'_>,
     mut on_event: impl FnMut(),
 ) -> StreamEnd {
     let (mut read, _write) = wire.stream.split();
-    let mut body = Body::new(answer.head.framing);
+    let mut body = Body::new(response.head.framing);
     let count_before = forwarded.events.count();
     loop {
         let mut out = BytesMut::new();
@@ -131,7 +131,7 @@
             on_event();
         }
         if !out.is_empty() || done {
-            let sent = write_events(write, answer, forwarded, &out, done);
+            let sent = write_events(write, response, forwarded, &out, done);
             match timeout_at(stall.deadline, sent).await {
                 Ok(Ok(())) => {}
                 Ok(Err(_)) | Err(_) => return StreamEnd::CallerGone,
@@ -154,14 +154,14 @@
 /// chunk after the last one.
 async fn write_events(
     write: &mut WriteHalf<'_>,
-    answer: &EndpointResponse,
+    response: &EndpointResponse,
     forwarded: &mut Forwarded,
     events: &[u8],
     done: bool,
 ) -> io::Result<()> {
     let mut out = BytesMut::new();
     if !forwarded.head_sent {
-        out = response_head(&answer.head, Framing::Chunked, forwarded.keep);
+        out = response_head(&response.head, Framing::Chunked, forwarded.keep);
         forwarded.head_sent = true;
     }
     if !events.is_empty() {
