--- a/daemon/src/relay/attempt.rs
+++ b/daemon/src/relay/attempt.rs
@@ -437,7 +437,7 @@
     wire: Wire,
     response: &EndpointResponse,
 ) {
-    if response.head.keep && response.request_sent && wire.buffer.is_empty() {
+    if response.head.keep_alive && response.request_sent && wire.buffer.is_empty() {
         state.upstreams.put(address, wire, response.meta.idle);
     }
 }
--- a/daemon/src/relay/client.rs
+++ b/daemon/src/relay/client.rs
@@ -89,7 +89,7 @@
         let response = tokio::time::timeout(limit, exchange).await;
         let response = response.map_err(|_elapsed| CallError::TimedOut).flatten();
         let (head, body) = response?;
-        if head.keep {
+        if head.keep_alive {
             self.wire = Some(wire);
         }
         let era = match &self.eras {
@@ -128,7 +128,7 @@
         }
         let more = fill(&mut read, &mut wire.buffer).await;
         if more.map_err(CallError::Broken)? == 0 {
-            body.end()?;
+            body.finish()?;
         }
     }
     Ok((head, bytes.freeze()))
--- a/daemon/src/relay/exchange.rs
+++ b/daemon/src/relay/exchange.rs
@@ -138,7 +138,7 @@
             return Ok(bytes.freeze());
         }
         if fill(&mut read, &mut wire.buffer).await? == 0 {
-            body.end().map_err(io::Error::other)?;
+            body.finish().map_err(io::Error::other)?;
         }
     }
 }
--- a/daemon/src/relay/serve.rs
+++ b/daemon/src/relay/serve.rs
@@ -95,7 +95,7 @@
     arrived: Instant,
     write: &mut WriteHalf<'_>,
 ) -> Connection {
-    let keep = request.keep && state.phase().is_serving();
+    let keep = request.keep_alive && state.phase().is_serving();
     let catalog = state.catalog.borrow().clone();
     let Some(catalog) = catalog else {
         let rejection = Rejection::retry_later(Code::NoLists, RETRY_SOON);
--- a/daemon/src/relay/stream.rs
+++ b/daemon/src/relay/stream.rs
@@ -143,7 +143,7 @@
         let is_first = forwarded.events.count() == count_before;
         let more = fill(&mut read, &mut wire.buffer);
         match stall.wait(is_first, more).await {
-            Some(Ok(0)) if body.end().is_ok() => {}
+            Some(Ok(0)) if body.finish().is_ok() => {}
             Some(Ok(len)) if len > 0 => {}
             _ => return StreamEnd::Broken,
         }
--- a/daemon/tests/test_relay_closing.rs
+++ b/daemon/tests/test_relay_closing.rs
@@ -99,7 +99,7 @@
         let written = write(kind, caller, &id).await;
         let last = Instant::now();
         let answer = caller.answer().await;
-        let keep = answer.as_ref().is_ok_and(|answer| answer.head.keep);
+        let keep = answer.as_ref().is_ok_and(|answer| answer.head.keep_alive);
         let response = answer
             .ok()
             .map(|answer: Answer| (answer.status, answer.whole));
--- a/lib/src/claims/issued.rs
+++ b/lib/src/claims/issued.rs
@@ -1,61 +1,62 @@
 //! Keys that daemons issue, and their hand-over on an announced reclaim.
 //!
 //! A key space belongs to one incarnation at a time: its issuer, and after a
-//! hand-over the successor. The issuer gives a space away once, to one successor,
-//! after it has stopped using it; a successor takes a space once. So two never
-//! dispatch from the same space, however messages are lost, late or repeated. If
-//! the hand-over is lost, or the issuer crashes, the space is dead and its keys
-//! answer "unknown".
+//! hand-over the successor. The issuer hands a space over once, to one successor,
+//! after it has stopped using it; a successor accepts a space once. Two daemons
+//! therefore never dispatch from the same space, even if messages are lost, late or
+//! duplicated. If the hand-over is lost or the issuer crashes, nobody holds the space
+//! and requests with its keys are answered "unknown".
 
 use compact_str::CompactString;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::claim::{AnyClaim, Claim, Ended, Permit};
-use super::row::MOST_BODY;
-use super::{Answer, Ask, ClaimId, Digest, End, Key, Sequence};
+use super::row::MAX_STORED_BODY;
+use super::{Answer, ClaimId, Digest, Key, KeyedRequest, RunResult, Sequence};
 use crate::ids::{Incarnation, RequestId};
 use crate::table::{Row, Table};
 use std::time::Instant;
 
-/// Used keys that a space remembers; with answers of a few hundred bytes a few
-/// megabytes. Older keys are dead, so that forgetting one can't run it again.
-pub const MOST_USED: usize = 10_000;
+/// Maximum number of used keys that a space remembers; with answers of a few hundred
+/// bytes each they take a few megabytes. All older keys are expired, so that a key
+/// whose use was forgotten cannot run again.
+pub const MAX_USED_KEYS: usize = 10_000;
 
-/// A key that was used, as a successor learns it.
+/// A used key in a hand-over.
 #[proc_macros::setting]
 #[derive(Eq)]
 pub struct UsedKey {
-    /// Its text.
+    /// Text of the key.
     pub id: CompactString,
-    /// Digest of its request.
+    /// Digest of the request that used it.
     pub digest: Digest,
-    /// Its request.
+    /// Id of that request.
     pub request: RequestId,
-    /// Answer; none if it may have run without one.
+    /// Answer; none if the request may have run without one.
     pub answer: Option<Answer>,
 }
 
-/// A key space on its way to a successor.
+/// Message that hands a key space over to a successor.
 #[proc_macros::setting]
 #[derive(Eq)]
 pub struct HandOver {
-    /// The successor; any other must not take it.
+    /// The successor; no other daemon may accept it.
     pub to: Incarnation,
     /// Incarnation that issued the keys.
     pub issuer: Incarnation,
-    /// What the tags were made with.
+    /// Secret that the tags of the keys are computed with.
     pub secret: u64,
-    /// Keys below this count are dead.
+    /// Keys with a lower count are expired.
     pub floor: u64,
-    /// Count of the next key, which was never issued.
+    /// Count of the next key to issue.
     pub next: u64,
-    /// Used keys.
+    /// Used keys that are still remembered.
     pub used: Vec<UsedKey>,
 }
 
 /// Keys of one issuer.
 #[derive(Debug)]
-pub(crate) struct Space {
+pub(crate) struct KeySpace {
     issuer: Incarnation,
     secret: u64,
     floor: u64,
@@ -63,21 +64,21 @@
     used: Table<AnyClaim>,
 }
 
-/// What a key is in its space.
+/// Result of looking a key up in its space.
 #[derive(Debug)]
-pub(crate) enum Found<'a> {
-    /// Not a key of this space, or not this customer's.
-    Bad,
-    /// So old that its use may be forgotten.
-    Dead,
-    /// Never used.
+pub(crate) enum Lookup<'a> {
+    /// Not issued in this space, or not to this customer.
+    Invalid,
+    /// So old that its use may have been forgotten.
+    Expired,
+    /// Issued and not used yet.
     Unused,
-    /// Used.
+    /// Used by the request of this claim.
     Used(&'a AnyClaim),
 }
 
-impl Space {
-    /// Space of an incarnation that has issued nothing.
+impl KeySpace {
+    /// Empty key space of an issuer.
     pub fn new(issuer: Incarnation, secret: u64) -> Self {
         Self {
             issuer,
@@ -88,18 +89,22 @@
         }
     }
 
-    /// Space that was handed over.
-    pub fn taken(over: HandOver, until: Instant) -> Self {
+    /// Key space from a hand-over.
+    pub fn from_hand_over(hand_over: HandOver, forget_at: Instant) -> Self {
         Self {
-            issuer: over.issuer,
-            secret: over.secret,
-            floor: over.floor,
-            next: over.next,
-            used: over.used.into_iter().map(|key| ended(key, until)).collect(),
+            issuer: hand_over.issuer,
+            secret: hand_over.secret,
+            floor: hand_over.floor,
+            next: hand_over.next,
+            used: hand_over
+                .used
+                .into_iter()
+                .map(|key| ended_claim(key, forget_at))
+                .collect(),
         }
     }
 
-    /// Issuer of its keys.
+    /// Incarnation that issued the keys.
     pub fn issuer(&self) -> Incarnation {
         self.issuer
     }
@@ -115,39 +120,40 @@
         }
     }
 
-    /// What a key is here.
-    pub fn find(&self, customer: &str, id: &ClaimId, count: u64, tag: u64) -> Found<'_> {
+    /// Looks a key up.
+    pub fn lookup(&self, customer: &str, id: &ClaimId, count: u64, tag: u64) -> Lookup<'_> {
         if count >= self.next || tag != self.tag(customer, count) {
-            return Found::Bad;
+            return Lookup::Invalid;
         }
         if count < self.floor {
-            return Found::Dead;
+            return Lookup::Expired;
         }
-        self.used.get(id).map_or(Found::Unused, Found::Used)
+        self.used.get(id).map_or(Lookup::Unused, Lookup::Used)
     }
 
-    /// Uses a key that was never used.
-    pub fn dispatch(&mut self, id: ClaimId, ask: &Ask, sequence: Sequence) -> Permit {
-        let (claim, permit) = Claim::unused(id, ask, sequence);
+    /// Uses an unused key for a request.
+    pub fn use_key(&mut self, id: ClaimId, request: &KeyedRequest, sequence: Sequence) -> Permit {
+        let (claim, permit) = Claim::for_issued(id, request, sequence);
         self.used.insert(AnyClaim::Running(claim));
-        while self.used.len() > MOST_USED {
-            self.forget_oldest();
+        while self.used.len() > MAX_USED_KEYS {
+            self.evict_oldest();
         }
         permit
     }
 
-    /// Takes the end of a request.
-    pub fn end(&mut self, permit: &Permit, end: End, until: Instant) {
+    /// Records the result of a request.
+    pub fn record_result(&mut self, permit: &Permit, result: RunResult, forget_at: Instant) {
         let Some(AnyClaim::Running(claim)) = self.used.remove(permit.id()) else {
             return;
         };
-        // One that provably did not leave is unused as before.
-        if end != End::Unsent {
-            self.used.insert(claim.end(end, until));
+        // The key of a request that provably was not sent is unused again.
+        if result != RunResult::Unsent {
+            self.used.insert(claim.finish(result, forget_at));
         }
     }
 
-    /// The space for a successor; what still runs is of unknown outcome to it.
+    /// Hands the space over to a successor, for which requests that still run have an
+    /// unknown outcome.
     pub fn hand_over(self, to: Incarnation) -> HandOver {
         HandOver {
             to,
@@ -155,29 +161,31 @@
             secret: self.secret,
             floor: self.floor,
             next: self.next,
-            used: self.used.iter().map(used).collect(),
+            used: self.used.iter().map(used_key).collect(),
         }
     }
 
-    fn forget_oldest(&mut self) {
+    /// Forgets the oldest used key, after which all keys up to it are expired.
+    fn evict_oldest(&mut self) {
         let oldest = self.used.iter().next().map(|claim| claim.id().clone());
         let Some(id) = oldest else {
             return;
         };
-        if let Some(Key::Issued { count, .. }) = Key::read(&id) {
+        if let Some(Key::Issued { count, .. }) = Key::parse(&id) {
             self.floor = count + 1;
         }
         self.used.remove(&id);
     }
 
-    /// Keeps customers from using, or reading the answer of, one another's keys.
+    /// Tag that ties a key to its customer, so that customers can neither use one
+    /// another's keys nor read their answers.
     fn tag(&self, customer: &str, count: u64) -> u64 {
         let seed = self.secret ^ count.wrapping_mul(0x9e37_79b9_7f4a_7c15);
         xxh3_64_with_seed(customer.as_bytes(), seed)
     }
 }
 
-fn used(claim: &AnyClaim) -> UsedKey {
+fn used_key(claim: &AnyClaim) -> UsedKey {
     let answer = match claim {
         AnyClaim::Ended(claim) => claim.state.answer.clone(),
         _ => None,
@@ -191,11 +199,11 @@
         id: claim.id().clone(),
         digest: claim.digest(),
         request,
-        answer: answer.filter(|answer| answer.body.len() <= MOST_BODY),
+        answer: answer.filter(|answer| answer.body.len() <= MAX_STORED_BODY),
     }
 }
 
-fn ended(key: UsedKey, until: Instant) -> AnyClaim {
+fn ended_claim(key: UsedKey, forget_at: Instant) -> AnyClaim {
     AnyClaim::Ended(Claim {
         id: key.id,
         sequence: 0,
@@ -204,7 +212,7 @@
         state: Ended {
             answer: key.answer,
             revision: 0,
-            until,
+            forget_at,
         },
     })
 }
