--- a/daemon/src/relay/caller.rs
+++ b/daemon/src/relay/caller.rs
@@ -14,8 +14,8 @@
 use tokio::net::tcp::{ReadHalf, WriteHalf};
 use tokio::time::{Instant, timeout_at};
 
-use super::serve::{After, SOON, serve};
-use super::state::{Active, State};
+use super::serve::{Connection, RETRY_SOON, serve};
+use super::state::{ActiveRequest, State};
 use super::wire::fill;
 
 /// Limit for bytes that are read ahead from a connection while a request is served.
@@ -39,10 +39,10 @@
         }
         // A request counts from its first byte, so a daemon that shuts down also waits for one
         // that is still being read.
-        let _active = Active::new(&state);
+        let _active = ActiveRequest::new(&state);
         match serve_next(&state, &mut read, &mut write, &mut buffer).await {
-            Some(After::Keep) => {}
-            Some(After::Close) => return close(read, write).await,
+            Some(Connection::KeepAlive) => {}
+            Some(Connection::Close) => return close(read, write).await,
             None => return,
         }
     }
@@ -58,7 +58,7 @@
 ) -> bool {
     while buffer.is_empty() {
         let limit = limits(state).idle_timeout;
-        let until = state.life().idle_deadline(idle_since.into_std(), limit);
+        let until = state.phase().idle_deadline(idle_since.into_std(), limit);
         tokio::select! {
             biased;
             more = timeout_at(until.into(), fill(read, buffer)) => match more {
@@ -66,7 +66,7 @@
                 _ => return false,
             },
             // The deadline is earlier once the daemon shuts down.
-            () = state.turned() => {}
+            () = state.phase_changed() => {}
         }
     }
     true
@@ -78,7 +78,7 @@
     read: &mut ReadHalf<'_>,
     write: &mut WriteHalf<'_>,
     buffer: &mut BytesMut,
-) -> Option<After> {
+) -> Option<Connection> {
     let limits = limits(state);
     let request = match read_head(state, read, buffer, &limits).await? {
         Ok(request) => request,
@@ -101,7 +101,7 @@
     let body = tokio::select! {
         biased;
         body = read_body(read, buffer, request.framing, &limits) => body?,
-        () = state.closing() => Err(Code::Draining),
+        () = state.until_closing() => Err(Code::Draining),
     };
     let body = match body {
         Ok(body) => body,
@@ -144,16 +144,16 @@
             Err(HeadError::TooLarge) => return Some(Err(Code::LargeHead)),
             Err(HeadError::Malformed | HeadError::Framing) => return Some(Err(Code::BadBody)),
         }
-        let until = state.life().read_deadline(slow.into_std());
+        let until = state.phase().read_deadline(slow.into_std());
         tokio::select! {
             biased;
             more = timeout_at(until.into(), fill(read, buffer)) => match more {
                 Ok(Ok(len)) if len > 0 => {}
                 Ok(_) => return None,
-                Err(_) if state.life().is_closing() => return Some(Err(Code::Draining)),
+                Err(_) if state.phase().is_closing() => return Some(Err(Code::Draining)),
                 Err(_) => return Some(Err(Code::SlowBody)),
             },
-            () = state.turned() => {}
+            () = state.phase_changed() => {}
         }
     }
 }
@@ -210,13 +210,13 @@
 
 /// Rejects a request that is invalid or not read to its end, and has the connection closed, as
 /// the start of the next request on it is not known.
-async fn reject(write: &mut WriteHalf<'_>, code: Code, id: Option<&str>) -> After {
-    let again = (code == Code::Draining).then_some(SOON);
+async fn reject(write: &mut WriteHalf<'_>, code: Code, id: Option<&str>) -> Connection {
+    let again = (code == Code::Draining).then_some(RETRY_SOON);
     let out = refusal(code, Ran::No, id, again, false);
     if let Err(error) = write.write_all(&out).await {
         log::debug!("caller: sending a rejection failed, {error}.");
     }
-    After::Close
+    Connection::Close
 }
 
 /// Closes a connection cleanly: shuts down its writing side, then reads on for
--- a/daemon/src/relay/peers.rs
+++ b/daemon/src/relay/peers.rs
@@ -56,7 +56,7 @@
         state.peers.borrow_mut().expire(now);
         share_limits(&state, now);
         let remote_every = state.peers.borrow().remote_every();
-        urgent |= !state.left.borrow().is_empty();
+        urgent |= !state.left_endpoints.borrow().is_empty();
         send_digest(&state, &socket, schedule.next(remote_every, urgent, now));
         if remote_every > 1 && state.peers.borrow().is_watcher(now) {
             send_zone_summary(&state, &socket, now);
@@ -64,7 +64,7 @@
         let period = state.peers.borrow().local_period();
         tokio::select! {
             () = tokio::time::sleep(period) => urgent = false,
-            () = state.news.notified() => urgent = true,
+            () = state.digest_due.notified() => urgent = true,
         }
     }
 }
@@ -94,7 +94,7 @@
 fn send_digest(state: &State, socket: &UdpSocket, due: DueDigests) {
     let now = Instant::now();
     let sequence = state.next_digest();
-    let left = std::mem::take(&mut *state.left.borrow_mut());
+    let left = std::mem::take(&mut *state.left_endpoints.borrow_mut());
     let peers = state.peers.borrow();
     if let Some(full) = due.remote {
         let bytes = build_digest(state, sequence, full, &left, now).encode_to_vec();
@@ -104,7 +104,7 @@
     let mut digest = build_digest(state, sequence, due.local, &left, now);
     if peers.is_watcher(now) {
         let checksum = state.endpoints.borrow().checksum();
-        let feed = state.follow.borrow().feed(checksum, now);
+        let feed = state.store_progress.borrow().feed(checksum, now);
         digest.news = feed.map(change_feed::encode);
     }
     let bytes = digest.encode_to_vec();
@@ -184,7 +184,7 @@
     let busy = table.rows().iter().filter(|row| !row.in_flight.is_empty());
     let endpoints = busy.map(|row| encode_load((row.hash, row.local_load())));
     let usage = state.usage.borrow();
-    let current = state.window_at(now);
+    let current = state.usage_window(now);
     let windows = usage.mine();
     let windows = windows.filter(|(number, _)| full || number + 1 == current);
     let windows = windows.map(|(number, counts)| digest::Window {
@@ -214,7 +214,7 @@
         memory: location.memory_mb,
         news: None,
         zone_use: None,
-        wall_ms: State::wall(),
+        wall_ms: State::wall_ms(),
         catalog: state
             .catalog
             .borrow()
@@ -244,7 +244,7 @@
             .map(|row| encode_limit(row, now))
             .collect(),
         contact: state
-            .contact
+            .connectivity
             .get()
             .span()
             .map(|span| encode_contact(span, now)),
@@ -295,7 +295,7 @@
 /// Ends the grace of doubtful endpoints, or shortens it, if another daemon could reach the store
 /// while this one could not.
 fn end_doubt(state: &State, name: &str, span: ReachableSpan, now: Instant) {
-    let Some(since) = state.contact.get().available_since(span) else {
+    let Some(since) = state.connectivity.get().available_since(span) else {
         return;
     };
     let available = now.saturating_duration_since(since);
@@ -499,12 +499,12 @@
                 order.service,
                 order.target
             );
-            state.news.notify_one();
+            state.digest_due.notify_one();
         }
     }
     let mut usage = state.usage.borrow_mut();
     if let Some(record) = digest.fixed {
-        merge_finalized(&mut usage, record, state.window_at(now), &name);
+        merge_finalized(&mut usage, record, state.usage_window(now), &name);
     }
     for window in digest.windows {
         let row = |count: digest::Count| (CompactString::from(count.team), count.runs);
--- a/daemon/src/relay/run.rs
+++ b/daemon/src/relay/run.rs
@@ -115,8 +115,8 @@
     /// Applies settings that were read again: hosts of other daemons are added. Addresses, zone
     /// and bounds of the start stay in force until the next start.
     fn reload(&self, settings: &RelaySettings) {
-        self.state.learn(settings);
-        if *settings != self.state.settings && !self.state.differs.replace(true) {
+        self.state.add_seeds(settings);
+        if *settings != self.state.settings && !self.state.settings_changed.replace(true) {
             log::info!(
                 "daemon: the settings changed; apart from new hosts they apply after a restart."
             );
@@ -128,12 +128,12 @@
     pub async fn stop(&self) {
         let state = &self.state;
         let draining = Draining::begin(Instant::now(), state.settings.bounds.grace);
-        state.turn(Phase::Draining(draining));
+        state.set_phase(Phase::Draining(draining));
         let active = state.active.get();
         log::info!("daemon: shutting down with {active} requests in progress.");
         until_closable(state, &draining).await;
         let closing = draining.close(Instant::now());
-        state.turn(Phase::Closing(closing));
+        state.set_phase(Phase::Closing(closing));
         let active = state.active.get();
         log::info!(
             "daemon: closing with {active} requests in progress; new requests are rejected."
@@ -206,8 +206,8 @@
 
 /// Waits until the connections are accepted that were queued when the daemon began to close.
 async fn accept_end(state: &State) {
-    state.closing().await;
-    if let Phase::Closing(closing) = state.life() {
+    state.until_closing().await;
+    if let Phase::Closing(closing) = state.phase() {
         tokio::time::sleep_until(closing.accept_until.into()).await;
     }
 }
@@ -221,7 +221,7 @@
         state.quota.borrow_mut().expire(now);
         state.demand.borrow_mut().expire(now);
         state.crashes.borrow_mut().expire(now);
-        let current = state.window_at(now);
+        let current = state.usage_window(now);
         state.usage.borrow_mut().expire(current);
         for id in state.endpoints.borrow_mut().expire(now) {
             log::info!("board: endpoint {id} did not register again and is dropped.");
--- a/daemon/src/relay/watch.rs
+++ b/daemon/src/relay/watch.rs
@@ -67,17 +67,17 @@
     let mut failing = false;
     loop {
         let began = Instant::now();
-        let revision = state.follow.borrow_mut().begin_read();
+        let revision = state.store_progress.borrow_mut().begin_read();
         let result = match revision {
             None => read_all(&state, &mut client).await,
             Some(after) => watch_once(&state, &mut client, after).await,
         };
-        state.follow.borrow_mut().end_read();
+        state.store_progress.borrow_mut().end_read();
         match result {
             Ok(()) => {
                 let now = Instant::now();
                 if failing {
-                    let outage = state.contact.get().since_answer(now);
+                    let outage = state.connectivity.get().since_answer(now);
                     log::info!("store: available again after {outage:?}.");
                     failing = false;
                 }
@@ -94,20 +94,20 @@
                 }
                 if matches!(error, WatchError::Store(StoreError::Compacted)) {
                     log::info!("store: its history was compacted; reading everything again.");
-                    state.follow.borrow_mut().invalidate();
+                    state.store_progress.borrow_mut().invalidate();
                     continue;
                 }
                 if matches!(error, WatchError::Store(StoreError::Returned)) {
                     log::info!("store: restored from an older copy; reading everything again.");
-                    state.follow.borrow_mut().invalidate();
+                    state.store_progress.borrow_mut().invalidate();
                     state.crashes.borrow_mut().mark_unsaved();
                     state.quarantined.notify_one();
                     continue;
                 }
                 // After an outage the whole list is read again, as a removal may have been missed.
                 state.store_failed(began);
-                if !state.contact.get().is_reachable() {
-                    state.follow.borrow_mut().invalidate();
+                if !state.connectivity.get().is_reachable() {
+                    state.store_progress.borrow_mut().invalidate();
                 }
                 tokio::time::sleep(delay).await;
                 delay = (delay * 2).min(MAX_RETRY_DELAY);
@@ -131,7 +131,7 @@
 async fn wait_until_due(state: &State, due: Instant) {
     loop {
         let now = Instant::now();
-        let fed = state.follow.borrow().fed_until(now);
+        let fed = state.store_progress.borrow().fed_until(now);
         let fed = fed.filter(|_| !state.peers.borrow().is_watcher(now));
         let until = fed.map_or(due, |fed| fed.max(due));
         if now >= until {
@@ -139,7 +139,7 @@
         }
         tokio::select! {
             () = tokio::time::sleep_until(until.into()) => {}
-            () = state.look.notified() => return,
+            () = state.read_store.notified() => return,
         }
     }
 }
@@ -178,7 +178,7 @@
     let listings = items.iter().filter_map(read_entry).collect();
     let changes = {
         let mut table = state.endpoints.borrow_mut();
-        let contact = state.contact.get();
+        let contact = state.connectivity.get();
         if state.listed.get() && !contact.is_reachable() {
             table.registry_back(now);
         } else if state.listed.get() && restored {
@@ -193,7 +193,10 @@
         announce(state, &id, change);
     }
     state.listed.set(true);
-    state.follow.borrow_mut().record_snapshot(revision, now);
+    state
+        .store_progress
+        .borrow_mut()
+        .record_snapshot(revision, now);
     Ok(())
 }
 
@@ -224,7 +227,7 @@
     for change in &watched.changes {
         apply_change(state, change);
     }
-    let mut follow = state.follow.borrow_mut();
+    let mut follow = state.store_progress.borrow_mut();
     follow.record_watch(watched.revision, Instant::now());
     Ok(())
 }
@@ -234,14 +237,14 @@
     match change {
         Change::Put(item) if item.key.starts_with(OPERATORS) => {
             state
-                .follow
+                .store_progress
                 .borrow_mut()
                 .record_config_change(item.revision);
             apply_config_item(state, item);
         }
         Change::Put(item) if item.key.starts_with(STATUS) => {
             state
-                .follow
+                .store_progress
                 .borrow_mut()
                 .record_config_change(item.revision);
             apply_status(state, item);
@@ -254,13 +257,16 @@
         }
         Change::Put(item) if item.key == LEADER => {
             state
-                .follow
+                .store_progress
                 .borrow_mut()
                 .record_config_change(item.revision);
             set_duty_holder(state, Some(item));
         }
         Change::Gone(key, revision) if key == LEADER => {
-            state.follow.borrow_mut().record_config_change(*revision);
+            state
+                .store_progress
+                .borrow_mut()
+                .record_config_change(*revision);
             set_duty_holder(state, None);
         }
         Change::Gone(key, revision) => {
@@ -282,7 +288,7 @@
         RegistryChange::Removed(_) => true,
     };
     if is_change {
-        let mut follow = state.follow.borrow_mut();
+        let mut follow = state.store_progress.borrow_mut();
         follow.record_change(revision, change.clone(), now);
     }
     let (id, effect) = apply(state, change, now);
@@ -308,10 +314,10 @@
     }
     let (answered, checksum) = (now.checked_sub(feed.age), feed.checksum);
     let timeout = state.peers.borrow().local_timeout();
-    let action = state.follow.borrow_mut().merge(feed, timeout, now);
+    let action = state.store_progress.borrow_mut().merge(feed, timeout, now);
     let changes = match action {
         FeedAction::Apply(changes) => changes,
-        FeedAction::Read => return state.look.notify_one(),
+        FeedAction::Read => return state.read_store.notify_one(),
         FeedAction::Ignore => return,
     };
     if let Some(answered) = answered {
@@ -322,9 +328,9 @@
         log_change(state, &id, effect);
     }
     let own = state.endpoints.borrow().checksum();
-    if !state.follow.borrow_mut().compare(checksum, own) {
+    if !state.store_progress.borrow_mut().compare(checksum, own) {
         log::warn!("store: endpoints differ from the change feed; reading everything again.");
-        state.look.notify_one();
+        state.read_store.notify_one();
     }
 }
 
@@ -349,7 +355,7 @@
             return;
         }
     };
-    let now = state.true_ms();
+    let now = state.unix_ms();
     let limit_ms = u64::try_from(limit.as_millis()).unwrap_or(u64::MAX);
     let finish = now.saturating_add(limit_ms);
     let order = Order {
@@ -380,15 +386,15 @@
 /// Records which daemon holds the duties.
 fn set_duty_holder(state: &State, item: Option<&Item>) {
     let name = item.map(|item| String::from_utf8_lossy(&item.value).into());
-    *state.leader.borrow_mut() = name;
+    *state.duty_holder.borrow_mut() = name;
 }
 
 /// Logs a change; if an endpoint leaves, has that sent to the other daemons at once.
 fn announce(state: &State, id: &str, change: Changed) {
     log_change(state, id, change);
     if change == Changed::Left {
-        state.left.borrow_mut().push(name_hash(id));
-        state.news.notify_one();
+        state.left_endpoints.borrow_mut().push(name_hash(id));
+        state.digest_due.notify_one();
     }
 }
 
--- a/lib/src/relay/endpoint_table.rs
+++ b/lib/src/relay/endpoint_table.rs
@@ -99,8 +99,8 @@
     pub remote_load: Load,
     /// Learned speed.
     pub speed: EngineSpeed,
-    /// Evidence of failures.
-    pub evidence: CircuitBreaker,
+    /// Circuit breaker, by the results of its requests.
+    pub breaker: CircuitBreaker,
     /// Prompt prefixes that it probably has in its KV cache.
     pub cache: PrefixCache,
     /// Until when it counts as full, after it reported to be so.
@@ -609,7 +609,7 @@
             in_flight: Vec::new(),
             remote_load: reported_load(reports, hash),
             speed: EngineSpeed::default(),
-            evidence: CircuitBreaker::default(),
+            breaker: CircuitBreaker::default(),
             cache: PrefixCache::default(),
             full_until: None,
             limit: None,
@@ -618,7 +618,7 @@
 
     /// Whether it may get requests, whatever its load.
     pub fn is_usable(&self, now: Instant) -> bool {
-        self.state.is_in_use(now) && self.evidence.allows_request(now)
+        self.state.is_in_use(now) && self.breaker.allows_request(now)
     }
 
     /// Requests in progress, from all daemons.
@@ -650,7 +650,7 @@
 
     /// Records a request that is sent.
     pub fn add_request(&mut self, request: InFlight) {
-        self.evidence.record_sent();
+        self.breaker.record_sent();
         if let Some(limit) = &mut self.limit {
             limit.take(request.sent);
         }
