--- a/daemon/src/relay/watch.rs
+++ b/daemon/src/relay/watch.rs
@@ -227,8 +227,8 @@
     for change in &watched.changes {
         apply_change(state, change);
     }
-    let mut follow = state.store_progress.borrow_mut();
-    follow.record_watch(watched.revision, Instant::now());
+    let mut progress = state.store_progress.borrow_mut();
+    progress.record_watch(watched.revision, Instant::now());
     Ok(())
 }
 
@@ -288,8 +288,8 @@
         RegistryChange::Removed(_) => true,
     };
     if is_change {
-        let mut follow = state.store_progress.borrow_mut();
-        follow.record_change(revision, change.clone(), now);
+        let mut progress = state.store_progress.borrow_mut();
+        progress.record_change(revision, change.clone(), now);
     }
     let (id, effect) = apply(state, change, now);
     announce(state, &id, effect);
--- a/daemon/tests/relay_site.rs
+++ b/daemon/tests/relay_site.rs
@@ -1,4 +1,4 @@
-//! A relaying daemon among stand-ins of its platform.
+//! Daemons that run in the process of a test, with stand-ins for their platform.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
@@ -9,12 +9,12 @@
 use poplarvaled::Relay;
 use serde_json::{Value, json};
 
-/// Daemons of a [`Zone`].
+/// Number of daemons in a [`Zone`].
 pub(crate) const DAEMONS: u8 = 6;
-/// How long a daemon may take until it is ready.
-const SOON: Duration = Duration::from_secs(5);
+/// Longest time until a daemon is ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Routes of all kinds.
+/// One route of each kind.
 pub(crate) const ROUTES: [Route; 4] = [
     Route {
         prefix: "/safe/",
@@ -42,7 +42,7 @@
     },
 ];
 
-/// A daemon and what it talks to.
+/// A daemon with its store and the stand-in of the platform.
 pub(crate) struct Site {
     pub(crate) store: Store,
     pub(crate) cloud: Cloud,
@@ -50,25 +50,25 @@
 }
 
 impl Site {
-    /// Starts a daemon with these endpoints of service `app` and waits until it is
+    /// Starts a daemon whose registry holds these endpoints of service `app`, and waits until it is
     /// ready.
     pub(crate) async fn start(endpoints: &[&Endpoint]) -> Self {
         Self::with_grace(store_with(endpoints).await, 3).await
     }
 
-    /// The same, and nothing is written to the store but by the test.
+    /// Like [`Site::start`], but without duties, so that only the test writes to the store.
     pub(crate) async fn without_duties(endpoints: &[&Endpoint]) -> Self {
         Self::without_duties_on(store_with(endpoints).await).await
     }
 
-    /// The same on a store.
+    /// Like [`Site::without_duties`], on a given store.
     pub(crate) async fn without_duties_on(store: Store) -> Self {
         let cloud = Cloud::start().await;
         let text = settings(store.address, cloud.address);
         Self::with_settings(store, cloud, &text.replace("[\"usage\"]", "[]")).await
     }
 
-    /// Starts a daemon on a store, with this many seconds from SIGTERM to SIGKILL, and
+    /// Starts a daemon on a store, with a grace period in seconds from SIGTERM to SIGKILL, and
     /// waits until it is ready.
     pub(crate) async fn with_grace(store: Store, grace: u32) -> Self {
         let cloud = Cloud::start().await;
@@ -77,14 +77,14 @@
         Self::with_settings(store, cloud, &text.replace("\"graceS\":3", &grace)).await
     }
 
-    /// Starts a daemon by these settings and waits until it is ready.
+    /// Starts a daemon with these settings and waits until it is ready.
     pub(crate) async fn with_settings(store: Store, cloud: Cloud, text: &str) -> Self {
-        let settings = read_settings(text).expect("they are good");
+        let settings = read_settings(text).expect("the settings are valid");
         let relay = Relay::start(settings).await;
         let site = Self {
             store,
             cloud,
-            relay: relay.expect("it listens"),
+            relay: relay.expect("the daemon starts"),
         };
         site.until_ready().await;
         site
@@ -100,42 +100,43 @@
     }
 }
 
-/// Daemons of one zone, each behind a proxy of its own to the store.
+/// Several daemons of one zone. Each reaches the store through a proxy of its own.
 pub(crate) struct Zone {
     pub(crate) store: Store,
     pub(crate) daemons: Vec<(Proxy, Relay)>,
 }
 
 impl Zone {
-    /// Starts them without duties and waits until all know one another. Those on the
-    /// lowest addresses are the watchers.
+    /// Starts the daemons without duties and waits until all know each other. Those on the lowest
+    /// addresses are the watchers.
     pub(crate) async fn start(number: usize, store: Store) -> Self {
         let zone = Self::start_with(number, store, &[]).await;
         tokio::time::sleep(Duration::from_secs(3)).await;
         zone
     }
 
-    /// Starts them on addresses that no other zone of the same number has.
+    /// Starts the daemons with these duties on addresses `127.0.NUMBER.1` and up, so that zones
+    /// with different numbers do not collide.
     pub(crate) async fn start_with(number: usize, store: Store, duties: &[&str]) -> Self {
         let ip = |host: u8| format!("127.0.{number}.{host}");
-        let free = UdpSocket::bind((ip(1).as_str(), 0)).expect("a free port");
-        let port = free.local_addr().expect("it is bound").port();
+        let free = UdpSocket::bind((ip(1).as_str(), 0)).expect("a port is free");
+        let port = free.local_addr().expect("the socket is bound").port();
         drop(free);
         let seeds: Vec<String> = (1..=3).map(|host| format!("{}:1", ip(host))).collect();
         let daemons = (1..=DAEMONS).map(|host| {
-            let (ip, seeds, to) = (ip(host), seeds.clone(), store.address);
+            let (ip, seeds, store) = (ip(host), seeds.clone(), store.address);
             async move {
-                let proxy = Proxy::start(to).await;
+                let proxy = Proxy::start(store).await;
                 let text = settings(proxy.address, Cloud::start().await.address);
-                let mut file: Value = serde_json::from_str(&text).expect("it is JSON");
+                let mut file: Value = serde_json::from_str(&text).expect("the settings are JSON");
                 file["cloud"]["duties"] = json!(duties);
                 file["node"] = json!(format!("front-{ip}"));
                 file["ip"] = json!(ip);
                 file["internalPorts"] = json!([port, port]);
                 file["seeds"] = json!(seeds);
-                let site = read_settings(&file.to_string()).expect("they are good");
-                let relay = Relay::start(site).await.expect("it listens");
-                until(SOON, async || is_ready(relay.ready()).await).await;
+                let settings = read_settings(&file.to_string()).expect("the settings are valid");
+                let relay = Relay::start(settings).await.expect("the daemon starts");
+                until(READY_TIMEOUT, async || is_ready(relay.ready()).await).await;
                 (proxy, relay)
             }
         });
@@ -144,7 +145,7 @@
     }
 }
 
-/// A store with a configuration and these endpoints of service `app`.
+/// Starts a store with a configuration and these endpoints of service `app`.
 pub(crate) async fn store_with(endpoints: &[&Endpoint]) -> Store {
     let store = Store::start().await;
     store.put("op/config", config(1, &ROUTES, 0).as_bytes());
@@ -155,16 +156,20 @@
     store
 }
 
+/// Whether the readiness check at an address succeeds.
 pub(crate) async fn is_ready(ready: SocketAddr) -> bool {
     let answer = poplarvale_standin::ask(ready, PROBE).await;
     answer.is_ok_and(|answer| answer.status == 200)
 }
 
-/// Waits until something holds.
+/// Waits until a condition holds.
 pub(crate) async fn until(limit: Duration, mut holds: impl AsyncFnMut() -> bool) {
     let end = Instant::now() + limit;
     while !holds().await {
-        assert!(Instant::now() < end, "it does not hold after {limit:?}");
+        assert!(
+            Instant::now() < end,
+            "the condition does not hold after {limit:?}"
+        );
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
--- a/daemon/tests/test_relay_era.rs
+++ b/daemon/tests/test_relay_era.rs
@@ -1,4 +1,5 @@
-//! A store that comes back from an older copy.
+//! A store that is restored from an older copy: values written after the copy are lost, leases
+//! included, and revisions are assigned again.
 
 use std::net::UdpSocket;
 use std::time::{Duration, Instant};
@@ -11,36 +12,38 @@
 use crate::relay_site::{ROUTES, Site, Zone, store_with, until};
 
 const SOON: Duration = Duration::from_secs(10);
-/// How long after the store's word an endpoint that left may still get requests.
-const LEAVING: Duration = Duration::from_secs(2);
+/// How long after its entry was removed an endpoint may still get requests.
+const LEAVE_TIME: Duration = Duration::from_secs(2);
 /// Time between two requests.
-const PAUSE: Duration = Duration::from_millis(10);
+const REQUEST_PAUSE: Duration = Duration::from_millis(10);
 
 async fn endpoint(id: &str) -> Endpoint {
     Endpoint::start(id, |seen| vec![plain(seen, 200, "done")]).await
 }
 
-/// Asks a daemon for a while; gives the statuses other than 200.
-async fn ask_for(address: std::net::SocketAddr, span: Duration) -> Vec<u16> {
+/// Sends requests to a daemon for a while; returns the statuses other than 200.
+async fn send_requests(address: std::net::SocketAddr, span: Duration) -> Vec<u16> {
     let end = Instant::now() + span;
     let mut bad = Vec::new();
     while Instant::now() < end {
         let answer = ask(address, &request("GET", "/safe/a", "r1", "")).await;
         bad.extend(answer.map_or(Some(0), |answer| Some(answer.status)));
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(REQUEST_PAUSE).await;
     }
     bad.retain(|status| *status != 200);
     bad
 }
 
-fn fences(cloud: &Cloud) -> Vec<u64> {
+/// Fencing tokens of all reports, in the order of their arrival.
+fn fencing_tokens(cloud: &Cloud) -> Vec<u64> {
     cloud.seen().iter().filter_map(Seen::fence).collect()
 }
 
-/// Revisions are given out again, and the token by which the platform tells holders of the
-/// duties apart falls, or is used twice.
+/// After a restore the store assigns the same revisions again. A fencing token that comes from the
+/// revision alone would fall or be used twice, and the platform could not tell a former duty
+/// holder from the current one.
 #[actix_web::test]
-async fn fences_rise_across_the_return_of_an_older_copy() {
+async fn fencing_tokens_rise_across_a_restore() {
     let one = endpoint("i-1").await;
     let store = store_with(&[&one]).await;
     store.save();
@@ -49,17 +52,21 @@
     }
     let site = Site::with_grace(store, 3).await;
     until(SOON, async || site.cloud.seen().len() >= 2).await;
-    let before = fences(&site.cloud);
+    let before = fencing_tokens(&site.cloud);
     site.store.come_back();
-    until(SOON, async || fences(&site.cloud).len() >= before.len() + 3).await;
-    let all = fences(&site.cloud);
+    until(SOON, async || {
+        fencing_tokens(&site.cloud).len() >= before.len() + 3
+    })
+    .await;
+    let all = fencing_tokens(&site.cloud);
     assert!(all.is_sorted(), "{all:?}");
     assert!(all[before.len() - 1] < all[all.len() - 1], "{all:?}");
 }
 
-/// A holder of the duties goes on by a lease that went with the copy, beside the next one.
+/// The lease of the duty holder is lost with the restore, but the holder still relies on it. If
+/// another daemon took the duties at once, both would act at the same time.
 #[actix_web::test]
-async fn a_holder_of_a_lease_that_is_gone_acts_no_more() {
+async fn duties_are_not_taken_before_a_lost_lease_expires() {
     let one = endpoint("i-1").await;
     let store = store_with(&[&one]).await;
     store.save();
@@ -69,7 +76,7 @@
     zone.store.come_back();
     let lost = Instant::now();
     until(SOON, async || leader().is_some()).await;
-    // The lease of the former holder lasts a second by its own reckoning.
+    // By the clock of the former holder its lease lasts one second.
     assert!(
         lost.elapsed() >= Duration::from_millis(900),
         "{:?}",
@@ -77,19 +84,19 @@
     );
 }
 
-/// A window was reported, and the record of it went with the copy; what came in late since
-/// must not change the second report.
+/// A window was reported, and the record of the report is lost with the restore. Counts that
+/// another daemon sends late must not change the report of that window when it is sent again.
 #[actix_web::test]
-async fn a_window_reported_before_the_return_keeps_its_count() {
+async fn a_window_reported_before_a_restore_keeps_its_count() {
     let one = endpoint("i-1").await;
     let store = store_with(&[&one]).await;
     store.save();
     let cloud = Cloud::start().await;
-    let free = UdpSocket::bind("127.0.26.1:0").expect("a free port");
-    let peers = free.local_addr().expect("it is bound");
+    let free = UdpSocket::bind("127.0.26.1:0").expect("a port is free");
+    let peers = free.local_addr().expect("the socket is bound");
     drop(free);
     let text = settings(store.address, cloud.address);
-    let mut file: Value = serde_json::from_str(&text).expect("it is JSON");
+    let mut file: Value = serde_json::from_str(&text).expect("the text is JSON");
     file["ip"] = json!(peers.ip());
     file["internalPorts"] = json!([peers.port(), peers.port()]);
     let site = Site::with_settings(store, cloud, &file.to_string()).await;
@@ -102,10 +109,10 @@
         windows: site.cloud.seen().iter().map(late_window).collect(),
         ..Digest::default()
     };
-    let socket = UdpSocket::bind("127.0.26.2:0").expect("a free port");
+    let socket = UdpSocket::bind("127.0.26.2:0").expect("a port is free");
     socket
         .send_to(&late.encode_to_vec(), peers)
-        .expect("it is sent");
+        .expect("the digest is sent");
     let before = site.cloud.seen().len();
     until(SOON, async || site.cloud.seen().len() >= before + 3).await;
     let mut reports: Vec<(u64, String)> = site.cloud.seen().iter().map(report).collect();
@@ -121,8 +128,8 @@
 
 /// Window and counts of a usage report.
 fn report(call: &Seen) -> (u64, String) {
-    let body: Value = serde_json::from_slice(&call.body).expect("it is JSON");
-    let window = body["windowSeq"].as_u64().expect("a number");
+    let body: Value = serde_json::from_slice(&call.body).expect("the text is JSON");
+    let window = body["windowSeq"].as_u64().expect("the window is a number");
     (window, body["counts"].to_string())
 }
 
@@ -138,10 +145,11 @@
     }
 }
 
-/// The store is away for less than the pause between two watches, and by the next one its
-/// revisions have caught up: the watch goes on as if nothing had happened.
+/// The store is restored between two watches, and its revisions have caught up before the next
+/// one. A daemon that compares revisions without their era would continue the watch and miss the
+/// changes in between.
 #[actix_web::test]
-async fn what_changed_while_revisions_caught_up_is_not_missed() {
+async fn changes_before_revisions_catch_up_are_not_missed() {
     let (one, other) = (endpoint("i-1").await, endpoint("i-2").await);
     let store = store_with(&[&one]).await;
     store.save();
@@ -150,7 +158,7 @@
     }
     let site = Site::without_duties_on(store).await;
     let reached = site.store.revision();
-    // Watches are answered at once after a change; the pause follows.
+    // A watch is answered right after a change; then the daemon pauses before the next one.
     site.store.put("op/note-0", b"{}");
     tokio::time::sleep(Duration::from_millis(200)).await;
     site.store.come_back();
@@ -160,20 +168,21 @@
     while site.store.revision() <= reached + 5 {
         site.store.put("op/note-1", b"{}");
     }
-    tokio::time::sleep(LEAVING).await;
+    tokio::time::sleep(LEAVE_TIME).await;
     let before = one.seen().len();
     assert_eq!(
-        ask_for(site.address(), Duration::from_secs(1)).await,
+        send_requests(site.address(), Duration::from_secs(1)).await,
         Vec::<u16>::new()
     );
-    assert_eq!(one.seen().len(), before, "requests to what has left");
+    assert_eq!(one.seen().len(), before, "requests to the removed endpoint");
     assert!(!other.seen().is_empty());
 }
 
-/// The watchers of a zone see the return. The others compare what they are told by the old
-/// revisions, and would take nothing in for as long as these are higher.
+/// The watchers of a zone notice the restore. The other daemons get the change feed only. If they
+/// compared its revisions with those of the former era, they would ignore all changes for as long
+/// as the old revisions are higher.
 #[actix_web::test]
-async fn daemons_that_are_told_follow_into_the_new_era() {
+async fn daemons_that_rely_on_the_change_feed_follow_into_a_new_era() {
     let (one, other) = (endpoint("i-1").await, endpoint("i-2").await);
     let store = store_with(&[&one]).await;
     store.save();
@@ -188,36 +197,39 @@
     zone.store.remove("servers/i-1");
     zone.store
         .put("op/config", config(9, &ROUTES, 0).as_bytes());
-    tokio::time::sleep(LEAVING).await;
+    tokio::time::sleep(LEAVE_TIME).await;
     let before = one.seen().len();
     let last = &zone.daemons[zone.daemons.len() - 1].1;
     assert_eq!(
-        ask_for(last.callers(), Duration::from_secs(1)).await,
+        send_requests(last.callers(), Duration::from_secs(1)).await,
         Vec::<u16>::new()
     );
-    assert_eq!(one.seen().len(), before, "requests to what has left");
+    assert_eq!(one.seen().len(), before, "requests to the removed endpoint");
 }
 
-/// The copy is older than the removal of an endpoint, and names it as ready until what
-/// happened is written again.
+/// The copy is older than the removal of an endpoint and lists it as ready until the removal is
+/// written again. The endpoint must get no requests meanwhile.
 #[actix_web::test]
-async fn an_older_copy_brings_no_endpoint_back_that_left() {
+async fn an_older_copy_brings_no_removed_endpoint_back() {
     let (one, other) = (endpoint("i-1").await, endpoint("i-2").await);
     let store = store_with(&[&one, &other]).await;
     let site = Site::without_duties_on(store).await;
     site.store.save();
     site.store.remove("servers/i-1");
-    tokio::time::sleep(LEAVING).await;
+    tokio::time::sleep(LEAVE_TIME).await;
     let before = one.seen().len();
     site.store.come_back();
-    assert_eq!(ask_for(site.address(), LEAVING).await, Vec::<u16>::new());
-    assert_eq!(one.seen().len(), before, "requests to what has left");
+    assert_eq!(
+        send_requests(site.address(), LEAVE_TIME).await,
+        Vec::<u16>::new()
+    );
+    assert_eq!(one.seen().len(), before, "requests to the removed endpoint");
 }
 
-/// What was found out of a request that crashes endpoints goes with the copy; daemons that
-/// start later must learn of it all the same.
+/// The record of a quarantined request, one that crashes endpoints, is lost with the restore. It
+/// must be saved again, so that daemons that start later know it.
 #[actix_web::test]
-async fn quarantined_requests_are_kept_again_after_the_return() {
+async fn quarantined_requests_are_saved_again_after_a_restore() {
     let start = |id| {
         Endpoint::start(id, |seen| match seen.target().as_str() {
             "/stream/fatal" => vec![Step::Crash],
@@ -228,15 +240,15 @@
     let store = store_with(&[&one, &two, &three]).await;
     store.save();
     let site = Site::without_duties_on(store).await;
-    let kept = || site.store.keys("poplarvale/crashes/").len();
+    let saved = || site.store.keys("poplarvale/crashes/").len();
     for number in 0..3 {
         let text = request("GET", "/stream/fatal", &format!("r{number}"), "");
-        // The endpoint breaks it off.
+        // The endpoint crashes during the request.
         let _broken = ask(site.address(), &text).await;
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
-    until(SOON, async || kept() == 1).await;
+    until(SOON, async || saved() == 1).await;
     site.store.come_back();
-    assert_eq!(kept(), 0);
-    until(SOON, async || kept() == 1).await;
+    assert_eq!(saved(), 0);
+    until(SOON, async || saved() == 1).await;
 }
--- a/daemon/tests/test_relay_end.rs
+++ b/daemon/tests/test_relay_shutdown.rs
@@ -1,4 +1,4 @@
-//! A daemon that is told to end.
+//! Shutdown of a daemon: running requests, late requests and the last usage counts.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -14,10 +14,10 @@
 
 use crate::relay_site::{ROUTES, Site, is_ready, store_with};
 
-/// A daemon is told to end in the middle of a stream. The caller gets all of it,
-/// the balancer hears that it is not ready, and who still comes is served.
+/// A daemon is stopped during a stream. It must send all of the stream, report to the load balancer
+/// that it is not ready, and serve requests that still arrive.
 #[actix_web::test]
-async fn an_ending_daemon_cuts_nothing_off() {
+async fn a_draining_daemon_completes_its_streams() {
     let slow = Endpoint::start("i-1", |seen| {
         if seen.target().starts_with("/safe/") {
             return vec![plain(seen, 200, "done")];
@@ -34,8 +34,8 @@
     .await;
     let site = Site::start(&[&slow]).await;
     let text = request("GET", "/stream/a", "r1", "");
-    let asked = ask(site.address(), &text);
-    let told = async {
+    let running = ask(site.address(), &text);
+    let stop = async {
         tokio::time::sleep(Duration::from_millis(200)).await;
         site.relay.stop().await;
     };
@@ -47,18 +47,17 @@
         assert_eq!(answer.status, 200);
         assert!(!answer.head.keep_alive);
     };
-    let (answer, (), ()) = tokio::join!(asked, told, later);
+    let (answer, (), ()) = tokio::join!(running, stop, later);
     let answer = answer.expect("an answer");
     assert!(answer.whole);
     assert!(answer.body.contains("piece 1"));
 }
 
-/// A daemon is told to end while a long stream keeps it alive, and so many others of
-/// its zone are ending too that the balancer still sends callers to it. A stream
-/// begun then would be cut off at the end; told at once that it did not run, the
-/// caller goes elsewhere.
+/// A daemon is stopped, but a long stream delays its end. So many other daemons of its zone are
+/// stopping too that the load balancer still sends callers to it. A stream that starts then would
+/// be cut off at the end of the process. Rejected at once as not run, the caller can go elsewhere.
 #[actix_web::test]
-async fn a_request_that_comes_late_to_an_ending_daemon_is_refused_at_once() {
+async fn a_late_request_to_a_draining_daemon_is_rejected_at_once() {
     let long = Endpoint::start("i-1", |seen| {
         let pause = Step::Wait(Duration::from_millis(2600));
         let end = Step::Send("0\r\n\r\n".into());
@@ -80,7 +79,7 @@
     let site = Site::with_grace(store, 8).await;
     let text = request("GET", "/stream/a", "r1", "").replace(": 3000", ": 8000");
     let first = ask(site.address(), &text);
-    let told = async {
+    let stop = async {
         tokio::time::sleep(Duration::from_millis(200)).await;
         site.relay.stop().await;
     };
@@ -92,18 +91,20 @@
         assert!(answer.body.contains("\"ran\":\"no\""));
         assert!(answer.head.fields.text("retry-after").is_some());
     };
-    let (first, (), ()) = tokio::join!(first, told, late);
+    let (first, (), ()) = tokio::join!(first, stop, late);
     assert!(first.expect("an answer").whole);
     assert_eq!(long.seen().len(), 1);
 }
 
-/// A daemon serves until its end, and what it counted last was told to nobody: it tells
-/// the others four times a second, and all its usage windows once a second only. The team
-/// was charged for less than it used.
+/// A daemon serves until its end. It sends digests four times a second, but all its usage windows
+/// only once a second. Without a last full digest, its latest counts are lost and the team is
+/// charged for less than it used.
 #[actix_web::test]
-async fn an_ending_daemon_tells_all_that_it_counted() {
-    let other = UdpSocket::bind("127.0.3.2:0").await.expect("a free port");
-    let port = other.local_addr().expect("it is bound").port();
+async fn a_stopping_daemon_sends_all_usage_that_it_counted() {
+    let other = UdpSocket::bind("127.0.3.2:0")
+        .await
+        .expect("a port is free");
+    let port = other.local_addr().expect("the socket is bound").port();
     let one = Endpoint::start("i-1", |seen| vec![plain(seen, 200, "done")]).await;
     let (store, cloud) = (store_with(&[&one]).await, Cloud::start().await);
     let text = settings(store.address, cloud.address)
@@ -132,14 +133,16 @@
     assert_eq!(counted(&other).await, served);
 }
 
-/// Runs in all usage windows, as another daemon knows them from the digests that came.
+/// Sum of the runs in all usage windows, as another daemon knows them from the digests that it
+/// received.
 async fn counted(socket: &UdpSocket) -> u32 {
-    const SILENT: Duration = Duration::from_millis(100);
+    /// Time without a digest after which no more is expected.
+    const QUIET_TIME: Duration = Duration::from_millis(100);
     let mut bytes = vec![0; 64 * 1024];
     let mut known = BTreeMap::new();
-    while let Ok(came) = timeout(SILENT, socket.recv(&mut bytes)).await {
-        let len = came.expect("the socket is well");
-        let digest = Digest::decode(&bytes[..len]).expect("it is a digest");
+    while let Ok(received) = timeout(QUIET_TIME, socket.recv(&mut bytes)).await {
+        let len = received.expect("the socket receives");
+        let digest = Digest::decode(&bytes[..len]).expect("the datagram is a digest");
         for window in digest.windows {
             let runs = window.counts.iter().map(|count| count.runs);
             known.insert(window.number, runs.sum::<u32>());
--- a/daemon/tests/test_relay_store.rs
+++ b/daemon/tests/test_relay_store.rs
@@ -1,5 +1,5 @@
-//! The platform's store silent, refusing, forgetful or full of foreign rows, and
-//! the duties that need it.
+//! Faults of the platform's store as a daemon meets them: calls without an answer, lost answers,
+//! compacted history, paused leases and foreign rows; and the duties that depend on the store.
 
 use std::time::Duration;
 
@@ -22,10 +22,11 @@
     answer.map_or(0, |answer| answer.status)
 }
 
-/// The store swallows a watch and comes back on new connections only. An endpoint
-/// that leaves then must be noticed within the time that it still serves.
+/// The store stops answering during a watch, and afterwards answers on new connections only. If
+/// the daemon waits too long for the old watch, it goes on sending requests to an endpoint that
+/// left after the store's return.
 #[actix_web::test]
-async fn a_store_that_was_silent_is_noticed_when_it_is_back() {
+async fn a_leaving_endpoint_is_noticed_after_the_store_was_unresponsive() {
     let (one, other) = (endpoint("i-1").await, endpoint("i-2").await);
     let site = Site::start(&[&one, &other]).await;
     site.store.set(Mode::Silent);
@@ -43,32 +44,37 @@
     assert_eq!(one.seen().len(), before);
 }
 
-/// The store swallows calls for some seconds, at any moment of a daemon's tries to reach
-/// it. When it is back, a configuration that it accepts must be in force two seconds
-/// later; operators see one daemon answer by the old one for longer.
+/// The store answers no call for some seconds and returns at any point of a daemon's retries. A
+/// configuration that it accepts then must be in force two seconds later. With a too long timeout
+/// or retry delay, operators see one daemon use the old configuration for longer.
 #[actix_web::test]
-async fn a_store_that_was_silent_for_long_is_heard_two_seconds_after_its_return() {
-    const SILENT: [u64; 12] = [
+async fn a_new_configuration_is_in_force_two_seconds_after_an_outage_of_the_store() {
+    /// Durations of the outage, in milliseconds.
+    const OUTAGES_MS: [u64; 12] = [
         3000, 3300, 3600, 3900, 4200, 4500, 4800, 5100, 5400, 5700, 6000, 6300,
     ];
-    let late = join_all(SILENT.map(|silent| async move {
+    let late = join_all(OUTAGES_MS.map(|outage| async move {
         let one = endpoint("i-1").await;
         let site = Site::without_duties(&[&one]).await;
         site.store.set(Mode::Silent);
-        tokio::time::sleep(Duration::from_millis(silent)).await;
+        tokio::time::sleep(Duration::from_millis(outage)).await;
         site.store.set(Mode::Well);
         let fewer = &ROUTES[1..];
         site.store.put("op/config", config(2, fewer, 0).as_bytes());
         tokio::time::sleep(Duration::from_secs(2)).await;
         status(&site, "/safe/a").await != 404
     }));
-    assert_eq!(late.await, vec![false; SILENT.len()], "old after each");
+    assert_eq!(
+        late.await,
+        vec![false; OUTAGES_MS.len()],
+        "the old configuration, for each outage"
+    );
 }
 
-/// The store forgets its history while an endpoint leaves. The daemon reads
-/// everything anew and does not miss it.
+/// The store compacts its history while an endpoint leaves. A daemon that does not read everything
+/// again misses the removal.
 #[actix_web::test]
-async fn forgotten_history_hides_no_endpoint_that_left() {
+async fn compacted_history_hides_no_removed_endpoint() {
     let (one, other) = (endpoint("i-1").await, endpoint("i-2").await);
     let site = Site::start(&[&one, &other]).await;
     site.store.remove("servers/i-1");
@@ -81,42 +87,47 @@
     assert_eq!(one.seen().len(), before);
 }
 
-/// The store is well but tells watches nothing of its changes for a while; then its
-/// history is gone. An endpoint leaves in that time. A watch that waits for news is
-/// silent by its nature; taken for an outage of the store, the silence keeps the
-/// endpoint in use for more than two seconds after its entry was removed.
+/// The store is available but reports no changes to watches for a while, then compacts its
+/// history. An endpoint leaves in that time. A watch that waits for changes gets no answer
+/// meanwhile. If that counts as an outage of the store, the endpoint stays in use for more than
+/// two seconds after its entry was removed.
 #[actix_web::test]
-async fn a_silent_watch_is_no_outage() {
-    /// From the last news of a watch until the history is gone.
-    const SILENT: [u64; 4] = [1515, 1535, 1555, 1575];
-    let after = join_all(SILENT.map(|silent| async move {
+async fn a_watch_without_changes_is_no_outage() {
+    /// From the last change that a watch returned until the history is compacted, in
+    /// milliseconds.
+    const QUIET_MS: [u64; 4] = [1515, 1535, 1555, 1575];
+    let after = join_all(QUIET_MS.map(|quiet| async move {
         let (one, other) = (endpoint("i-1").await, endpoint("i-2").await);
         let site = Site::without_duties(&[&one, &other]).await;
         let watched = site.store.calls();
         until(SOON, async || site.store.calls() > watched).await;
         site.store.put("servers/foreign", b"{}");
-        let news = Instant::now();
+        let changed = Instant::now();
         tokio::time::sleep(Duration::from_millis(900)).await;
         site.store.set_quiet(true);
         site.store.remove("servers/i-1");
-        let left = Instant::now();
-        tokio::time::sleep_until(news + Duration::from_millis(silent)).await;
+        let removed = Instant::now();
+        tokio::time::sleep_until(changed + Duration::from_millis(quiet)).await;
         site.store.compact();
         site.store.set_quiet(false);
-        tokio::time::sleep_until(left + Duration::from_secs(2)).await;
+        tokio::time::sleep_until(removed + Duration::from_secs(2)).await;
         let before = one.seen().len();
         for _ in 0..20 {
             assert_eq!(status(&site, "/safe/a").await, 200);
         }
         one.seen().len() - before
     }));
-    assert_eq!(after.await, vec![0; SILENT.len()], "requests after each");
+    assert_eq!(
+        after.await,
+        vec![0; QUIET_MS.len()],
+        "requests after the removal"
+    );
 }
 
-/// Another writer leaves rows under the registry's keys. They name no endpoint, and
-/// the others hold.
+/// Another writer puts rows that are no valid entries under the registry's keys. The daemon
+/// ignores them and keeps the valid ones.
 #[actix_web::test]
-async fn foreign_rows_name_no_endpoint() {
+async fn foreign_registry_rows_are_ignored() {
     let one = endpoint("i-1").await;
     let site = Site::start(&[&one]).await;
     site.store.put("servers/i-2", b"{\"service\":\"app\"}");
@@ -131,9 +142,9 @@
     }
 }
 
-/// An older configuration appears again. Callers must not see it come back.
+/// An older configuration is written to the store again. It must not come into force.
 #[actix_web::test]
-async fn an_older_configuration_never_comes_back() {
+async fn an_older_configuration_is_never_applied() {
     let one = endpoint("i-1").await;
     let site = Site::start(&[&one]).await;
     let fewer = &ROUTES[1..];
@@ -145,10 +156,10 @@
     assert_eq!(status(&site, "/safe/a").await, 404);
 }
 
-/// A window's usage is reported once, with the same bytes each time, though the
-/// platform refuses it at first.
+/// The platform rejects usage reports at first. Each retry of a window's report must have the same
+/// content as the first attempt.
 #[actix_web::test]
-async fn a_window_has_one_report_only() {
+async fn each_usage_window_has_one_report_only() {
     let one = endpoint("i-1").await;
     let site = Site::start(&[&one]).await;
     site.cloud.set(503);
@@ -179,10 +190,10 @@
     }
 }
 
-/// The store does what it is told and loses its answers. The daemon reads back what
-/// lies there and goes on from it, and no window gets two counts.
+/// The store executes calls, but its answers are lost. The daemon must read back what was stored
+/// and continue from it; otherwise a window could be reported with two different counts.
 #[actix_web::test]
-async fn lost_answers_make_no_second_count() {
+async fn lost_store_answers_cause_no_second_count() {
     let one = endpoint("i-1").await;
     let site = Site::start(&[&one]).await;
     until(SOON, async || site.store.get("poplarvale/usage").is_some()).await;
@@ -211,11 +222,11 @@
     assert_eq!(distinct.len(), windows.len());
 }
 
-/// The store is away for longer than the lease of the holder of the duties, and leases
-/// stand still meanwhile. The holder goes on with the lease that it has as soon as the
-/// store is back; given up, its key would keep all others from the duties until it ends.
+/// The store is unavailable for longer than the lease of the duty holder, and leases do not
+/// expire meanwhile. The holder must continue with its lease as soon as the store is back. If it
+/// gave the lease up, its key would keep all others from the duties until the lease expires.
 #[actix_web::test]
-async fn a_lease_that_stood_still_is_kept() {
+async fn a_lease_paused_with_the_store_is_kept() {
     let one = endpoint("i-1").await;
     let site = Site::start(&[&one]).await;
     until(SOON, async || site.store.get("poplarvale/usage").is_some()).await;
@@ -226,56 +237,56 @@
     let before = site.cloud.seen().len();
     tokio::time::sleep(Duration::from_millis(2500)).await;
     assert_eq!(site.store.get("poplarvale/leader"), leader);
-    assert!(site.cloud.seen().len() > before, "nothing is reported");
+    assert!(site.cloud.seen().len() > before, "no usage is reported");
 }
 
-/// All daemons are killed at once while a usage window runs, and with them goes what
-/// they had counted. The next holder of the duties reports the window from the
-/// checkpoint; without it customers are charged for a part of their requests only.
+/// All daemons are killed at once during a usage window, and their counts are lost with them. The
+/// next duty holder must report the window from the checkpoint; otherwise customers are charged
+/// for only a part of their requests.
 #[actix_web::test]
 async fn usage_is_reported_after_all_daemons_were_killed() {
-    const ASKED: u32 = 7;
+    const REQUESTS: u32 = 7;
     let one = endpoint("i-1").await;
     let first = Site::start(&[&one]).await;
     until(SOON, async || {
         first.store.get("poplarvale/leader").is_some()
     })
     .await;
-    for _ in 0..ASKED {
+    for _ in 0..REQUESTS {
         assert_eq!(status(&first, "/safe/a").await, 200);
     }
     let saved = || first.store.get("poplarvale/checkpoint");
-    let counted = || saved().is_some_and(|value| counts(&value) == ASKED);
+    let counted = || saved().is_some_and(|value| counts(&value) == REQUESTS);
     until(SOON, async || counted()).await;
-    // A daemon of this process cannot be killed without the test. Another one starts
-    // on a store of its own, with what lay in the first.
+    // The first daemon runs in the process of the test and cannot be killed alone. Another one
+    // starts instead, on a store of its own with the values of the first store.
     let store = Store::start().await;
     for key in ["op/config", "servers/i-1", "poplarvale/checkpoint"] {
-        let value = first.store.get(key).expect("it was written");
+        let value = first.store.get(key).expect("the key was written");
         store.put(key, &value);
     }
     let next = Site::with_grace(store, 3).await;
-    let told = async || {
+    let reported = async || {
         let seen = next.cloud.seen();
         let bodies = seen.iter().map(|call| String::from_utf8_lossy(&call.body));
         let mut bodies: Vec<String> = bodies.map(Into::into).collect();
         bodies.sort();
         bodies.dedup();
-        bodies.iter().map(|body| runs(body)).sum::<u32>() == ASKED
+        bodies.iter().map(|body| runs(body)).sum::<u32>() == REQUESTS
     };
-    until(Duration::from_secs(12), told).await;
+    until(Duration::from_secs(12), reported).await;
 }
 
 /// Runs of the team `club` in a report.
 fn runs(body: &str) -> u32 {
     let after = body.split("\"club\":").nth(1);
     let digits = after.map(|text| text.trim_end_matches('}'));
-    digits.map_or(0, |digits| digits.parse().expect("a number"))
+    digits.map_or(0, |digits| digits.parse().expect("the count is a number"))
 }
 
-/// Runs that a checkpoint holds.
+/// Sum of all runs in a checkpoint.
 fn counts(value: &[u8]) -> u32 {
-    let read = Checkpoint::decode(value).expect("it is one of ours");
+    let read = Checkpoint::decode(value).expect("the value is a checkpoint");
     let windows = read.counters.iter().flat_map(|row| &row.windows);
     windows.flat_map(|window| &window.runs).sum()
 }
--- a/daemon/tests/test_relay_watchers.rs
+++ b/daemon/tests/test_relay_watchers.rs
@@ -1,4 +1,5 @@
-//! Several daemons of one zone, of which a few follow the store for all.
+//! Several daemons of one zone, of which a few watch the store and send the others a feed of the
+//! changes.
 
 use std::ops::Range;
 use std::time::{Duration, Instant};
@@ -8,19 +9,21 @@
 
 use crate::relay_site::{DAEMONS, ROUTES, Zone, store_with};
 
+/// Daemons of a zone that watch the store.
 const WATCHERS: usize = 2;
-/// How long after the store's word an endpoint that left may still get requests.
-const LEAVING: Duration = Duration::from_secs(2);
+/// How long after its entry was removed an endpoint may still get requests.
+const LEAVE_TIME: Duration = Duration::from_secs(2);
 /// Time between two requests.
-const PAUSE: Duration = Duration::from_millis(10);
+const REQUEST_PAUSE: Duration = Duration::from_millis(10);
 
 impl Zone {
+    /// The daemon on the highest address; it is no watcher.
     fn last(&self) -> &(Proxy, Relay) {
         &self.daemons[self.daemons.len() - 1]
     }
 
-    /// Asks the last daemon for a while; gives the statuses other than 200.
-    async fn ask_last(&self, span: Duration) -> Vec<u16> {
+    /// Sends requests to the last daemon for a while; returns the statuses other than 200.
+    async fn send_requests(&self, span: Duration) -> Vec<u16> {
         let end = Instant::now() + span;
         let mut bad = Vec::new();
         while Instant::now() < end {
@@ -30,12 +33,12 @@
             if status != 200 {
                 bad.push(status);
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(REQUEST_PAUSE).await;
         }
         bad
     }
 
-    /// Puts one endpoint in place of another.
+    /// Registers the new endpoint as `i-2` and removes the old one.
     fn replace(&self, old: &str, new: &Endpoint) {
         let entry = new.entry("app", "ready");
         self.store.put("servers/i-2", entry.as_bytes());
@@ -47,84 +50,92 @@
     Endpoint::start(id, |seen| vec![plain(seen, 200, "done")]).await
 }
 
-/// Hundreds of daemons that each follow the store make most of all calls to it, which are
-/// paid for, and each reads every beat of every endpoint. Those that are told make none.
+/// If each of hundreds of daemons watched the store, that would be most of all calls to it, which
+/// are paid for, and each daemon would read every heartbeat of every endpoint. Daemons that get the
+/// change feed must make no calls.
 #[actix_web::test]
-async fn daemons_that_are_told_make_no_calls() {
-    const SPAN: u32 = 4;
-    /// Calls a second of a daemon that follows a store without news: a watch is held for
-    /// a second and followed by a pause.
-    const EACH: f64 = 1.0;
+async fn daemons_that_get_the_change_feed_make_no_store_calls() {
+    /// Seconds for which calls are counted.
+    const SPAN_S: u32 = 4;
+    /// Calls per second of a daemon that watches a store without changes: a watch is held for a
+    /// second and followed by a pause.
+    const CALL_RATE: f64 = 1.0;
     let one = endpoint("i-1").await;
     let zone = Zone::start(11, store_with(&[&one]).await).await;
     let before = zone.store.calls();
-    tokio::time::sleep(Duration::from_secs(SPAN.into())).await;
-    let calls = f64::from(zone.store.calls() - before) / f64::from(SPAN);
-    assert!(calls <= WATCHERS as f64 * EACH, "{calls} calls a second");
-    assert!(calls > 0.0, "nobody follows the store");
+    tokio::time::sleep(Duration::from_secs(SPAN_S.into())).await;
+    let calls = f64::from(zone.store.calls() - before) / f64::from(SPAN_S);
+    assert!(
+        calls <= WATCHERS as f64 * CALL_RATE,
+        "{calls} calls per second"
+    );
+    assert!(calls > 0.0, "no daemon watches the store");
 }
 
-/// All daemons start at once, as after a loss of power, and nobody holds the duties. If
-/// each of them tried to take them up until it knew who has them, the store would get
-/// several times the calls that the start needs.
+/// All daemons start at once, as after a power loss, and no daemon holds the duties. If each of
+/// them tried to take the duties until it knew the holder, the store would get several times the
+/// calls that the start needs.
 #[actix_web::test]
 async fn daemons_that_start_together_do_not_all_claim_the_duties() {
-    /// Calls of a daemon that reads everything and begins to follow.
-    const START: u32 = 5;
-    /// Calls of the one that takes the duties up, within a second.
-    const HOLDER: u32 = 12;
+    /// Calls of a daemon that reads everything and starts to watch.
+    const START_CALLS: u32 = 5;
+    /// Calls of the daemon that takes the duties, within a second.
+    const HOLDER_CALLS: u32 = 12;
     let one = endpoint("i-1").await;
     let zone = Zone::start_with(15, store_with(&[&one]).await, &["usage"]).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
     let calls = zone.store.calls();
     assert!(
-        calls <= u32::from(DAEMONS) * START + HOLDER,
+        calls <= u32::from(DAEMONS) * START_CALLS + HOLDER_CALLS,
         "{calls} calls"
     );
     assert!(zone.store.get("poplarvale/leader").is_some());
 }
 
-/// Replaces the only endpoint of a zone right after the daemons at `cut` lost their way to
-/// the store; the last daemon must serve on and send nothing to the endpoint that left.
-async fn replace_after_cut(number: usize, cut: Range<usize>) {
+/// Replaces the only endpoint of a zone right after the daemons with the indexes `partitioned` lost
+/// their connection to the store. The last daemon must go on serving and send nothing to the
+/// removed endpoint.
+async fn replace_after_partition(number: usize, partitioned: Range<usize>) {
     let (one, other) = (endpoint("i-1").await, endpoint("i-2").await);
     let zone = Zone::start(number, store_with(&[&one]).await).await;
-    for (proxy, _) in &zone.daemons[cut] {
+    for (proxy, _) in &zone.daemons[partitioned] {
         proxy.set(Fault::Silent);
     }
     zone.replace("i-1", &other);
-    tokio::time::sleep(LEAVING).await;
+    tokio::time::sleep(LEAVE_TIME).await;
     let before = one.seen().len();
-    let bad = zone.ask_last(Duration::from_secs(1)).await;
+    let bad = zone.send_requests(Duration::from_secs(1)).await;
     assert_eq!(bad, Vec::<u16>::new());
-    assert_eq!(one.seen().len(), before, "requests to what has left");
+    assert_eq!(one.seen().len(), before, "requests to the removed endpoint");
 }
 
-/// A daemon has lost its way to the store, and an endpoint is replaced. It must not fail
-/// callers for want of what its neighbours know, nor send to what has left.
+/// A daemon is partitioned from the store, and an endpoint is replaced. It must use the change feed
+/// of its zone: otherwise it fails callers though a new endpoint is ready, or sends requests to the
+/// removed one.
 #[actix_web::test]
-async fn a_daemon_without_the_store_goes_by_what_it_is_told() {
+async fn a_daemon_partitioned_from_the_store_uses_the_change_feed() {
     let last = usize::from(DAEMONS) - 1;
-    replace_after_cut(12, last..last + 1).await;
+    replace_after_partition(12, last..last + 1).await;
 }
 
-/// Both watchers of a zone lose their way to the store at once, and endpoints are replaced
-/// right then. The others notice that they are told nothing new and look for themselves.
+/// Both watchers of a zone are partitioned from the store at once, and an endpoint is replaced
+/// right then. The other daemons must notice that the change feed stopped and read the store
+/// themselves.
 #[actix_web::test]
 async fn the_loss_of_all_watchers_is_noticed_in_time() {
-    replace_after_cut(13, 0..WATCHERS).await;
+    replace_after_partition(13, 0..WATCHERS).await;
 }
 
-/// The operators change the configuration, which is not told but read by everybody. It
-/// must be in force within the two seconds that operators count on.
+/// Operators change the configuration, which is not part of the change feed: each daemon reads it
+/// from the store. It must be in force within the two seconds that operators rely on.
 #[actix_web::test]
-async fn a_new_configuration_reaches_those_that_are_told() {
+async fn a_new_configuration_reaches_daemons_that_get_the_change_feed() {
     let one = endpoint("i-1").await;
     let zone = Zone::start(14, store_with(&[&one]).await).await;
     zone.store
         .put("op/config", config(9, &ROUTES[1..], 0).as_bytes());
-    tokio::time::sleep(LEAVING).await;
-    let bad = zone.ask_last(Duration::from_millis(200)).await;
+    tokio::time::sleep(LEAVE_TIME).await;
+    let bad = zone.send_requests(Duration::from_millis(200)).await;
     assert!(
         !bad.is_empty() && bad.iter().all(|status| *status == 404),
         "{bad:?}"
