--- a/lib/src/systems.rs
+++ b/lib/src/systems.rs
@@ -1,4 +1,5 @@
-//! Systems: each walks the tables once a tick and makes one kind of decision.
+//! Systems, in the sense of an entity-component-system design: functions that run over the tables
+//! of the [`World`](crate::world::World) once per tick, each making one kind of decision.
 
 pub(crate) mod admit;
 pub mod allowance;
--- a/lib/src/systems/admit.rs
+++ b/lib/src/systems/admit.rs
@@ -1,8 +1,8 @@
-//! Lets requests in, or turns them away at once.
+//! Admission control: queues a request or rejects it immediately.
 //!
-//! Answers a load that is larger than a plan or the endpoints can carry. Without
-//! it requests would pile up until all of them miss their deadlines. Who is
-//! turned away hears so at once, with the time at which coming back helps.
+//! Handles load that exceeds a customer's plan or the capacity of the endpoints.
+//! Without it requests would accumulate until all of them miss their deadlines.
+//! A rejection is sent at once and, if a retry can succeed, says when to retry.
 
 use std::time::{Duration, Instant};
 
@@ -17,36 +17,36 @@
 use crate::systems::allowance::{self, Allowance};
 use crate::world::World;
 
-/// When to come back after a refusal that no rate explains.
-const LATER: Duration = Duration::from_secs(1);
+/// Retry delay for rejections that do not follow from a rate limit or a forecast.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A request turned away.
-struct Refusal {
+/// Why a request is rejected.
+struct Rejection {
     code: Code,
     again: Option<Instant>,
 }
 
-impl Refusal {
-    /// Coming back does not help.
-    fn for_good(code: Code) -> Self {
+impl Rejection {
+    /// A retry cannot succeed.
+    fn permanent(code: Code) -> Self {
         Self { code, again: None }
     }
 
-    /// Coming back helps after a while.
-    fn for_now(code: Code, now: Instant) -> Self {
+    /// A retry may succeed after [`RETRY_AFTER`].
+    fn temporary(code: Code, now: Instant) -> Self {
         Self {
             code,
-            again: Some(now + LATER),
+            again: Some(now + RETRY_AFTER),
         }
     }
 }
 
-/// Admits the requests that arrived.
+/// Admits or rejects each request that arrived in this tick.
 pub(crate) fn run(world: &mut World, now: Instant, arrived: Vec<Order>) {
     for order in arrived {
         match check(world, now, &order) {
             Ok(priority) => admit(world, priority, order),
-            Err(refusal) => refuse(world, &order, &refusal),
+            Err(rejection) => reject(world, &order, &rejection),
         }
     }
 }
@@ -57,11 +57,11 @@
     world.requests.insert(Request::Waiting(waiting));
 }
 
-fn refuse(world: &mut World, order: &Order, refusal: &Refusal) {
+fn reject(world: &mut World, order: &Order, rejection: &Rejection) {
     let ending = Ending::Failed {
-        code: refusal.code,
+        code: rejection.code,
         ran: Ran::No,
-        again: refusal.again,
+        again: rejection.again,
     };
     world.commands.push(Command::Finish {
         request: order.id,
@@ -69,56 +69,61 @@
     });
 }
 
-/// Priority of a request that may come in.
-fn check(world: &mut World, now: Instant, order: &Order) -> Result<u8, Refusal> {
-    is_open(world, now)?;
-    let plan = plan(world, order)?.clone();
-    has_room(world, now, order)?;
+/// Runs all admission checks; returns the priority of an admitted request.
+fn check(world: &mut World, now: Instant, order: &Order) -> Result<u8, Rejection> {
+    check_ready(world, now)?;
+    let plan = find_plan(world, order)?.clone();
+    check_capacity(world, now, order)?;
     if world.load.policy.admission == Choice::Adaptive {
-        in_time(world, now, order, plan.priority)?;
+        check_deadline(world, now, order, plan.priority)?;
     }
-    use_up(world, now, order, &plan)?;
+    charge_allowance(world, now, order, &plan)?;
     Ok(plan.priority)
 }
 
-/// Refuses all while the daemon shuts down or has no lists.
-fn is_open(world: &World, now: Instant) -> Result<(), Refusal> {
+/// Rejects every request while the daemon shuts down or has no customer and plan lists yet.
+fn check_ready(world: &World, now: Instant) -> Result<(), Rejection> {
     if world.draining {
-        return Err(Refusal::for_now(Code::Draining, now));
+        return Err(Rejection::temporary(Code::Draining, now));
     }
     if world.revision == 0 {
-        return Err(Refusal::for_now(Code::NoLists, now));
+        return Err(Rejection::temporary(Code::NoLists, now));
     }
     Ok(())
 }
 
-/// Plan of the customer, if it covers what is asked.
-fn plan<'a>(world: &'a World, order: &Order) -> Result<&'a Plan, Refusal> {
+/// The customer's plan, if it includes the requested service or model.
+fn find_plan<'a>(world: &'a World, order: &Order) -> Result<&'a Plan, Rejection> {
     let customer = world.customers.get(&order.customer);
     let plan = customer.and_then(|customer| world.plans.get(&customer.plan));
-    let plan = plan.ok_or_else(|| Refusal::for_good(Code::NoCustomer))?;
+    let plan = plan.ok_or_else(|| Rejection::permanent(Code::NoCustomer))?;
     if covers(plan, order) {
         Ok(plan)
     } else {
-        Err(Refusal::for_good(Code::NotInPlan))
+        Err(Rejection::permanent(Code::NotInPlan))
     }
 }
 
-/// Refuses what no endpoint or no place in the queue is there for.
-fn has_room(world: &World, now: Instant, order: &Order) -> Result<(), Refusal> {
+/// Rejects the request if the queue is full or no endpoint of the service is left that stays.
+fn check_capacity(world: &World, now: Instant, order: &Order) -> Result<(), Rejection> {
     if world.load.waiting() >= world.setup.waiting {
-        return Err(Refusal::for_now(Code::Full, now));
+        return Err(Rejection::temporary(Code::Full, now));
     }
     let stays = |e: &Endpoint| e.service == order.service && e.leaving.is_none();
     if world.endpoints.iter().any(stays) {
         Ok(())
     } else {
-        Err(Refusal::for_now(Code::NoEndpoint, now))
+        Err(Rejection::temporary(Code::NoEndpoint, now))
     }
 }
 
-/// Takes the request out of its customer's allowance.
-fn use_up(world: &mut World, now: Instant, order: &Order, plan: &Plan) -> Result<(), Refusal> {
+/// Charges the request to its customer's allowance.
+fn charge_allowance(
+    world: &mut World,
+    now: Instant,
+    order: &Order,
+    plan: &Plan,
+) -> Result<(), Rejection> {
     let limit = allowance::limit(world, now, &order.customer, plan);
     if !world.allowances.contains(&order.customer) {
         let allowance = Allowance::new(order.customer.clone(), &limit, now);
@@ -130,32 +135,37 @@
         .shares
         .record_request(now, &order.customer, tokens);
     let Some(allowance) = world.allowances.get_mut(&order.customer) else {
-        return Err(Refusal::for_now(Code::Internal, now));
+        return Err(Rejection::temporary(Code::Internal, now));
     };
-    let spent = spend(allowance, &limit, now, order);
-    if matches!(&spent, Err(refusal) if refusal.code == Code::InProgress) {
+    let charged = charge(allowance, &limit, now, order);
+    if matches!(&charged, Err(rejection) if rejection.code == Code::InProgress) {
         let wanted = f64::from(allowance.running) + 1.0;
         world
             .load
             .shares
             .record_running(now, &order.customer, wanted);
     }
-    spent
+    charged
 }
 
-/// Refuses what would not be finished by its deadline.
-fn in_time(world: &mut World, now: Instant, order: &Order, priority: u8) -> Result<(), Refusal> {
+/// Rejects the request if it is not expected to finish by its deadline.
+fn check_deadline(
+    world: &mut World,
+    now: Instant,
+    order: &Order,
+    priority: u8,
+) -> Result<(), Rejection> {
     let work = f64::from(order.work());
     let entry = Entry {
         id: order.id,
         deadline: order.deadline,
         work,
     };
-    let lane = world.load.queues.get(&order.service);
-    let waiting = lane.map_or(0, FairQueue::len);
-    let ahead = lane.map_or(0.0, |lane| match world.load.policy.queue {
-        Choice::Plain => lane.work(),
-        Choice::Adaptive => lane.work_ahead(priority, &order.customer, &entry),
+    let queue = world.load.queues.get(&order.service);
+    let waiting = queue.map_or(0, FairQueue::len);
+    let ahead = queue.map_or(0.0, |queue| match world.load.policy.queue {
+        Choice::Plain => queue.work(),
+        Choice::Adaptive => queue.work_ahead(priority, &order.customer, &entry),
     });
     let capacity = world.load.capacity(&order.service);
     let finish = capacity.finish_time(now, ahead, waiting, work);
@@ -163,12 +173,12 @@
         None => Ok(()),
         Some(finish) => {
             let excess = finish.saturating_duration_since(order.deadline);
-            // The generator of the world is not advanced for a refusal's spread:
-            // the id is as good a draw and leaves the choice of endpoints alone.
-            let draw = f64::from(order.id as u8) / 255.0;
+            // The jitter is taken from the id, which is random enough, and not from the
+            // world's generator: a rejection must not change which endpoints are chosen.
+            let jitter = f64::from(order.id as u8) / 255.0;
             let load = &mut world.load;
-            let again = load.retry_at(now, &order.service, excess, work, draw);
-            Err(Refusal {
+            let again = load.retry_at(now, &order.service, excess, work, jitter);
+            Err(Rejection {
                 code: Code::TooLate,
                 again: Some(again),
             })
@@ -183,41 +193,41 @@
     }
 }
 
-fn spend(
+fn charge(
     allowance: &mut Allowance,
     limit: &Amounts,
     now: Instant,
     order: &Order,
-) -> Result<(), Refusal> {
+) -> Result<(), Rejection> {
     allowance.fill(limit, now);
-    // A plan for fewer requests in progress than there are daemons leaves some
-    // with a share below one. Were these to let none in, a customer would be
-    // refused by most daemons while it runs nothing anywhere.
+    // If a plan allows fewer concurrent requests than there are daemons, some daemons
+    // have a share below one. If these admitted none, a customer without any running
+    // request would be rejected by most daemons.
     let running = limit.running.max(1.0) as u32;
     if allowance.running >= running {
-        return Err(Refusal::for_now(Code::InProgress, now));
+        return Err(Rejection::temporary(Code::InProgress, now));
     }
     if allowance.requests < 1.0 {
         let wait = (1.0 - allowance.requests) / limit.requests;
-        return Err(Refusal {
+        return Err(Rejection {
             code: Code::RequestRate,
-            again: Some(now + refilled(wait)),
+            again: Some(now + refill_time(wait)),
         });
     }
     if allowance.tokens <= 0.0 {
         let wait = (1.0 - allowance.tokens) / limit.tokens;
-        return Err(Refusal {
+        return Err(Rejection {
             code: Code::TokenRate,
-            again: Some(now + refilled(wait)),
+            again: Some(now + refill_time(wait)),
         });
     }
     allowance.take(order.work());
     Ok(())
 }
 
-/// Time until a bucket is full enough. It is bounded, as the share that fills
-/// it grows with the customer's demand.
-fn refilled(seconds: f64) -> Duration {
-    const LONGEST: f64 = 60.0;
-    Duration::from_secs_f64(seconds.clamp(0.0, LONGEST))
+/// Time until a bucket has been refilled enough. It is bounded because the share
+/// that refills the bucket grows with the customer's demand.
+fn refill_time(seconds: f64) -> Duration {
+    const MAX_SECONDS: f64 = 60.0;
+    Duration::from_secs_f64(seconds.clamp(0.0, MAX_SECONDS))
 }
--- a/lib/src/systems/allowance.rs
+++ b/lib/src/systems/allowance.rs
@@ -1,10 +1,9 @@
-//! What a customer has used of its plan, and how much of the plan is ours.
+//! Per-customer rate limits: what a customer has used of its plan, and this daemon's share of it.
 //!
-//! Rates are kept as token buckets that hold one second's worth. Without them
-//! one customer's burst would take the endpoints from all others. The buckets
-//! fill by this daemon's share of the plan, which `load::shares` works out from
-//! what the daemons tell one another; a daemon that knows of no other gives out
-//! the whole plan.
+//! Rates are token buckets with a capacity of one second. Without them a burst of
+//! one customer would starve all others. The buckets refill at this daemon's share
+//! of the plan, which `load::shares` computes from the demand that the daemons
+//! advertise to each other; a daemon that knows of no other one uses the whole plan.
 
 use std::time::{Duration, Instant};
 
@@ -14,21 +13,22 @@
 use crate::table::Row;
 use crate::world::World;
 
-/// How often claims are made anew; well within what `shares::HOLD` allows.
-const TURN: Duration = Duration::from_millis(250);
+/// Interval between updates of this daemon's claims; well below the time that `shares::HOLD`
+/// allows.
+const CLAIM_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Use of one customer.
+/// Token buckets and running requests of one customer.
 #[proc_macros::row]
 pub struct Allowance {
     /// Customer.
     pub customer: CustomerId,
-    /// Requests that may come now.
+    /// Requests left in the bucket.
     pub requests: f64,
-    /// Tokens that may be asked for now.
+    /// Prompt and answer tokens left in the bucket; may be negative.
     pub tokens: f64,
     /// Requests in progress.
     pub running: u32,
-    /// When the buckets were last filled.
+    /// When the buckets were last refilled.
     pub filled: Instant,
 }
 
@@ -44,8 +44,9 @@
         }
     }
 
-    /// Fills the buckets by the time that passed. The bucket of requests holds
-    /// one at least, or a share below one a second would let none in.
+    /// Refills the buckets for the time since the last refill. The request bucket has
+    /// a capacity of at least one; otherwise a share below one request per second
+    /// would admit none.
     pub fn fill(&mut self, limit: &Amounts, now: Instant) {
         let passed = now.saturating_duration_since(self.filled).as_secs_f64();
         let requests = self.requests + limit.requests * passed;
@@ -54,15 +55,15 @@
         self.filled = now;
     }
 
-    /// Takes one request and its tokens out. The tokens may go below zero, so
-    /// that one large request passes and the next waits for it to be made up.
+    /// Charges one request and its tokens. The token bucket may become negative, so that
+    /// one large request is admitted and the next one waits until the debt is refilled.
     pub fn take(&mut self, tokens: u32) {
         self.requests -= 1.0;
         self.tokens -= f64::from(tokens);
         self.running += 1;
     }
 
-    /// One request is no longer in progress.
+    /// Records that a request is no longer in progress.
     pub fn release(&mut self) {
         self.running = self.running.saturating_sub(1);
     }
@@ -75,46 +76,46 @@
     }
 }
 
-/// What this daemon may give out of a customer's plan.
+/// This daemon's share of a customer's plan.
 pub(crate) fn limit(world: &World, now: Instant, customer: &CustomerId, plan: &Plan) -> Amounts {
     world.load.shares.share(now, customer, Amounts::of(plan))
 }
 
-/// Takes in a row that another daemon wrote.
-pub(crate) fn hear(world: &mut World, now: Instant, row: ShareRow) {
+/// Merges a row that another daemon wrote.
+pub(crate) fn merge_share(world: &mut World, now: Instant, row: ShareRow) {
     if row.incarnation == world.setup.incarnation {
         return;
     }
     let customer = row.customer.clone();
     world.load.shares.apply_row(now, row);
-    claim(world, now, &customer);
+    update_claim(world, now, &customer);
 }
 
-/// A daemon was heard of, with all rows that it wrote until then.
-pub(crate) fn meet(world: &mut World, now: Instant, incarnation: Incarnation) {
+/// Records that another daemon was seen and that all rows it wrote until then were received.
+pub(crate) fn record_peer(world: &mut World, now: Instant, incarnation: Incarnation) {
     if incarnation != world.setup.incarnation {
         world.load.shares.record_peer(now, incarnation);
     }
 }
 
-/// Claims anew for all customers, now and then.
-pub(crate) fn turn(world: &mut World, now: Instant) {
-    if !world.load.shares.is_due(now, TURN) {
+/// Updates the claims of all active customers every [`CLAIM_INTERVAL`].
+pub(crate) fn update_claims(world: &mut World, now: Instant) {
+    if !world.load.shares.is_due(now, CLAIM_INTERVAL) {
         return;
     }
     let customers: Vec<CustomerId> = world.load.shares.active_customers().cloned().collect();
     for customer in customers {
-        claim(world, now, &customer);
+        update_claim(world, now, &customer);
     }
     world.load.shares.remove_idle();
 }
 
-fn claim(world: &mut World, now: Instant, customer: &CustomerId) {
+fn update_claim(world: &mut World, now: Instant, customer: &CustomerId) {
     let plan = world.customers.get(customer).map(|c| &c.plan);
     let plan = plan.and_then(|plan| world.plans.get(plan));
-    // A customer that is no longer in the lists gives its claims up.
+    // For a customer that is no longer in the lists, the claims are released.
     let limit = plan.map_or(Amounts::default(), Amounts::of);
     let running = world.allowances.get(customer).map_or(0, |a| a.running);
-    let board = &mut world.load.shares;
-    board.update_claim(now, customer, limit, f64::from(running));
+    let shares = &mut world.load.shares;
+    shares.update_claim(now, customer, limit, f64::from(running));
 }
--- a/lib/src/systems/choose.rs
+++ b/lib/src/systems/choose.rs
@@ -9,7 +9,7 @@
 use crate::routing::{Ask, Policy, pick};
 use crate::world::World;
 
-/// Endpoint for a request by the policy in force; none when none takes it.
+/// Chooses an endpoint by the configured policy; none if no endpoint accepts the request.
 pub(crate) fn run(world: &mut World, now: Instant, waiting: &Waiting) -> Option<EndpointId> {
     let filter = &world.open_to(now, waiting);
     match world.routing.policy {
@@ -28,8 +28,9 @@
     }
 }
 
-/// The least loaded endpoint, own zone first, that has not failed this request.
-/// Equal ones are drawn from, or all daemons would send to the first of them.
+/// The least loaded endpoint that this request has not failed at, preferring the
+/// daemon's own zone. Ties are broken at random; otherwise all daemons would send to
+/// the first of the tied endpoints.
 fn least_loaded(
     world: &mut World,
     now: Instant,
@@ -44,11 +45,11 @@
         .filter(|endpoint| load(endpoint) == least)
         .map(|endpoint| endpoint.id.clone())
         .collect();
-    let drawn = world.rng.usize(..equal.len());
-    equal.into_iter().nth(drawn)
+    let index = world.rng.usize(..equal.len());
+    equal.into_iter().nth(index)
 }
 
-/// The next endpoint in turn, own zone or not.
+/// The next endpoint in rotation, regardless of its zone.
 fn round_robin(
     world: &mut World,
     now: Instant,
--- a/lib/src/systems/expire.rs
+++ b/lib/src/systems/expire.rs
@@ -1,7 +1,7 @@
 //! Ends requests whose deadline has passed.
 //!
-//! Without it a request that no endpoint can take would wait for ever, and its
-//! caller, who gave up long ago, would hold a place in the queue.
+//! Without it a request that no endpoint accepts would wait forever and occupy a
+//! place in the queue after its caller has given up.
 
 use std::time::Instant;
 
@@ -13,7 +13,7 @@
 use crate::systems::{health, leaving, moving};
 use crate::world::World;
 
-/// Ends overdue requests, and stops those that run.
+/// Ends all requests past their deadline and cancels those that are running.
 pub(crate) fn run(world: &mut World, now: Instant) {
     let overdue: Vec<RequestId> = world
         .requests
@@ -22,26 +22,26 @@
         .map(|request| request.order().id)
         .collect();
     for id in overdue {
-        end(world, now, id);
+        expire(world, now, id);
     }
 }
 
-fn end(world: &mut World, now: Instant, id: RequestId) {
+fn expire(world: &mut World, now: Instant, id: RequestId) {
     let Some(request) = world.requests.get(&id).cloned() else {
         return;
     };
-    moving::overdue(world, now, &request);
+    moving::record_overdue(world, now, &request);
     let (code, ran) = match &request {
         Request::Waiting(waiting) => (Code::Expired, waiting.ran),
         Request::Repeatable(_) | Request::Once(_) => (Code::Overdue, Ran::Unknown),
     };
-    leaving::took(world, now, &request);
+    leaving::record_duration(world, now, &request);
     if let Some(attempt) = request.attempt() {
         world.commands.push(Command::Cancel(attempt));
     }
     if let Some(endpoint) = request.endpoint().cloned() {
         release(world, &endpoint);
-        health::overdue(world, now, &request);
+        health::record_overdue(world, now, &request);
     }
     finish(
         world,
--- a/lib/src/systems/health.rs
+++ b/lib/src/systems/health.rs
@@ -1,4 +1,5 @@
-//! Learns from how sendings end, and keeps work from endpoints that do ill.
+//! Outlier ejection: tracks how attempts end and stops sending requests to endpoints that fail or
+//! are slow.
 
 use std::time::{Duration, Instant};
 
@@ -11,23 +12,24 @@
 use crate::request::Request;
 use crate::world::World;
 
-/// Failures in a row after which an endpoint gets a rest, by the plain policy.
-const SHUN_AFTER: u32 = 3;
-/// How long that rest lasts.
-const REST: Duration = Duration::from_secs(2);
-/// How often running requests are looked at for being late.
-const REVIEW: Duration = Duration::from_millis(250);
-/// Running requests that must be late for their endpoint to be slow, and half of
-/// them all. One may be unlucky, and of many some take long for their work.
-const LATE: usize = 2;
+/// Consecutive failures after which the plain policy ejects an endpoint.
+const EJECT_AFTER: u32 = 3;
+/// How long the plain policy ejects an endpoint.
+const PLAIN_EJECTION: Duration = Duration::from_secs(2);
+/// Interval between checks for slow endpoints.
+const REVIEW_INTERVAL: Duration = Duration::from_millis(250);
+/// Minimum number of late running requests for an endpoint to count as slow; they must
+/// also be half of its running requests. A single late request can be chance, and among
+/// many requests some take unusually long for their size.
+const MIN_LATE: usize = 2;
 
-/// Prepares a tick: limits, rests, and what each service can do.
+/// Updates ejections, concurrency limits and the capacity of each service for this tick.
 pub(crate) fn run(world: &mut World, now: Instant) {
     let ceiling = world.setup.running;
     world.load.sync_endpoints(now, &world.endpoints, ceiling);
     if world.load.policy.ejection == Choice::Adaptive {
-        review(world, now);
-        rest(world, now);
+        eject_slow(world, now);
+        update_ejections(world, now);
     }
     world.load.apply_limits(&mut world.endpoints, ceiling);
     world
@@ -35,8 +37,13 @@
         .rebuild_pools(now, &world.endpoints, &world.routing);
 }
 
-/// Counts how a sending ended for or against its endpoint.
-pub(crate) fn judge(world: &mut World, now: Instant, request: &Request, outcome: &Outcome) {
+/// Records the outcome of an attempt for the health of its endpoint.
+pub(crate) fn record_outcome(
+    world: &mut World,
+    now: Instant,
+    request: &Request,
+    outcome: &Outcome,
+) {
     let whole = matches!(outcome, Outcome::Whole { status } if *status < 500);
     let sample = measure(world, now, request, whole);
     if whole {
@@ -46,37 +53,37 @@
         return;
     };
     match world.load.policy.ejection {
-        Choice::Plain => count(world, now, &endpoint, whole),
-        Choice::Adaptive => weigh(world, now, &endpoint, whole, sample),
+        Choice::Plain => record_plain(world, now, &endpoint, whole),
+        Choice::Adaptive => record_adaptive(world, now, &endpoint, whole, sample),
     }
 }
 
-/// Counts a request against its endpoint that was not answered in time. An
-/// endpoint that hangs ends nothing by itself, so no outcome would show it. Only
-/// one that had ample time is to blame: under saturation requests are sent with
-/// little time left, and endpoints in order would be ejected for it.
-pub(crate) fn overdue(world: &mut World, now: Instant, request: &Request) {
+/// Records a failure of the endpoint for a request that missed its deadline there. A
+/// hanging endpoint never ends an attempt, so no outcome would reveal it. It counts only
+/// if the endpoint had ample time: under saturation requests are sent with little time
+/// left, and healthy endpoints would be ejected.
+pub(crate) fn record_overdue(world: &mut World, now: Instant, request: &Request) {
     let Some(endpoint) = request.endpoint() else {
         return;
     };
     let load = &world.load;
-    let normal = load.typical_unit_time(&request.order().service);
+    let typical = load.typical_unit_time(&request.order().service);
     let sent = request.attempt().and_then(|id| load.in_flight.get(&id));
     let sent = sent.cloned();
     let ample = sent
         .as_ref()
-        .zip(normal)
-        .is_none_or(|(sent, normal)| sent.mark.age(now) > SLOW_FACTOR * normal * sent.work);
+        .zip(typical)
+        .is_none_or(|(sent, typical)| sent.mark.age(now) > SLOW_FACTOR * typical * sent.work);
     if let Some(sent) = &sent {
-        // It took at least this long, and nothing else would tell of it.
+        // The request took at least this long, and no other event reports it.
         world.load.record_completion(now, sent);
     }
     if world.load.policy.ejection == Choice::Adaptive && ample {
-        weigh(world, now, endpoint, false, None);
+        record_adaptive(world, now, endpoint, false, None);
     }
 }
 
-fn count(world: &mut World, now: Instant, endpoint: &EndpointId, whole: bool) {
+fn record_plain(world: &mut World, now: Instant, endpoint: &EndpointId, whole: bool) {
     let Some(endpoint) = world.endpoints.get_mut(endpoint) else {
         return;
     };
@@ -85,8 +92,8 @@
         return;
     }
     endpoint.failures += 1;
-    if endpoint.failures >= SHUN_AFTER {
-        endpoint.shunned = Some(now + REST);
+    if endpoint.failures >= EJECT_AFTER {
+        endpoint.shunned = Some(now + PLAIN_EJECTION);
         endpoint.failures = 0;
     }
 }
@@ -95,50 +102,59 @@
     let load = &mut world.load;
     let sent = load.in_flight.remove(&request.attempt()?)?;
     let endpoint = world.endpoints.get(request.endpoint()?)?;
-    let gauge = load.endpoint_stats.get_mut(request.endpoint()?)?;
-    gauge.limiter.record_outcome(whole, endpoint.running + 1);
+    let stats = load.endpoint_stats.get_mut(request.endpoint()?)?;
+    stats.limiter.record_outcome(whole, endpoint.running + 1);
     if !whole {
         return None;
     }
     load.record_completion(now, &sent)
 }
 
-fn weigh(world: &mut World, now: Instant, id: &EndpointId, whole: bool, sample: Option<Sample>) {
+fn record_adaptive(
+    world: &mut World,
+    now: Instant,
+    id: &EndpointId,
+    whole: bool,
+    sample: Option<Sample>,
+) {
     let Some(service) = world.endpoints.get(id).map(|e| e.service.clone()) else {
         return;
     };
     let bad = if whole {
         let slow = is_slow_probe(world, id, &service, sample);
-        let gauge = world.load.endpoint_stats.get_mut(id);
-        gauge.is_some_and(|gauge| gauge.ejection.record_success(now, slow))
+        let stats = world.load.endpoint_stats.get_mut(id);
+        stats.is_some_and(|stats| stats.ejection.record_success(now, slow))
     } else {
         let usual = world.load.typical_failures(&service, id);
-        let gauge = world.load.endpoint_stats.get_mut(id);
-        gauge.is_some_and(|g| g.ejection.record_failure() && g.ejection.is_outlier(usual))
+        let stats = world.load.endpoint_stats.get_mut(id);
+        stats.is_some_and(|stats| {
+            stats.ejection.record_failure() && stats.ejection.is_outlier(usual)
+        })
     };
     if bad {
         eject(world, now, id, &service);
     }
 }
 
-/// Whether an answer shows that an endpoint which is probed is still slow.
+/// Whether the response of an endpoint in the probing state shows that it is still slow.
 fn is_slow_probe(
     world: &World,
     id: &EndpointId,
     service: &ServiceId,
     sample: Option<Sample>,
 ) -> bool {
-    let gauge = world.load.endpoint_stats.get(id);
-    if gauge.is_none_or(|gauge| gauge.ejection.state() != State::Probing) {
+    let stats = world.load.endpoint_stats.get(id);
+    if stats.is_none_or(|stats| stats.ejection.state() != State::Probing) {
         return false;
     }
-    let normal = world.load.typical_unit_time(service);
-    let pace = sample.map(|sample| sample.unit_time);
-    pace.zip(normal)
-        .is_some_and(|(pace, normal)| pace > SLOW_FACTOR * normal)
+    let typical = world.load.typical_unit_time(service);
+    let unit_time = sample.map(|sample| sample.unit_time);
+    unit_time
+        .zip(typical)
+        .is_some_and(|(unit_time, typical)| unit_time > SLOW_FACTOR * typical)
 }
 
-/// Sends an endpoint to rest, unless too many of its service are out already.
+/// Ejects an endpoint, unless too many endpoints of its service are ejected already.
 fn eject(world: &mut World, now: Instant, id: &EndpointId, service: &ServiceId) {
     let present = |e: &&Endpoint| e.service == *service && e.leaving.is_none();
     let others: Vec<&EndpointId> = world
@@ -147,49 +163,53 @@
         .filter(present)
         .map(|e| &e.id)
         .collect();
-    let is_out = |other: &&&EndpointId| {
-        let gauge = world.load.endpoint_stats.get(**other);
-        **other != id && gauge.is_some_and(|g| g.ejection.state() != State::Healthy)
+    let is_ejected = |other: &&&EndpointId| {
+        let stats = world.load.endpoint_stats.get(**other);
+        **other != id && stats.is_some_and(|stats| stats.ejection.state() != State::Healthy)
     };
-    let out = others.iter().filter(is_out).count();
-    if !may_eject(out, others.len()) {
+    let ejected = others.iter().filter(is_ejected).count();
+    if !may_eject(ejected, others.len()) {
         return;
     }
-    if let Some(gauge) = world.load.endpoint_stats.get_mut(id) {
-        gauge.ejection.eject(now);
+    if let Some(stats) = world.load.endpoint_stats.get_mut(id) {
+        stats.ejection.eject(now);
     }
     if let Some(endpoint) = world.endpoints.get_mut(id) {
         endpoint.shunned = Some(now);
     }
 }
 
-/// Wakes those whose rest is over, and tells the endpoints' table.
-fn rest(world: &mut World, now: Instant) {
-    let gauges = &mut world.load.endpoint_stats;
-    for (endpoint, gauge) in world.endpoints.iter_mut().zip(gauges) {
-        if gauge.ejection.start_probe(now) {
-            gauge.meter.reset_unit_time();
+/// Starts probing endpoints whose ejection is over, and updates the endpoint table.
+fn update_ejections(world: &mut World, now: Instant) {
+    let stats = &mut world.load.endpoint_stats;
+    for (endpoint, stats) in world.endpoints.iter_mut().zip(stats) {
+        if stats.ejection.start_probe(now) {
+            stats.meter.reset_unit_time();
         }
-        endpoint.shunned = gauge.ejection.until();
+        endpoint.shunned = stats.ejection.until();
     }
 }
 
-/// Ejects endpoints that are slow: by what they completed, or by requests that
-/// should have been completed long ago.
-fn review(world: &mut World, now: Instant) {
-    if world.load.reviewed.is_some_and(|at| now < at + REVIEW) {
+/// Ejects slow endpoints, judged by their completed requests or by running requests
+/// that should have completed long ago.
+fn eject_slow(world: &mut World, now: Instant) {
+    if world
+        .load
+        .reviewed
+        .is_some_and(|at| now < at + REVIEW_INTERVAL)
+    {
         return;
     }
     world.load.reviewed = Some(now);
-    let wholes = world.load.service_stats.iter();
-    let services: Vec<ServiceId> = wholes.map(|whole| whole.service.clone()).collect();
+    let services = world.load.service_stats.iter();
+    let services: Vec<ServiceId> = services.map(|whole| whole.service.clone()).collect();
     for service in services {
-        let Some(normal) = world.load.typical_unit_time(&service) else {
+        let Some(typical) = world.load.typical_unit_time(&service) else {
             continue;
         };
-        let late = late(world, now, normal);
+        let late = late_endpoints(world, now, typical);
         let here = world.endpoints.iter().filter(|e| e.service == service);
-        let slow = here.filter(|e| is_slow(world, e, normal, &late));
+        let slow = here.filter(|e| is_slow(world, e, typical, &late));
         let slow: Vec<EndpointId> = slow.map(|e| e.id.clone()).collect();
         for id in slow {
             eject(world, now, &id, &service);
@@ -197,33 +217,33 @@
     }
 }
 
-/// Endpoints of the running requests that should have been completed long ago,
-/// sorted, each as often as it has any.
-fn late(world: &World, now: Instant, normal: f64) -> Vec<&EndpointId> {
-    let margin = REVIEW.as_secs_f64();
+/// Endpoints of the running requests that should have completed long ago, sorted, with
+/// one entry for each such request.
+fn late_endpoints(world: &World, now: Instant, typical: f64) -> Vec<&EndpointId> {
+    let margin = REVIEW_INTERVAL.as_secs_f64();
     let sent = world.load.in_flight.iter();
-    let late = sent.filter(|s| s.mark.age(now) > SLOW_FACTOR * normal * s.work + margin);
+    let late = sent.filter(|s| s.mark.age(now) > SLOW_FACTOR * typical * s.work + margin);
     let mut late: Vec<&EndpointId> = late.map(|sent| &sent.endpoint).collect();
     late.sort();
     late
 }
 
-fn is_slow(world: &World, endpoint: &Endpoint, normal: f64, late: &[&EndpointId]) -> bool {
-    let Some(gauge) = world.load.endpoint_stats.get(&endpoint.id) else {
+fn is_slow(world: &World, endpoint: &Endpoint, typical: f64, late: &[&EndpointId]) -> bool {
+    let Some(stats) = world.load.endpoint_stats.get(&endpoint.id) else {
         return false;
     };
-    if gauge.ejection.state() == State::Ejected {
+    if stats.ejection.state() == State::Ejected {
         return false;
     }
-    let pace = gauge.meter.reliable_unit_time();
-    if pace.is_some_and(|pace| pace > SLOW_FACTOR * normal) {
+    let unit_time = stats.meter.reliable_unit_time();
+    if unit_time.is_some_and(|unit_time| unit_time > SLOW_FACTOR * typical) {
         return true;
     }
     let from = late.partition_point(|id| **id < endpoint.id);
     let until = late.partition_point(|id| **id <= endpoint.id);
-    let enough = match gauge.ejection.state() {
+    let enough = match stats.ejection.state() {
         State::Probing => 1,
-        State::Healthy | State::Ejected => LATE.max(endpoint.running.div_ceil(2) as usize),
+        State::Healthy | State::Ejected => MIN_LATE.max(endpoint.running.div_ceil(2) as usize),
     };
     until - from >= enough
 }
--- a/lib/src/systems/intake.rs
+++ b/lib/src/systems/intake.rs
@@ -1,4 +1,4 @@
-//! Puts inputs into the tables.
+//! Applies inputs to the tables.
 
 use std::time::Instant;
 
@@ -19,33 +19,33 @@
     for input in inputs {
         match input {
             Input::Arrived(order) => arrived.push(order),
-            Input::Left(request) => left(world, request),
+            Input::Left(request) => caller_left(world, request),
             Input::Progress {
                 attempt,
                 request,
                 delivered,
             } => {
-                progress(world, now, attempt, request, delivered);
+                record_progress(world, now, attempt, request, delivered);
             }
             Input::Ended {
                 attempt,
                 request,
                 outcome,
             } => {
-                ended(world, now, attempt, request, outcome);
+                attempt_ended(world, now, attempt, request, outcome);
             }
-            Input::Lists(lists) => adopt(world, lists),
-            Input::Endpoint(known) => know(world, now, known),
-            Input::Leaving { endpoint, until } => leaving::notice(world, now, &endpoint, until),
+            Input::Lists(lists) => apply_lists(world, lists),
+            Input::Endpoint(known) => update_endpoint(world, now, known),
+            Input::Leaving { endpoint, until } => leaving::add_notice(world, now, &endpoint, until),
             Input::Gone(endpoint) => {
-                leaving::gone(world, &endpoint);
+                leaving::remove_endpoint(world, &endpoint);
             }
             Input::Routing(event) => world.routing.take(now, event),
             Input::Fleet(count) => world.load.shares.set_expected(count),
-            Input::Met(incarnation) => allowance::meet(world, now, incarnation),
+            Input::Met(incarnation) => allowance::record_peer(world, now, incarnation),
             Input::Parted(incarnation) => world.load.shares.remove_peer(incarnation),
-            Input::Share(row) => allowance::hear(world, now, row),
-            Input::Move { service, event } => moving::learn(world, now, &service, event),
+            Input::Share(row) => allowance::merge_share(world, now, row),
+            Input::Move { service, event } => moving::apply_event(world, now, &service, event),
             Input::Watch(watch) => world.watch = Some(watch),
             Input::Drain => world.draining = true,
         }
@@ -53,9 +53,9 @@
     arrived
 }
 
-/// Adopts lists of a higher revision only, so that nothing reverts when an old
-/// answer of the store or of a peer arrives late.
-fn adopt(world: &mut World, accepted: Accepted) {
+/// Applies only lists of a higher revision, so that a delayed response of the store or
+/// of a peer cannot revert newer lists.
+fn apply_lists(world: &mut World, accepted: Accepted) {
     if accepted.revision <= world.revision {
         return;
     }
@@ -65,7 +65,7 @@
     world.plans = accepted.lists.plans.into_iter().collect();
 }
 
-fn know(world: &mut World, now: Instant, known: Known) {
+fn update_endpoint(world: &mut World, now: Instant, known: Known) {
     let old = world.endpoints.remove(&known.id);
     let same = old.filter(|o| o.address == known.address && o.version == known.version);
     let endpoint = same.unwrap_or(Endpoint {
@@ -83,12 +83,12 @@
     world.endpoints.insert(endpoint);
 }
 
-fn left(world: &mut World, id: RequestId) {
+fn caller_left(world: &mut World, id: RequestId) {
     let Some(request) = world.requests.get(&id) else {
         return;
     };
-    // Stopping a request that may run only once would leave it half done, so it
-    // runs to its end, and its answer is kept for a caller who comes back.
+    // Cancelling a non-idempotent request could leave it half done. It runs to its end,
+    // and its answer is kept for a caller that reconnects.
     if matches!(request, Request::Once(_)) {
         return;
     }
@@ -101,7 +101,7 @@
     finish(world, id, Ending::Left);
 }
 
-fn progress(
+fn record_progress(
     world: &mut World,
     now: Instant,
     attempt: AttemptId,
@@ -114,14 +114,20 @@
     if request.attempt() == Some(attempt) {
         request.progress(now, delivered);
     } else {
-        // Told of a sending whose endpoint died in the meantime. The caller has
-        // these tokens all the same, and the next endpoint goes on after them.
+        // The tokens came from an attempt whose endpoint has died since. The caller has
+        // received them, so the next endpoint continues after them.
         request.reached(delivered);
     }
 }
 
-fn ended(world: &mut World, now: Instant, attempt: AttemptId, id: RequestId, outcome: Outcome) {
-    // An outcome of an earlier sending comes late: the request runs elsewhere.
+fn attempt_ended(
+    world: &mut World,
+    now: Instant,
+    attempt: AttemptId,
+    id: RequestId,
+    outcome: Outcome,
+) {
+    // Late outcome of an earlier attempt: the request runs at another endpoint by now.
     if world.requests.get(&id).and_then(Request::attempt) != Some(attempt) {
         return;
     }
@@ -130,11 +136,11 @@
     };
     if let Some(endpoint) = request.endpoint().cloned() {
         release(world, &endpoint);
-        health::judge(world, now, &request, &outcome);
+        health::record_outcome(world, now, &request, &outcome);
         if !matches!(outcome, Outcome::Unsent(_)) {
-            leaving::took(world, now, &request);
+            leaving::record_duration(world, now, &request);
         }
-        moving::observe(world, now, &request, &outcome);
+        moving::record_outcome(world, now, &request, &outcome);
     }
     match (request, outcome) {
         (request, Outcome::Whole { status }) => {
@@ -165,18 +171,19 @@
     }
 }
 
-/// Whether any endpoint would fail in the same way, so that another try is lost.
+/// Whether any endpoint would fail in the same way, so that a retry is useless.
 fn is_final(code: Code) -> bool {
     code == Code::LargeAnswer
 }
 
+/// Records that a request no longer runs at an endpoint.
 pub(crate) fn release(world: &mut World, endpoint: &EndpointId) {
     if let Some(endpoint) = world.endpoints.get_mut(endpoint) {
         endpoint.running = endpoint.running.saturating_sub(1);
     }
 }
 
-/// Ends a request: takes it out and tells its caller.
+/// Ends a request: removes it and reports the ending to its caller.
 pub(crate) fn finish(world: &mut World, id: RequestId, ending: Ending) {
     let Some(request) = world.requests.remove(&id) else {
         return;
--- a/lib/src/systems/leaving.rs
+++ b/lib/src/systems/leaving.rs
@@ -1,11 +1,11 @@
-//! Endpoints that are leaving or gone, and the streams that run there.
+//! Handles endpoints that are leaving or gone, and the streams that run there.
 //!
-//! Answers reclaims, of one host or of a zone at once. Without it new work goes to
-//! endpoints that are about to vanish, and every stream there breaks at the same
-//! moment, is queued again and computed from its beginning. A notice stops new
-//! work in the tick that hears of it. Each stream is then looked at in every tick
-//! until it has ended or left: one that was thought to end in time and does not
-//! still leaves before the end.
+//! Covers reclaims of one host or of a whole zone. Without it new requests go to
+//! endpoints that are about to disappear, and all streams there break at the same
+//! moment, are queued again and computed from the start. No new request is sent to
+//! an endpoint from the tick that receives its notice. Each stream is then checked in
+//! every tick until it has ended or moved, so a stream that was expected to end in
+//! time and does not is still moved before the endpoint is gone.
 
 use std::time::{Duration, Instant};
 
@@ -16,9 +16,9 @@
 use crate::routing::{Ask, Carry, Pick, Policy, Stream, pick, plan, stays};
 use crate::world::World;
 
-/// Notes a notice. Of two announcements the earlier end counts: new work then
-/// stops in time.
-pub(crate) fn notice(world: &mut World, now: Instant, endpoint: &EndpointId, until: Instant) {
+/// Records a notice that an endpoint is leaving. Of two notices the earlier time counts,
+/// so that new requests stop in time.
+pub(crate) fn add_notice(world: &mut World, now: Instant, endpoint: &EndpointId, until: Instant) {
     world.routing.notices.note(now, endpoint, until);
     if let Some(endpoint) = world.endpoints.get_mut(endpoint) {
         let known = endpoint.leaving.unwrap_or(until);
@@ -26,10 +26,11 @@
     }
 }
 
-/// Takes an endpoint out; what may be repeated waits to go on elsewhere from the
-/// tokens delivered. What may run only once keeps waiting for its border's word:
-/// the list of hosts may be wrong, and the answer may still come.
-pub(crate) fn gone(world: &mut World, endpoint: &EndpointId) {
+/// Removes an endpoint. Its idempotent requests wait again and continue elsewhere after
+/// the tokens already delivered. Non-idempotent requests keep running until their
+/// connection reports an outcome: the list of hosts may be wrong, and the answer may
+/// still arrive.
+pub(crate) fn remove_endpoint(world: &mut World, endpoint: &EndpointId) {
     if world.endpoints.remove(endpoint).is_none() {
         return;
     }
@@ -44,19 +45,22 @@
     }
 }
 
-/// Notes how long a request took, or at least took, for its route's slow tail.
-pub(crate) fn took(world: &mut World, now: Instant, request: &Request) {
+/// Records how long a request took, or has taken so far, for the tail latency of its route.
+pub(crate) fn record_duration(world: &mut World, now: Instant, request: &Request) {
     let sent = match request {
         Request::Repeatable(running) => running.sent,
         Request::Once(running) => running.sent,
         Request::Waiting(_) => return,
     };
     let order = request.order();
-    let took = now.saturating_duration_since(sent);
-    world.routing.tails.note(&order.service, &order.route, took);
+    let duration = now.saturating_duration_since(sent);
+    world
+        .routing
+        .tails
+        .note(&order.service, &order.route, duration);
 }
 
-/// Carries streams away from the endpoints that are leaving.
+/// Moves streams away from the endpoints that are leaving.
 pub(crate) fn run(world: &mut World, now: Instant) {
     world.routing.sync(now, &world.setup, &world.endpoints);
     if world.routing.policy != Policy::Cost {
@@ -65,12 +69,12 @@
     let mut late = overdue(world, now);
     late.sort_unstable();
     for streams in late.chunk_by(|a, b| a.0 == b.0) {
-        clear(world, now, streams);
+        move_streams(world, now, streams);
     }
 }
 
-/// Streams that would not end before their endpoint is gone, each with its
-/// endpoint. Most streams do end in time, and of these nothing more is asked.
+/// Streams that would not end before their endpoint is gone, each with its endpoint.
+/// Most streams end in time and need no further work.
 fn overdue(world: &World, now: Instant) -> Vec<(EndpointId, RequestId)> {
     let leaving = |endpoint: &&Endpoint| endpoint.leaving.is_some() && endpoint.running > 0;
     let endpoints: Vec<&Endpoint> = world.endpoints.iter().filter(leaving).collect();
@@ -85,20 +89,23 @@
         let Ok(at) = endpoints.binary_search_by(|e| e.id.cmp(&running.endpoint)) else {
             continue;
         };
-        if !stays(rest(world, now, running), left(endpoints[at], now)) {
+        if !stays(
+            remaining_time(world, now, running),
+            time_left(endpoints[at], now),
+        ) {
             overdue.push((running.endpoint.clone(), running.order.id));
         }
     }
     overdue
 }
 
-fn left(endpoint: &Endpoint, now: Instant) -> Duration {
+fn time_left(endpoint: &Endpoint, now: Instant) -> Duration {
     let until = endpoint.leaving.unwrap_or(now);
     until.saturating_duration_since(now)
 }
 
-/// Carries streams of one endpoint away.
-fn clear(world: &mut World, now: Instant, overdue: &[(EndpointId, RequestId)]) {
+/// Moves the overdue streams of one endpoint.
+fn move_streams(world: &mut World, now: Instant, overdue: &[(EndpointId, RequestId)]) {
     let Some((endpoint, _)) = overdue.first() else {
         return;
     };
@@ -110,15 +117,15 @@
         .filter_map(|(_, id)| stream(world, now, &endpoint, *id))
         .collect();
     let (export, queued) = exports(world, now, &endpoint.id);
-    let carries = plan(left(&endpoint, now), export, queued, &streams);
-    for ((_, id), carry) in overdue.iter().zip(carries) {
-        if carry != Carry::Stay {
-            carry_on(world, now, *id, carry);
+    let actions = plan(time_left(&endpoint, now), export, queued, &streams);
+    for ((_, id), action) in overdue.iter().zip(actions) {
+        if action != Carry::Stay {
+            move_stream(world, now, *id, action);
         }
     }
 }
 
-/// Rate at which an endpoint gives KV cache out, and what it gives out already.
+/// Rate at which an endpoint exports KV cache, and the exports that are queued already.
 fn exports(world: &World, now: Instant, endpoint: &EndpointId) -> (f64, f64) {
     let Some(seat) = world.routing.get(endpoint) else {
         return (0.0, 0.0);
@@ -131,10 +138,10 @@
     let Some(Request::Repeatable(running)) = world.requests.get(&id).cloned() else {
         return None;
     };
-    let rest = rest(world, now, &running);
+    let rest = remaining_time(world, now, &running);
     let cache = running.order.prompt.saturating_add(running.delivered);
     let started = running.first.is_some();
-    let to = elsewhere(world, now, &running);
+    let to = pick_other(world, now, &running);
     let cached = to.as_ref().map_or(0.0, |pick| pick.cached);
     Some(Stream {
         rest,
@@ -144,8 +151,8 @@
     })
 }
 
-/// How long a request still runs, at the longest.
-fn rest(world: &World, now: Instant, running: &Running<Repeatable>) -> Duration {
+/// Upper estimate of the time that a request still runs.
+fn remaining_time(world: &World, now: Instant, running: &Running<Repeatable>) -> Duration {
     let order = &running.order;
     let Some(seat) = world.routing.get(&running.endpoint) else {
         return Duration::ZERO;
@@ -162,12 +169,12 @@
         None => f64::from(order.prompt) + seat.load.pending(now),
     };
     let seconds = answer / report.decode.max(1.0) + prompt / report.prefill.max(1.0);
-    // A report may name any number, and one too large for a duration must not
-    // stop the daemon.
+    // A load report may contain any number; one too large for a duration must not
+    // panic.
     Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
 }
 
-fn elsewhere(world: &mut World, now: Instant, running: &Running<Repeatable>) -> Option<Pick> {
+fn pick_other(world: &mut World, now: Instant, running: &Running<Repeatable>) -> Option<Pick> {
     let waiting = running.clone().again();
     let ask = Ask {
         filter: &world.open_to(now, &waiting),
@@ -178,10 +185,11 @@
     pick(&world.routing, &world.endpoints, &ask, &mut world.rng)
 }
 
-/// Whether KV cache of one endpoint can go into another: both can carry it, and
-/// both run one version, as another may lay its cache out differently.
+/// Whether KV cache can be transferred from one endpoint to another: both support
+/// transfers, and both run the same version, since the cache layout may differ between
+/// versions.
 fn takes_cache(world: &World, from: &Endpoint, to: &EndpointId) -> bool {
-    let carries = |id| {
+    let can_export = |id| {
         let seat = world.routing.get(id);
         seat.is_some_and(|seat| seat.load.last().export > 0.0)
     };
@@ -189,16 +197,16 @@
         .endpoints
         .get(to)
         .is_some_and(|to| to.version == from.version);
-    same && carries(&from.id) && carries(to)
+    same && can_export(&from.id) && can_export(to)
 }
 
-/// Sends a stream on to another endpoint. While there is none it stays, as every
-/// token that it still gives need not be computed elsewhere.
-fn carry_on(world: &mut World, now: Instant, id: RequestId, carry: Carry) {
+/// Moves a stream to another endpoint. While there is none it stays, since tokens that
+/// it still generates need not be computed elsewhere.
+fn move_stream(world: &mut World, now: Instant, id: RequestId, action: Carry) {
     let Some(Request::Repeatable(running)) = world.requests.get(&id).cloned() else {
         return;
     };
-    let Some(to) = elsewhere(world, now, &running) else {
+    let Some(to) = pick_other(world, now, &running) else {
         return;
     };
     let attempt = world.next_attempt();
@@ -208,9 +216,9 @@
     ) else {
         return;
     };
-    // An earlier stream may have taken the place that the plan was made with.
+    // A stream moved earlier in this tick may have used the capacity that the plan assumed.
     let size = running.order.prompt.saturating_add(running.delivered);
-    let moves = carry == Carry::Move && takes_cache(world, &from, &row.id);
+    let moves = action == Carry::Move && takes_cache(world, &from, &row.id);
     if moves {
         world.routing.exported(now, &from.id, size);
     } else {
@@ -236,12 +244,12 @@
     world
         .routing
         .sent(now, &running.order.blocks, &row.id, prompt);
-    shift(world, &from.id, &row.id);
-    let carried = running.move_to(sending);
-    world.requests.insert(Request::Repeatable(carried));
+    shift_running(world, &from.id, &row.id);
+    let continued = running.move_to(sending);
+    world.requests.insert(Request::Repeatable(continued));
 }
 
-fn shift(world: &mut World, from: &EndpointId, to: &EndpointId) {
+fn shift_running(world: &mut World, from: &EndpointId, to: &EndpointId) {
     if let Some(from) = world.endpoints.get_mut(from) {
         from.running = from.running.saturating_sub(1);
     }
--- a/lib/src/systems/moving.rs
+++ b/lib/src/systems/moving.rs
@@ -1,8 +1,8 @@
-//! Version moves in the deciding core.
+//! Connects the version moves to the other systems.
 //!
-//! Gives each request that is let in a version, once; tells the endpoint's choice
-//! which endpoints are open to it; counts how requests went; and runs each
-//! service's controller.
+//! Assigns each admitted request to a version, once; restricts the endpoints that the
+//! request may be sent to; records the outcomes of requests per version; and runs the
+//! move controller of each service.
 
 use std::time::{Duration, Instant};
 
@@ -16,7 +16,7 @@
 use crate::table::Row;
 use crate::world::World;
 
-/// A request that may go to the new version.
+/// A request that was assigned to the new version.
 #[proc_macros::row]
 pub struct Chosen {
     /// Request.
@@ -30,12 +30,12 @@
     }
 }
 
-/// Wall-clock time and reach as the border last gave them.
+/// Wall-clock time and the daemons in reach, as last reported by the process around the core.
 #[proc_macros::row]
 pub struct Watch {
-    /// When they were given.
+    /// When they were reported, on the monotonic clock.
     pub at: Instant,
-    /// Wall clock then, in milliseconds since 1970.
+    /// Wall-clock time then, in milliseconds since 1970.
     pub wall: u64,
     /// Live daemons.
     pub reach: Reach,
@@ -51,8 +51,8 @@
     }
 }
 
-/// Applies what the border learned about the move of a service.
-pub(crate) fn learn(world: &mut World, now: Instant, service: &ServiceId, event: Event) {
+/// Applies an event of a service's version move.
+pub(crate) fn apply_event(world: &mut World, now: Instant, service: &ServiceId, event: Event) {
     let Some(watch) = &world.watch else {
         return;
     };
@@ -74,7 +74,7 @@
     }
 }
 
-/// Gives the requests that were just let in their version.
+/// Assigns the requests that were just admitted to a version.
 pub(crate) fn assign(world: &mut World, now: Instant, arrived: &[RequestId]) {
     if world.moves.is_empty() {
         return;
@@ -94,7 +94,7 @@
     }
 }
 
-/// Runs every controller.
+/// Runs every move controller and collects its actions.
 pub(crate) fn run(world: &mut World, now: Instant) {
     let Some(watch) = &world.watch else {
         return;
@@ -119,20 +119,20 @@
     world.chosen.retain(waits);
 }
 
-/// Versions and endpoints that a waiting request may go to, as a filter for the
-/// endpoint's choice.
+/// Versions and endpoints that a waiting request may be sent to; a filter for endpoint
+/// selection.
 #[derive(Debug, Default)]
 pub struct Filter {
-    /// Version wanted; none if any will do.
+    /// Required version; none if any is allowed.
     version: Option<VersionId>,
-    /// Version that gets nothing.
+    /// Excluded version.
     except: Option<VersionId>,
-    /// Endpoints in use of the version, if only some are.
+    /// Allowed endpoints, sorted, if the stage uses only some of the version's endpoints.
     among: Option<Vec<EndpointId>>,
 }
 
 impl Filter {
-    /// Whether an endpoint is open to the request.
+    /// Whether the request may be sent to an endpoint.
     pub fn allows(&self, endpoint: &Endpoint) -> bool {
         let version = self.version.as_ref();
         let fits = version.is_none_or(|version| *version == endpoint.version)
@@ -143,32 +143,33 @@
 }
 
 impl World {
-    /// The filter for a waiting request, for the endpoint's choice.
+    /// The endpoint filter for a waiting request.
     ///
-    /// A request that failed once goes to the old version, so a bad new one
-    /// spoils it no second time.
+    /// A request that failed once goes to the old version, so that a faulty new version
+    /// cannot fail it twice.
     pub fn open_to(&self, now: Instant, waiting: &Waiting) -> Filter {
         let order = &waiting.order;
         let controller = self.moves.get(&order.service);
         let Some((controller, (from, to))) = controller.and_then(|c| Some((c, c.versions()?)))
         else {
-            return self.before_moves(&order.service);
+            return self.initial_filter(&order.service);
         };
         let chosen = waiting.tries == 0 && self.chosen.contains(&order.id);
         let new = controller.is_done()
-            || (chosen && controller.is_open(now) && takes(self, now, &order.service, to))
-            || (!controller.is_ended() && self.is_left(controller, from));
+            || (chosen && controller.is_open(now) && has_open(self, now, &order.service, to))
+            || (!controller.is_ended() && self.is_old_gone(controller, from));
         let version = if new { to } else { from };
-        // Long after a move, endpoints may have been replaced without another.
+        // Long after a move, the endpoints may have been replaced by ones of another version
+        // without a further move.
         if controller.is_ended() && !self.runs(&order.service, version) {
             return Filter {
                 except: (!new).then(|| to.clone()),
                 ..Filter::default()
             };
         }
-        let among = controller.endpoint_counts(now).map(|spread| {
+        let among = controller.endpoint_counts(now).map(|counts| {
             let mut among = open(self, now, &order.service, version);
-            rank(&mut among, spread, new);
+            keep_ranked(&mut among, counts, new);
             among.sort();
             among
         });
@@ -179,9 +180,10 @@
         }
     }
 
-    /// New versions are started beside the old one. Without a stated version they
-    /// would get their part of the requests before any move watches them.
-    fn before_moves(&self, service: &ServiceId) -> Filter {
+    /// The filter before the first move of a service. Endpoints of a new version are
+    /// started while the old ones run; without a version in the settings they would get
+    /// requests before a move monitors them.
+    fn initial_filter(&self, service: &ServiceId) -> Filter {
         let stated = self.services.get(service).and_then(|s| s.version.clone());
         Filter {
             version: stated.filter(|version| self.runs(service, version)),
@@ -189,25 +191,25 @@
         }
     }
 
-    /// Whether an endpoint of a version is known, even a resting one.
+    /// Whether any endpoint of a version is known, including ejected ones.
     fn runs(&self, service: &ServiceId, version: &VersionId) -> bool {
         let mut endpoints = self.endpoints.iter();
         endpoints.any(|e| e.service == *service && e.version == *version)
     }
 
-    /// Whether no endpoint of the old version is left. A zone that is cut off then
-    /// serves what it can with the new one, unless that is known to be bad.
-    fn is_left(&self, controller: &Controller, from: &VersionId) -> bool {
+    /// Whether no endpoint of the old version is left. A partitioned zone then uses the
+    /// new version, unless there is a verdict against it.
+    fn is_old_gone(&self, controller: &Controller, from: &VersionId) -> bool {
         controller.verdict().is_none() && !self.runs(controller.id(), from)
     }
 }
 
-/// Whether some endpoint of a version takes work.
-fn takes(world: &World, now: Instant, service: &ServiceId, version: &VersionId) -> bool {
+/// Whether some endpoint of a version accepts requests.
+fn has_open(world: &World, now: Instant, service: &ServiceId, version: &VersionId) -> bool {
     !open(world, now, service, version).is_empty()
 }
 
-/// Endpoints of a version that take work, in the order every daemon agrees on.
+/// Endpoints of a version that accept requests, sorted by id: the same order at every daemon.
 fn open(world: &World, now: Instant, service: &ServiceId, version: &VersionId) -> Vec<EndpointId> {
     let runs = |e: &&Endpoint| e.service == *service && e.version == *version && e.takes(now);
     world
@@ -218,40 +220,45 @@
         .collect()
 }
 
-/// Keeps those that the stage uses.
-fn rank(open: &mut Vec<EndpointId>, spread: EndpointCounts, new: bool) {
-    let count = if new { spread.new } else { spread.old };
+/// Keeps the endpoints that the current stage uses. They are ranked by the hash of their id, so
+/// that all daemons select the same ones.
+fn keep_ranked(open: &mut Vec<EndpointId>, counts: EndpointCounts, new: bool) {
+    let count = if new { counts.new } else { counts.old };
     open.sort_by_key(|id| xxhash_rust::xxh3::xxh3_64(id.as_bytes()));
     open.truncate(count as usize);
 }
 
-/// Counts how a request went for its version.
+/// Records the outcome of a request for its version.
 ///
-/// A connection that was not made counts neither way. Its request goes to another
-/// endpoint, and when a host is lost every daemon meets a few of them until the
-/// list of hosts says so; counted, they took back good versions. A version that
-/// takes no connections shows by the requests that it did not see.
-pub(crate) fn observe(world: &mut World, now: Instant, request: &Request, outcome: &Outcome) {
+/// A failed connection counts neither as success nor as failure. Its request goes to
+/// another endpoint, and when a host is lost every daemon sees a few failed connections
+/// until the list of hosts is updated; when these were counted, good versions were rolled
+/// back. A version that accepts no connections shows by the requests missing from its counts.
+pub(crate) fn record_outcome(
+    world: &mut World,
+    now: Instant,
+    request: &Request,
+    outcome: &Outcome,
+) {
     match outcome {
-        Outcome::Whole { status } => count(world, now, request, *status < 500),
-        Outcome::Broken { .. } => count(world, now, request, false),
+        Outcome::Whole { status } => record(world, now, request, *status < 500),
+        Outcome::Broken { .. } => record(world, now, request, false),
         Outcome::Unsent(_) => {}
     }
 }
 
-/// Counts a request that missed its deadline while it ran.
-pub(crate) fn overdue(world: &mut World, now: Instant, request: &Request) {
-    count(world, now, request, false);
+/// Records a failure for a request that missed its deadline while it ran.
+pub(crate) fn record_overdue(world: &mut World, now: Instant, request: &Request) {
+    record(world, now, request, false);
 }
 
-fn count(world: &mut World, now: Instant, request: &Request, whole: bool) {
-    let (order, version, endpoint, took) = match request {
+fn record(world: &mut World, now: Instant, request: &Request, whole: bool) {
+    let (order, version, endpoint, latency) = match request {
         Request::Waiting(_) => return,
-        Request::Repeatable(r) => (&r.order, &r.version, &r.endpoint, took(r, now)),
-        Request::Once(r) => (&r.order, &r.version, &r.endpoint, took(r, now)),
+        Request::Repeatable(r) => (&r.order, &r.version, &r.endpoint, latency(r, now)),
+        Request::Once(r) => (&r.order, &r.version, &r.endpoint, latency(r, now)),
     };
-    // What breaks at an endpoint that is being reclaimed is no fault of the
-    // version it runs.
+    // A failure at an endpoint that is being reclaimed is not caused by its version.
     let leaving = world
         .endpoints
         .get(endpoint)
@@ -277,11 +284,12 @@
         route: order.route.clone(),
         idempotent: order.repeatable,
         which,
-        time: whole.then_some(took),
+        time: whole.then_some(latency),
         compared,
     });
 }
 
+/// Whether the endpoint is among those whose outcomes the controller compares.
 fn is_compared(
     world: &World,
     now: Instant,
@@ -292,27 +300,28 @@
     let Some(controller) = world.moves.get(service) else {
         return false;
     };
-    let Some(spread) = controller.compared() else {
+    let Some(counts) = controller.compared() else {
         return false;
     };
     let new = controller.versions().is_some_and(|(_, to)| to == version);
     let mut open = open(world, now, service, version);
-    rank(&mut open, spread, new);
+    keep_ranked(&mut open, counts, new);
     open.contains(endpoint)
 }
 
-/// Tokens that a request's pace is given for: about a second of them.
-const PACE: u32 = 32;
+/// Number of tokens after the first that the latency of a request is normalized to; about one
+/// second of generation.
+const LATENCY_TOKENS: u32 = 32;
 
-/// One figure for a request's latency: the time to its first token and that of
-/// [`PACE`] further ones, so that long and short answers can be compared. An
-/// answer without tokens counts whole.
-fn took<K>(request: &Running<K>, now: Instant) -> Duration {
+/// Latency of a request as one number: the time to its first token plus the time of
+/// [`LATENCY_TOKENS`] further ones, so that long and short answers are comparable. For an
+/// answer without tokens it is the total time.
+fn latency<K>(request: &Running<K>, now: Instant) -> Duration {
     let all = now.saturating_duration_since(request.sent);
     let Some(first) = request.first else {
         return all;
     };
     let first = first.saturating_duration_since(request.sent);
     let rest = all.saturating_sub(first);
-    first + rest * PACE / request.delivered.max(PACE)
+    first + rest * LATENCY_TOKENS / request.delivered.max(LATENCY_TOKENS)
 }
--- a/lib/src/systems/queue.rs
+++ b/lib/src/systems/queue.rs
@@ -1,8 +1,8 @@
-//! Which waiting requests are sent now, and in which order.
+//! Selects the waiting requests that are sent in this tick, and their order.
 //!
-//! Only as many are named as the endpoints can take: walking thousands of
-//! waiting requests for each arrival, only to find every endpoint full, would
-//! cost the more the longer the queue is, which is when a tick must be short.
+//! It selects only as many as the endpoints have capacity for. Scanning thousands of
+//! waiting requests on each arrival, only to find all endpoints full, would make a tick
+//! slower as the queue grows, which is when ticks must be short.
 
 use std::time::{Duration, Instant};
 
@@ -17,23 +17,23 @@
 use crate::table::Row;
 use crate::world::World;
 
-/// Ids of the requests to send now, in their order.
-pub(crate) fn order(world: &mut World, now: Instant) -> Vec<RequestId> {
+/// Ids of the requests to send in this tick, in the order of sending.
+pub(crate) fn next_requests(world: &mut World, now: Instant) -> Vec<RequestId> {
     reconcile(world);
     if world.load.policy.admission == Choice::Adaptive {
-        give_up(world, now);
+        reject_late(world, now);
     }
     match world.load.policy.queue {
         Choice::Plain => by_arrival(world),
-        Choice::Adaptive => by_share(world, now),
+        Choice::Adaptive => by_fair_share(world, now),
     }
 }
 
-/// Makes the queue hold what waits, and nothing else count as running.
+/// Makes the queues hold exactly the waiting requests, and drops attempts that no longer run.
 ///
-/// Other systems may make a running request wait again by changing its row, as
-/// when its endpoint leaves. It would then stand in no queue: its caller would
-/// hear nothing until the deadline, while endpoints are free.
+/// Other systems may make a running request wait again by changing its row, for example
+/// when its endpoint is gone. Without this step it would be in no queue and would time
+/// out at its deadline although endpoints are free.
 fn reconcile(world: &mut World) {
     let waits = |request: &&Request| matches!(request, Request::Waiting(_));
     let waiting = world.requests.iter().filter(waits).count();
@@ -46,29 +46,30 @@
     }
 }
 
-/// All that wait, first come first served.
+/// All waiting requests, first come, first served.
 fn by_arrival(world: &World) -> Vec<RequestId> {
     let waiting = |request: &&Request| matches!(request, Request::Waiting(_));
     let requests = world.requests.iter().filter(waiting);
     requests.map(|request| request.order().id).collect()
 }
 
-/// As many as there are free places, in the order that `load::fair_queue` states.
-fn by_share(world: &mut World, now: Instant) -> Vec<RequestId> {
-    let lanes = world.load.queues.iter();
-    let services: Vec<ServiceId> = lanes.map(|lane| lane.id().clone()).collect();
+/// As many requests as the endpoints have free capacity for, in the order of `load::fair_queue`.
+fn by_fair_share(world: &mut World, now: Instant) -> Vec<RequestId> {
+    let queues = world.load.queues.iter();
+    let services: Vec<ServiceId> = queues.map(|queue| queue.id().clone()).collect();
     let mut ids = Vec::new();
     for service in services {
-        offer(world, now, &service, &mut ids);
+        take_sendable(world, now, &service, &mut ids);
     }
     ids
 }
 
-fn offer(world: &mut World, now: Instant, service: &ServiceId, ids: &mut Vec<RequestId>) {
+/// Takes the requests of one service that its free capacity allows from its queue.
+fn take_sendable(world: &mut World, now: Instant, service: &ServiceId, ids: &mut Vec<RequestId>) {
     let endpoints = world.endpoints.iter();
     let open = endpoints.filter(|e| e.service == *service && e.takes(now));
-    let places: u32 = open.map(|e| e.limit - e.running).sum();
-    let mut free = places.min(world.load.capacity(service).free());
+    let capacity: u32 = open.map(|e| e.limit - e.running).sum();
+    let mut free = capacity.min(world.load.capacity(service).free());
     while free > 0 {
         let Some(taken) = world.load.queue(service).pop() else {
             return;
@@ -81,10 +82,10 @@
     }
 }
 
-/// A request that no endpoint with a free place is open to must not use the place
-/// up: it would stand first in every tick and hold back all behind it. That is so
-/// after failures, while a version move leaves it few endpoints, and for one that
-/// may run only once while its endpoints are leaving.
+/// Whether an endpoint with free capacity accepts the request. One that no such endpoint
+/// accepts must not use up the capacity: it would be first in every tick and block all
+/// requests behind it. This happens after failures, while a version move allows it few
+/// endpoints, and to non-idempotent requests while their endpoints are leaving.
 fn can_send(world: &World, now: Instant, id: RequestId) -> bool {
     let Some(Request::Waiting(waiting)) = world.requests.get(&id) else {
         return false;
@@ -102,26 +103,26 @@
     is_open(&world.routing, &world.endpoints, &ask)
 }
 
-/// Ends the requests that can no longer be done in time. They were let in on a
-/// forecast that later load overtook; their callers hear so at once, and the
-/// endpoints do not begin what nobody waits for.
-fn give_up(world: &mut World, now: Instant) {
+/// Ends the requests that can no longer finish by their deadline. They were admitted on a
+/// forecast that later load made obsolete. Their callers get the rejection at once, and the
+/// endpoints do not start work that nobody waits for.
+fn reject_late(world: &mut World, now: Instant) {
     let mut late = Vec::new();
-    for lane in &world.load.queues {
-        let capacity = world.load.capacity(lane.id());
+    for queue in &world.load.queues {
+        let capacity = world.load.capacity(queue.id());
         let missed = |entry: &Entry| {
             let latest = capacity.latest_start(entry.deadline, entry.work);
             latest.is_some_and(|latest| latest < now)
         };
-        let entries = lane.iter().map(|(_, entry)| entry);
+        let entries = queue.iter().map(|(_, entry)| entry);
         late.extend(entries.filter(|e| missed(e)).map(|e| e.id));
     }
     for id in late {
-        end_late(world, now, id);
+        reject(world, now, id);
     }
 }
 
-fn end_late(world: &mut World, now: Instant, id: RequestId) {
+fn reject(world: &mut World, now: Instant, id: RequestId) {
     let Some(Request::Waiting(waiting)) = world.requests.get(&id) else {
         return;
     };
@@ -130,9 +131,9 @@
     let work = remaining_work(waiting);
     let rate = world.load.capacity(&service).rate;
     let queued = world.load.queues.get(&service).map_or(0.0, FairQueue::work);
-    let drained = Duration::from_secs_f64((queued / rate).clamp(0.0, 1e6));
-    let draw = f64::from(id as u8) / 255.0;
-    let again = world.load.retry_at(now, &service, drained, work, draw);
+    let drain_time = Duration::from_secs_f64((queued / rate).clamp(0.0, 1e6));
+    let jitter = f64::from(id as u8) / 255.0;
+    let again = world.load.retry_at(now, &service, drain_time, work, jitter);
     let ending = Ending::Failed {
         code: Code::TooLate,
         ran,
@@ -141,8 +142,8 @@
     finish(world, id, ending);
 }
 
-/// After the sending: notes what was sent, and puts back what was not.
-pub(crate) fn settle(world: &mut World, now: Instant) {
+/// Runs after sending: records the attempts that were sent and returns the others to their queue.
+pub(crate) fn record_sends(world: &mut World, now: Instant) {
     world.load.update_running(now, &world.endpoints);
     let sends = world.commands.iter().filter_map(|command| match command {
         Command::Send(send) => Some(send),
--- a/lib/src/systems/retry.rs
+++ b/lib/src/systems/retry.rs
@@ -1,8 +1,8 @@
-//! Decides whether a request that failed is sent again.
+//! Decides whether a failed request is retried.
 //!
-//! Only requests that wait again come here: the life cycle in `request` lets
-//! nothing else wait. One that is not sent again ends here and now; waiting for
-//! its deadline would only keep its caller from asking elsewhere.
+//! It handles only requests that are safe to retry: the types in `request` allow no
+//! other request to wait again. A request that is not retried ends at once; waiting for
+//! its deadline would only keep its caller from trying elsewhere.
 
 use std::time::{Duration, Instant};
 
@@ -12,26 +12,28 @@
 use crate::systems::intake::finish;
 use crate::world::World;
 
-/// Most sendings of one request; more would only add load where it is failing.
-const MOST_TRIES: u32 = 3;
-/// When to come back after a failure: the endpoint's first rest is over by then.
-const LATER: Duration = Duration::from_secs(2);
+/// Maximum number of attempts per request; more would only add load to a failing service.
+const MAX_ATTEMPTS: u32 = 3;
+/// Retry delay for callers after a failure; by then the first ejection of the endpoint is over.
+const RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Lets a request wait again, or ends it with what its last sending met.
+/// Queues a request again, or ends it with the error of its last attempt.
 pub(crate) fn run(world: &mut World, now: Instant, waiting: Waiting, code: Code, ran: Ran) {
-    let spent = waiting.tries >= MOST_TRIES;
+    let exhausted = waiting.tries >= MAX_ATTEMPTS;
     let over = match world.load.policy.retry {
-        Choice::Plain => spent,
-        Choice::Adaptive => spent || !elsewhere(world, &waiting) || !afford(world, &waiting, ran),
+        Choice::Plain => exhausted,
+        Choice::Adaptive => {
+            exhausted || !has_other_endpoint(world, &waiting) || !try_withdraw(world, &waiting, ran)
+        }
     };
     let id = waiting.order.id;
-    // Of the last sending nothing may have left, but something of an earlier one.
+    // Even if nothing of the last attempt was sent, an earlier attempt may have run.
     let ran = waiting.ran;
     let priority = world.priority(&waiting.order.customer);
     world.load.enqueue(priority, &waiting);
     world.requests.insert(Request::Waiting(waiting));
     if over {
-        let again = retry_after::with_jitter(now, LATER, world.rng.f64());
+        let again = retry_after::with_jitter(now, RETRY_AFTER, world.rng.f64());
         let ending = Ending::Failed {
             code,
             ran,
@@ -41,16 +43,16 @@
     }
 }
 
-/// Whether there is an endpoint that has not failed it.
-fn elsewhere(world: &World, waiting: &Waiting) -> bool {
+/// Whether there is an endpoint that this request has not failed at.
+fn has_other_endpoint(world: &World, waiting: &Waiting) -> bool {
     let service = &waiting.order.service;
     let mut endpoints = world.endpoints.iter();
     endpoints
         .any(|e| e.service == *service && e.leaving.is_none() && !waiting.failed.contains(&e.id))
 }
 
-/// Whether the budget allows it. A sending of which no byte left cost the
-/// endpoints nothing and is not counted.
-fn afford(world: &mut World, waiting: &Waiting, ran: Ran) -> bool {
+/// Whether the retry budget allows a retry. An attempt of which no byte was sent caused
+/// no load on the endpoints and is not charged.
+fn try_withdraw(world: &mut World, waiting: &Waiting, ran: Ran) -> bool {
     ran == Ran::No || world.load.retry_budget(&waiting.order.service).withdraw()
 }
--- a/lib/src/systems/route.rs
+++ b/lib/src/systems/route.rs
@@ -8,9 +8,10 @@
 use crate::systems::{choose, queue};
 use crate::world::World;
 
-/// Sends what can be sent, in the order of the queue.
+/// Sends the requests that `queue` selects, in its order, each to the endpoint that `choose`
+/// selects.
 pub(crate) fn run(world: &mut World, now: Instant) {
-    for id in queue::order(world, now) {
+    for id in queue::next_requests(world, now) {
         send(world, now, id);
     }
 }
--- a/lib/src/world.rs
+++ b/lib/src/world.rs
@@ -1,8 +1,8 @@
-//! The deciding core: tables, and systems that run over them each tick.
+//! The decision core of a daemon: tables, and systems that run over them in each tick.
 //!
-//! Everything a daemon decides is decided here, from inputs and the time it is
-//! given, without network and without a clock of its own. The same inputs at the
-//! same times give the same commands, so a recorded trace can be replayed.
+//! All decisions of a daemon are made here from the inputs and the time passed in. The
+//! core does no I/O and reads no clock. The same inputs at the same times produce the
+//! same commands, so a recorded trace can be replayed.
 
 use std::time::Instant;
 
@@ -22,27 +22,27 @@
 use crate::systems::{admit, expire, health, intake, leaving, moving, queue, route};
 use crate::table::Table;
 
-/// Who this daemon is and what it was set to.
+/// Identity of this daemon and its limits.
 #[proc_macros::row]
 pub struct Setup {
-    /// Incarnation drawn at start.
+    /// Random incarnation number, chosen at start.
     pub incarnation: Incarnation,
     /// Its availability zone.
     pub zone: ZoneId,
     /// Its region.
     pub region: RegionId,
-    /// Most requests waiting at once.
+    /// Maximum number of waiting requests.
     pub waiting: usize,
-    /// Most requests sent to one endpoint at once.
+    /// Maximum number of this daemon's concurrent requests at one endpoint.
     pub running: u32,
 }
 
 /// The tables of a daemon.
 #[derive(Debug)]
 pub struct World {
-    /// Who this daemon is.
+    /// Identity of this daemon and its limits.
     pub setup: Setup,
-    /// Revision of the lists in force; 0 before any.
+    /// Revision of the current customer and plan lists; 0 before the first ones.
     pub revision: Revision,
     /// Customers.
     pub customers: Table<Customer>,
@@ -54,21 +54,21 @@
     pub services: Table<Service>,
     /// Endpoints.
     pub endpoints: Table<Endpoint>,
-    /// Requests let in and not yet ended.
+    /// Requests admitted and not yet ended.
     pub requests: Table<Request>,
-    /// What each customer has used of its plan.
+    /// Usage of each customer's plan.
     pub allowances: Table<Allowance>,
-    /// What is known of the endpoints beyond their table.
+    /// Routing state of the endpoints: load reports, cached prefixes, notices.
     pub routing: View,
-    /// State of the decisions under load.
+    /// State of admission, queues, concurrency limits, retries and ejection.
     pub load: Load,
-    /// This daemon's part in the version moves, by service.
+    /// This daemon's version move controllers, by service.
     pub moves: Table<Controller>,
-    /// Requests that may go to a move's new version.
+    /// Waiting requests that are assigned to the new version of a move.
     pub chosen: Table<Chosen>,
-    /// Wall clock and reach, as last given; no move goes on without.
+    /// Wall-clock time and reachable daemons, as last reported; without it no move advances.
     pub watch: Option<Watch>,
-    /// Whether this daemon shuts down.
+    /// Whether this daemon is shutting down.
     pub draining: bool,
     pub(crate) rng: fastrand::Rng,
     pub(crate) commands: Vec<Command>,
@@ -100,29 +100,29 @@
         }
     }
 
-    /// Takes inputs, runs every system once and returns what is to be done.
+    /// Applies the inputs, runs every system once and returns the resulting commands.
     pub fn tick(&mut self, now: Instant, inputs: Vec<Input>) -> Vec<Command> {
         let arrived = intake::run(self, now, inputs);
         expire::run(self, now);
         health::run(self, now);
-        allowance::turn(self, now);
+        allowance::update_claims(self, now);
         let ids: Vec<_> = arrived.iter().map(|order| order.id).collect();
         admit::run(self, now, arrived);
         moving::run(self, now);
         moving::assign(self, now, &ids);
         leaving::run(self, now);
         route::run(self, now);
-        queue::settle(self, now);
+        queue::record_sends(self, now);
         std::mem::take(&mut self.commands)
     }
 
-    /// What this daemon claims of customers' limits, for the others to hear. A
-    /// customer that is no longer among them is told once more without amounts.
+    /// This daemon's claims to shares of the customers' limits, to be advertised to the
+    /// other daemons. A customer that was removed is advertised once more with zero amounts.
     pub fn shares(&self) -> Vec<ShareRow> {
         self.load.shares.rows(self.setup.incarnation)
     }
 
-    /// Priority of a customer's plan; the lowest if it has none any more.
+    /// Priority of a customer's plan; the lowest one if the customer no longer has a plan.
     pub(crate) fn priority(&self, customer: &CustomerId) -> u8 {
         let customer = self.customers.get(customer);
         let plan = customer.and_then(|c| self.plans.get(&c.plan));
@@ -137,7 +137,7 @@
             .collect()
     }
 
-    /// Draws the id of a new sending.
+    /// Allocates the id of a new attempt.
     pub(crate) fn next_attempt(&mut self) -> AttemptId {
         self.attempts += 1;
         joined(self.setup.incarnation, self.attempts)
