--- a/lib/src/code.rs
+++ b/lib/src/code.rs
@@ -1,23 +1,23 @@
 //! Numbered result codes.
 //!
-//! Every refusal and failure that leaves the system carries one of these
-//! numbers, so that scripts and people can look it up in `docs/errors.md`; a
-//! test compares that page with this table. Numbers are never given a new
-//! meaning: a code that falls out of use leaves a gap.
+//! Every rejection and failure reported outside the system carries one of these numbers,
+//! so that scripts and people can look it up in `docs/errors.md`; a test compares that
+//! page with this table. A number is never reused: a code that is no longer used leaves
+//! a gap.
 
 use std::fmt;
 
 /// Whether a request that failed ran at an endpoint.
 #[proc_macros::kind]
 pub enum Ran {
-    /// It provably did not run; sending it again is safe.
+    /// It did not run, which is certain; a retry is safe.
     No,
     /// It may have run.
     Unknown,
 }
 
 impl Ran {
-    /// Word in answers to callers.
+    /// Value used in answers to callers.
     pub fn word(self) -> &'static str {
         match self {
             Self::No => "no",
@@ -28,7 +28,7 @@
 
 macro_rules! codes {
     ($($(#[$doc:meta])* $name:ident = $number:literal, $status:literal, $title:literal;)*) => {
-        /// Result code of a refusal or failure.
+        /// Result code of a rejection or failure.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub enum Code {
             $($(#[$doc])* $name,)*
@@ -43,12 +43,12 @@
                 match self { $(Self::$name => $number,)* }
             }
 
-            /// HTTP status that goes with it.
+            /// HTTP status of the response.
             pub fn status(self) -> u16 {
                 match self { $(Self::$name => $status,)* }
             }
 
-            /// Short sentence that says what happened.
+            /// Short description of what happened.
             pub fn title(self) -> &'static str {
                 match self { $(Self::$name => $title,)* }
             }
@@ -57,93 +57,93 @@
 }
 
 codes! {
-    /// Body is not what the route takes.
+    /// Body is not valid for the route.
     BadBody = 1001, 400, "The body could not be read.";
-    /// No or unknown API key.
+    /// API key missing or unknown.
     NoCustomer = 1002, 401, "The API key names no customer.";
-    /// Path that no service serves.
+    /// No service has a route for the path.
     NoRoute = 1003, 404, "No route serves this path.";
-    /// Request id unknown or its answer no longer kept.
+    /// Request id unknown, or its answer is no longer kept.
     NoRequest = 1004, 404, "No answer is kept under this request id.";
-    /// Body over the limit.
+    /// Body exceeds the size limit.
     LargeBody = 1005, 413, "The body is larger than allowed.";
-    /// Same idempotency key with another body.
+    /// Idempotency key reused with a different body.
     KeyReused = 1006, 422, "The idempotency key was used with another body.";
-    /// Event id that cannot be resumed from.
+    /// Event id is not a point to resume from.
     BadResume = 1007, 400, "The event id to resume from is not one of this answer.";
-    /// Headers over the limit.
+    /// Headers exceed the size limit.
     LargeHead = 1008, 431, "The headers are larger than allowed.";
-    /// Malformed or issued-elsewhere idempotency key.
+    /// Idempotency key is malformed or was issued elsewhere.
     BadKey = 1009, 400, "The idempotency key could not be read.";
-    /// Body came too slowly.
+    /// Body did not arrive within the time limit.
     SlowBody = 1010, 408, "The body did not arrive in time.";
     /// Plan does not include the service or model.
     NotInPlan = 2001, 403, "The plan does not include this service or model.";
-    /// Rate of requests of the plan.
+    /// Request rate of the plan exceeded.
     RequestRate = 2002, 429, "The plan's requests per second are used up.";
-    /// Rate of tokens of the plan.
+    /// Token rate of the plan exceeded.
     TokenRate = 2003, 429, "The plan's tokens per second are used up.";
-    /// Requests in progress of the plan.
+    /// Limit of the plan on requests in progress reached.
     InProgress = 2004, 429, "The plan's requests in progress are used up.";
-    /// Could not finish by its deadline.
+    /// Request is not expected to finish by its deadline.
     TooLate = 2005, 503, "The request would not be finished in time.";
-    /// No endpoint to send to.
+    /// No endpoint of the service is available.
     NoEndpoint = 2006, 503, "No endpoint of this service can be reached.";
-    /// Daemon takes no new requests.
+    /// Daemon is shutting down and admits no requests.
     Draining = 2007, 503, "This daemon is shutting down.";
-    /// Daemon has no configuration yet.
+    /// Daemon has not received the customer and plan lists yet.
     NoLists = 2008, 503, "This daemon has no configuration yet.";
-    /// Store out, so no claim for an idempotency key.
+    /// Idempotency key cannot be claimed because the store is unavailable.
     NoClaim = 2009, 503, "The idempotency key could not be claimed.";
-    /// Too many requests wait.
+    /// Queue of waiting requests is full.
     Full = 2010, 503, "Too many requests are waiting.";
-    /// Endpoints ended under it.
+    /// Quarantined because endpoints ended while they ran the request.
     Quarantined = 2011, 503, "Endpoints ended while they ran this request.";
-    /// Deadline passed while waiting.
+    /// Deadline passed while the request waited.
     Expired = 3001, 504, "The deadline passed before the request was sent.";
     /// Endpoint failed after the request was sent.
     Broken = 3002, 502, "The endpoint failed while the request ran.";
-    /// Deadline passed while running.
+    /// Deadline passed while the request ran.
     Overdue = 3003, 504, "The endpoint did not answer in time.";
-    /// Endpoint's answer over the limit.
+    /// Answer of the endpoint exceeds the size limit.
     LargeAnswer = 3004, 502, "The endpoint's answer is larger than allowed.";
-    /// Outcome of an earlier use of the key is not known.
+    /// Outcome of an earlier request with the key is unknown.
     KeyUnknown = 3005, 409, "The outcome of the earlier use of this key is not known.";
-    /// Earlier use of the key still runs.
+    /// An earlier request with the key is still running.
     KeyRunning = 3006, 409, "A request with this idempotency key is in progress.";
-    /// Answer did not carry the attempt's id.
+    /// Answer does not carry the id of the attempt.
     WrongAnswer = 3007, 502, "The endpoint sent an answer that belongs to another request.";
     /// Connection to the endpoint could not be made.
     Refused = 3008, 502, "The endpoint took no connection.";
-    /// Operator's token missing or wrong.
+    /// Operator token missing or wrong.
     NoOperator = 4001, 401, "The operator token is missing or wrong.";
-    /// List does not pass its checks.
+    /// Lists are invalid.
     BadLists = 4002, 422, "The lists do not pass their checks.";
-    /// Another edit came first.
+    /// A concurrent edit was accepted first.
     Conflict = 4003, 409, "Another edit was accepted first.";
-    /// Store out, so no edit or move.
+    /// Edit or version move is impossible because the store is unavailable.
     StoreOut = 4004, 503, "The platform's key-value service cannot be reached.";
-    /// No such move.
+    /// No version move of the service is recorded.
     NoMove = 4005, 404, "No version move of this service is on record.";
-    /// Move that cannot be asked for.
+    /// Version move as requested is not possible.
     BadMove = 4006, 422, "The version move cannot be done as asked.";
-    /// Table or row unknown.
+    /// Unknown table or row.
     NoTable = 4007, 404, "There is no such table or row.";
     /// Settings file cannot be read.
     NoSettings = 5001, 400, "The settings file could not be read.";
-    /// Settings field out of what is allowed.
+    /// Value of a settings field is not allowed.
     BadSetting = 5002, 400, "A field of the settings is not allowed.";
-    /// Peer's credential missing or wrong.
+    /// Peer token missing or wrong.
     NoPeer = 6001, 401, "The peer token is missing or wrong.";
-    /// Row between daemons over a limit.
+    /// Row in a message between daemons exceeds a size limit.
     LargeRow = 6002, 413, "A row between daemons is larger than allowed.";
-    /// More rows or daemons than the limit.
+    /// Number of rows or daemons exceeds the limit.
     ManyRows = 6003, 413, "There are more rows or daemons than allowed.";
-    /// Message of a peer that cannot be read.
+    /// Message of a peer cannot be decoded.
     BadExchange = 6004, 400, "The message between daemons could not be read.";
-    /// Answer of a peer that came too late to trust its times.
+    /// Answer of a peer arrived too late for its times to be usable.
     LateExchange = 6005, 504, "The answer between daemons came too late.";
-    /// Fault of our own.
+    /// Internal error of the daemon.
     Internal = 9001, 500, "The daemon failed to handle this.";
 }
 
--- a/lib/src/command.rs
+++ b/lib/src/command.rs
@@ -1,4 +1,4 @@
-//! What the deciding core asks of the borders.
+//! Commands of the decision core to the I/O code of the daemon.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -7,21 +7,21 @@
 use crate::moves::Action;
 use crate::request::Ending;
 
-/// One thing to do.
+/// An action for the daemon to carry out.
 #[proc_macros::row]
 pub enum Command {
     /// Send a request to an endpoint.
     Send(Send),
-    /// Stop a sending at its endpoint; its answer is no longer wanted.
+    /// Cancel an attempt at its endpoint; its answer is no longer needed.
     Cancel(AttemptId),
-    /// Something to do for the version move of a service.
+    /// An action for the version move of a service.
     Move {
         /// Service.
         service: ServiceId,
-        /// What.
+        /// The action.
         action: Action,
     },
-    /// A request ended; tell the caller.
+    /// A request ended; respond to its caller.
     Finish {
         /// Request.
         request: RequestId,
@@ -30,27 +30,28 @@
     },
 }
 
-/// A request on its way to an endpoint.
+/// One attempt of a request at an endpoint.
 #[proc_macros::row]
 pub struct Send {
     /// Request.
     pub request: RequestId,
-    /// Id of this sending.
+    /// Id of this attempt.
     pub attempt: AttemptId,
     /// Endpoint.
     pub endpoint: EndpointId,
     /// Its address.
     pub address: SocketAddr,
-    /// Tokens that the caller has already; the endpoint goes on after them. The
-    /// border may have passed on more than it had told of, and then goes by its
-    /// own count, or the caller would get these tokens twice.
+    /// Number of tokens that the caller has received; the endpoint continues after them.
+    /// The I/O code may have forwarded more than it had reported and then uses its own
+    /// count; otherwise the caller would receive these tokens twice.
     pub delivered: u32,
-    /// Earlier sending whose KV cache goes along. The border lets it go on until
-    /// the cache is out and then stops it; without, it was stopped before.
+    /// Earlier attempt whose KV cache is transferred to this endpoint. It continues until
+    /// the cache has been exported and is then cancelled; if none is named here, the earlier
+    /// attempt was cancelled before.
     pub cache_from: Option<AttemptId>,
-    /// Whether the connection must be a fresh one, so that a failure to connect
+    /// Whether to open a new connection instead of reusing one, so that a failure to connect
     /// proves that nothing was sent.
     pub fresh: bool,
-    /// When the answer must be complete.
+    /// Time by which the answer must be complete.
     pub deadline: Instant,
 }
--- a/lib/src/dump.rs
+++ b/lib/src/dump.rs
@@ -1,7 +1,7 @@
-//! The tables of a process as JSON, for people who look into it.
+//! The tables of a process as JSON, for debugging by operators.
 //!
-//! Moments are shown as milliseconds from now, since a monotonic clock means
-//! nothing outside its process.
+//! Points in time are written as milliseconds relative to now, since a monotonic clock
+//! has no meaning outside its process.
 
 use std::time::Instant;
 
@@ -75,7 +75,7 @@
     serde_json::to_value(row).unwrap_or(Value::Null)
 }
 
-/// Milliseconds from now; below zero if it has passed.
+/// Milliseconds relative to now; negative for times in the past.
 fn millis(at: Instant, now: Instant) -> i64 {
     match at.checked_duration_since(now) {
         Some(ahead) => ahead.as_millis() as i64,
--- a/lib/src/endpoint.rs
+++ b/lib/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints as the deciding core sees them.
+//! The endpoint table of the decision core.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -6,38 +6,38 @@
 use crate::ids::{EndpointId, ServiceId, VersionId, ZoneId};
 use crate::table::Row;
 
-/// An endpoint process and what is known of it.
+/// An endpoint process and its state at this daemon.
 #[proc_macros::row]
 pub struct Endpoint {
     /// Its id.
     pub id: EndpointId,
     /// Service it serves.
     pub service: ServiceId,
-    /// Availability zone it stands in.
+    /// Its availability zone.
     pub zone: ZoneId,
-    /// Address it listens at.
+    /// Its listen address.
     pub address: SocketAddr,
     /// Version it runs.
     pub version: VersionId,
-    /// When it will be gone, once that is announced.
+    /// When it will be gone, if it has been announced as leaving.
     pub leaving: Option<Instant>,
-    /// Requests of this daemon that run there.
+    /// Number of this daemon's requests running there.
     pub running: u32,
-    /// Requests of this daemon that may run there at once.
+    /// Maximum number of this daemon's concurrent requests there.
     pub limit: u32,
-    /// Until when it gets no work after a failure.
+    /// Until when it is ejected and receives no requests.
     pub shunned: Option<Instant>,
-    /// Failures since the last success.
+    /// Consecutive failures since the last success.
     pub failures: u32,
 }
 
 impl Endpoint {
-    /// Whether it is there to do work, now or once it has done some.
+    /// Whether it is neither leaving nor ejected, even if it is at its limit now.
     pub fn serves(&self, now: Instant) -> bool {
         self.leaving.is_none() && self.shunned.is_none_or(|until| until <= now)
     }
 
-    /// Whether new work may go there.
+    /// Whether new requests may be sent to it now.
     pub fn takes(&self, now: Instant) -> bool {
         self.serves(now) && self.running < self.limit
     }
--- a/lib/src/ids.rs
+++ b/lib/src/ids.rs
@@ -1,8 +1,8 @@
-//! Names of the ids that tie the tables together.
+//! Types of the ids that link the tables.
 //!
-//! Operators choose the text ids; the numbers are drawn by daemons. A request
-//! id carries the incarnation of the daemon that gave it out in its upper half,
-//! so that any daemon can tell whom to ask for the answer.
+//! Operators choose the text ids; daemons generate the numeric ones. The upper half of a
+//! request id is the incarnation of the daemon that issued it, so that any daemon knows
+//! which one to ask for the answer.
 
 use compact_str::CompactString;
 
@@ -18,30 +18,31 @@
 pub type EndpointId = CompactString;
 /// Availability zone.
 pub type ZoneId = CompactString;
-/// Hash of a zone's name, as daemons tell it to one another.
+/// Hash of a zone's name, as used in messages between daemons.
 pub type ZoneHash = u32;
 /// Region of availability zones.
 pub type RegionId = CompactString;
 /// Version that an endpoint runs.
 pub type VersionId = CompactString;
-/// Host of the cloud.
+/// Host in the cloud.
 pub type HostId = CompactString;
-/// One life of a daemon process; drawn at start and never used again.
+/// One run of a daemon process; a random number chosen at start and never reused.
 pub type Incarnation = u64;
 /// Request, unique over all daemons.
 pub type RequestId = u128;
-/// One sending of a request to an endpoint, unique over all daemons.
+/// One attempt of a request at an endpoint, unique over all daemons.
 pub type AttemptId = u128;
 /// Revision of the configuration in the platform's key-value service. Its upper bits are the
-/// service's era, so revisions rise also where the service gives them out again.
+/// era of the service, so that revisions also increase when the service, restored from an older
+/// copy, issues its own revision numbers again.
 pub type Revision = u64;
-/// How often the platform's key-value service came back from an older copy.
+/// Number of times that the platform's key-value service was restored from an older copy.
 pub type Era = u32;
 
-/// Bits of a revision below its era. The service's own revisions are far smaller.
+/// Number of bits of a revision below its era. The service's own revisions are far smaller.
 const ERA_BITS: u32 = 40;
 
-/// A revision that the service gave out in an era.
+/// Combines an era with a revision number that the service issued in it.
 pub fn revision_in(era: Era, bare: u64) -> Revision {
     (u64::from(era) << ERA_BITS) | bare
 }
@@ -51,27 +52,27 @@
     (revision >> ERA_BITS) as Era
 }
 
-/// A revision as the service gave it out.
+/// The revision number as the service issued it, without the era.
 pub fn bare(revision: Revision) -> u64 {
     revision & ((1 << ERA_BITS) - 1)
 }
 
-/// Joins a daemon's incarnation and its own count to an id.
+/// Combines a daemon's incarnation and its counter into an id.
 pub fn joined(incarnation: Incarnation, count: u64) -> u128 {
     (u128::from(incarnation) << 64) | u128::from(count)
 }
 
-/// Incarnation that gave an id out.
+/// Incarnation of the daemon that issued an id.
 pub fn issuer(id: u128) -> Incarnation {
     (id >> 64) as Incarnation
 }
 
-/// An id as callers and logs see it: 32 hexadecimal digits.
+/// Formats an id for callers and logs: 32 hexadecimal digits.
 pub fn hex(id: u128) -> CompactString {
     compact_str::format_compact!("{id:032x}")
 }
 
-/// Reads an id from 32 hexadecimal digits.
+/// Parses an id from 32 hexadecimal digits.
 pub fn from_hex(text: &str) -> Option<u128> {
     if text.len() == 32 {
         u128::from_str_radix(text, 16).ok()
--- a/lib/src/input.rs
+++ b/lib/src/input.rs
@@ -1,4 +1,4 @@
-//! What the borders tell the deciding core.
+//! Inputs of the decision core, reported by the I/O code of the daemon.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -11,36 +11,36 @@
 use crate::request::{NotSent, Order};
 use crate::routing::Event;
 
-/// One thing that happened.
+/// An event outside the decision core.
 #[proc_macros::row]
 pub enum Input {
-    /// A caller's request came.
+    /// A request arrived.
     Arrived(Order),
-    /// Its caller went away and did not come back.
+    /// The caller of a request disconnected and did not reconnect.
     Left(RequestId),
-    /// The caller has this many tokens of the answer.
+    /// The caller has received tokens of the answer.
     Progress {
-        /// Sending they came from.
+        /// Attempt that they came from.
         attempt: AttemptId,
         /// Request.
         request: RequestId,
-        /// Tokens since the beginning of the answer.
+        /// Number of tokens since the start of the answer.
         delivered: u32,
     },
-    /// A sending ended.
+    /// An attempt ended.
     Ended {
-        /// The sending.
+        /// The attempt.
         attempt: AttemptId,
         /// Request.
         request: RequestId,
-        /// How.
+        /// How it ended.
         outcome: Outcome,
     },
-    /// Lists were accepted.
+    /// New customer and plan lists were accepted.
     Lists(Accepted),
     /// An endpoint exists.
     Endpoint(Known),
-    /// An endpoint will be gone at a time.
+    /// An endpoint was announced as leaving.
     Leaving {
         /// Endpoint.
         endpoint: EndpointId,
@@ -49,47 +49,47 @@
     },
     /// An endpoint is gone.
     Gone(EndpointId),
-    /// Something was heard of endpoints that routing goes by.
+    /// Routing data of endpoints: load reports, cache events.
     Routing(Event),
-    /// How many daemons there should be by the list of hosts, this one included.
+    /// Number of daemons that the list of hosts implies, including this one.
     Fleet(usize),
-    /// Another daemon was heard of, with all rows that it wrote until then.
+    /// Another daemon was seen, and all rows that it wrote until then were received.
     Met(Incarnation),
-    /// Another daemon is known to be gone for good.
+    /// Another daemon has ended for good.
     Parted(Incarnation),
-    /// What another daemon claims of a customer's limits.
+    /// Another daemon's claim to a share of a customer's limits.
     Share(ShareRow),
-    /// Something was learned about the version move of a service.
+    /// An event of the version move of a service.
     Move {
         /// Service.
         service: ServiceId,
-        /// What.
+        /// The event.
         event: moves::Event,
     },
-    /// Wall clock and live daemons; given each second.
+    /// Wall-clock time and reachable daemons; reported every second.
     Watch(moves::Watch),
-    /// The daemon shuts down: lets nothing more in.
+    /// The daemon is shutting down and admits no more requests.
     Drain,
 }
 
-/// How a sending ended.
+/// How an attempt ended.
 #[proc_macros::row]
 pub enum Outcome {
-    /// The whole answer came.
+    /// The complete answer arrived.
     Whole {
         /// HTTP status.
         status: u16,
     },
     /// No byte was sent.
     Unsent(NotSent),
-    /// It broke after something was sent.
+    /// The attempt failed after some bytes were sent.
     Broken {
-        /// What broke.
+        /// What failed.
         code: Code,
     },
 }
 
-/// An endpoint that the platform or the settings name.
+/// An endpoint listed by the platform or in the settings.
 #[proc_macros::row]
 pub struct Known {
     /// Its id.
--- a/lib/src/keys.rs
+++ b/lib/src/keys.rs
@@ -1,8 +1,8 @@
-//! API keys, known only by their digests.
+//! API keys, stored only as digests.
 //!
-//! The lists are shown to operators, kept in the platform's service and dumped
-//! for debugging, so they hold SHA-256 digests. Whoever reads them cannot act
-//! as a customer.
+//! The customer list is shown to operators, stored in the platform's key-value service
+//! and dumped for debugging, so it contains SHA-256 digests. Someone who reads it cannot
+//! impersonate a customer.
 
 use compact_str::CompactString;
 use sha2::{Digest, Sha256};
@@ -21,14 +21,14 @@
     text
 }
 
-/// Customers by the digests of their keys, sorted.
+/// Customers by the digests of their API keys, sorted by digest.
 #[derive(Clone, Debug, Default)]
 pub struct Keys {
     entries: Vec<(CompactString, CustomerId)>,
 }
 
 impl Keys {
-    /// Index over all customers' keys.
+    /// Builds the index of all customers' keys.
     pub fn new<'a>(customers: impl IntoIterator<Item = &'a Customer>) -> Self {
         let mut entries = Vec::new();
         for customer in customers {
@@ -40,13 +40,13 @@
         Self { entries }
     }
 
-    /// Customer that an API key belongs to.
+    /// The customer that an API key belongs to.
     pub fn customer(&self, key: &str) -> Option<&CustomerId> {
         let digest = digest(key);
-        let at = self
+        let index = self
             .entries
             .binary_search_by(|(d, _)| d.cmp(&digest))
             .ok()?;
-        Some(&self.entries[at].1)
+        Some(&self.entries[index].1)
     }
 }
--- a/lib/src/lease.rs
+++ b/lib/src/lease.rs
@@ -1,50 +1,50 @@
-//! Leases on the right to act for everyone, and how a pause ends that right.
+//! Leases on cluster-wide duties, and safety when the process is paused.
 //!
-//! The platform's key-value service grants a lease with a fencing number that
-//! grows with every grant. Holding one is not enough to act: a process can be
-//! paused, or its virtual machine frozen, between looking at the clock and
-//! writing. Another daemon then takes the lease, and both believe they hold it.
-//! One would notice by two acts of one kind, such as a version move that climbs
-//! two stages at once. Three things together prevent it:
+//! The platform's key-value service grants a lease with a fencing token that increases
+//! with every grant. Holding a lease is not enough to act: a process can be paused, or its
+//! virtual machine frozen, between reading the clock and writing. Another daemon then
+//! acquires the lease, and both believe that they hold it. The result would be the same
+//! action twice, such as a version move that advances two stages at once. Three measures
+//! together prevent this:
 //!
-//! - a [`Lease`] counts as gone a margin before the service lets it lapse, so
-//!   that a write sent at the last moment still lands under the lease;
-//! - a [`Pulse`] notices that a tick came much later than it was due, upon which
-//!   everything learned before counts as old and the lease is given up;
-//! - every write carries the fencing number and the revision it was decided on,
-//!   so that one which lands late changes nothing.
+//! - a [`Lease`] counts as expired some time before it expires in the service, so that a
+//!   write sent at the last moment is still applied under the lease;
+//! - a [`Pulse`] detects that a tick ran much later than scheduled; all earlier
+//!   information then counts as stale and the lease is released;
+//! - every write carries the fencing token and the revision that the decision was based
+//!   on, so that a write which arrives late has no effect.
 //!
-//! Whatever needs a lease asks for a [`Permit`], which only a live lease gives.
+//! Code that needs the lease asks for a [`Permit`], which only a valid lease gives.
 
 use std::time::{Duration, Instant};
 
-/// Number of a grant; a later grant has a higher one.
+/// Fencing token of a lease; a later grant has a higher one.
 pub type Fence = u64;
 
-/// Time before the lapse at which a lease counts as gone. A write to the
-/// platform's service takes milliseconds and is given up after one second, so
-/// what was sent under a live lease has landed or never will.
+/// How long before its expiry in the service a lease counts as expired. A write to the
+/// platform's service takes milliseconds and is abandoned after one second, so a write sent
+/// under a valid lease has been applied by the expiry or never will be.
 pub const MARGIN: Duration = Duration::from_secs(1);
 
-/// Longest time between ticks.
+/// Maximum scheduled time between ticks.
 pub const TICK: Duration = Duration::from_millis(50);
 
-/// Lateness of a tick that counts as a pause. Ten ticks: above what a busy host
-/// shows, and half of [`MARGIN`], so that a pause too short to be noticed can't
-/// carry a write past the lapse.
+/// Delay of a tick that counts as a pause of the process. Ten ticks: more than the delays on
+/// a busy host, and half of [`MARGIN`], so that a pause too short to be detected cannot delay
+/// a write beyond the expiry of the lease.
 pub const PAUSE: Duration = Duration::from_millis(500);
 
-/// A lease as its holder knows it.
+/// A lease as known to its holder.
 #[proc_macros::row]
 pub struct Lease {
-    /// Number of the grant.
+    /// Fencing token of the grant.
     pub fence: Fence,
-    /// When the service lets it lapse, counted from before it was asked for.
+    /// When it expires in the service, counted from before the grant was requested.
     pub deadline: Instant,
 }
 
 impl Lease {
-    /// Leave to act now; none from [`MARGIN`] before the deadline on.
+    /// Permission to act now; none from [`MARGIN`] before the deadline on.
     pub fn permit(&self, now: Instant) -> Option<Permit> {
         let until = self.deadline.checked_sub(MARGIN)?;
         let live = now < until;
@@ -55,7 +55,7 @@
     }
 }
 
-/// Proof that a lease was live when an act was decided.
+/// Proof that a lease was valid when an action was decided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permit {
     fence: Fence,
@@ -63,39 +63,39 @@
 }
 
 impl Permit {
-    /// Fencing number that the act must carry.
+    /// Fencing token that the action must carry.
     pub fn fence(&self) -> Fence {
         self.fence
     }
 
-    /// When the act must have left the process; after that it is dropped.
+    /// Time by which the action must have been sent; later it is dropped.
     pub fn until(&self) -> Instant {
         self.until
     }
 }
 
-/// What a tick says about the time since the one before.
+/// Whether the process ran without a pause since the previous tick.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Beat {
-    /// The process ran without a break.
+    /// The tick ran on time.
     Steady,
-    /// The process just started or stood still; what it knows may be old.
+    /// The process just started or was paused; its information may be stale.
     Paused,
 }
 
-/// Notices that the process stood still.
+/// Detects pauses of the process from late ticks.
 #[derive(Clone, Debug, Default)]
 pub struct Pulse {
     due: Option<Instant>,
 }
 
 impl Pulse {
-    /// A pulse whose first beat counts as a pause.
+    /// A detector whose first tick counts as a pause.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes a tick.
+    /// Records a tick.
     pub fn beat(&mut self, now: Instant) -> Beat {
         let due = self.due.replace(now + TICK);
         match due {
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decisions and coordination parts of poplarvale.
+//! Decision and coordination logic of poplarvale.
 //!
-//! The crate holds no socket, no clock and no terminal: times, randomness and
-//! what happened outside are arguments. Daemons drive it through
-//! [`World::tick`]; other programs can embed its parts one by one.
+//! The crate does no I/O and reads no clock: times, random seeds and external events are
+//! passed in as arguments. Daemons drive it through [`World::tick`]; other programs can
+//! use its modules separately.
 
 pub mod claims;
 mod code;
--- a/lib/src/lists.rs
+++ b/lib/src/lists.rs
@@ -1,15 +1,15 @@
-//! The operators' two lists: customers' plans, and what a plan may use.
+//! The two lists that operators edit: customers, and the plans that they are on.
 //!
-//! The lists are edited and accepted together, so that no customer ever names a
-//! plan that is not there. An accepted pair carries the revision that the
-//! platform's key-value service gave it; daemons adopt only higher revisions.
+//! The lists are edited and accepted together, so that a customer never refers to a
+//! plan that does not exist. An accepted pair carries the revision that the platform's
+//! key-value service assigned to it; daemons apply only higher revisions.
 
 use compact_str::{CompactString, format_compact};
 
 use crate::ids::{CustomerId, ModelId, PlanId, Revision, ServiceId};
 use crate::table::{Row, Table};
 
-/// Most customers or plans in a list; larger lists pass the store's value size.
+/// Maximum number of rows in a list; larger lists would exceed the value size of the store.
 pub const MOST_ROWS: usize = 4096;
 /// Highest priority a plan can have.
 pub const MOST_PRIORITY: u8 = 3;
@@ -25,22 +25,22 @@
     pub digests: Vec<CompactString>,
 }
 
-/// What customers on a plan may use.
+/// What a customer on this plan may use.
 #[proc_macros::setting]
 pub struct Plan {
     /// Id of the plan.
     pub id: PlanId,
-    /// Higher goes first, from 0 to [`MOST_PRIORITY`].
+    /// Priority from 0 to [`MOST_PRIORITY`]; higher ones are served first.
     pub priority: u8,
-    /// Requests per second of each customer.
+    /// Requests per second for each customer.
     pub requests: f64,
-    /// Prompt and answer tokens per second of each customer.
+    /// Prompt and answer tokens per second for each customer.
     pub tokens: f64,
-    /// Requests in progress of each customer.
+    /// Requests in progress at once for each customer.
     pub running: u32,
     /// Plain services that may be called.
     pub services: Vec<ServiceId>,
-    /// Models that may be asked.
+    /// Models that may be used.
     pub models: Vec<ModelId>,
 }
 
@@ -75,20 +75,20 @@
     pub plans: Vec<Plan>,
 }
 
-/// A mistake in the lists: the field, what was found and what is allowed.
+/// A validation error in lists or settings: the field, the value found and what is allowed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: found {found}, allowed is {allowed}")]
 pub struct Mistake {
     /// Path of the field.
     pub field: CompactString,
-    /// What stands there.
+    /// Value found there.
     pub found: CompactString,
-    /// What may stand there.
+    /// Allowed values.
     pub allowed: CompactString,
 }
 
 impl Mistake {
-    /// Mistake in `field`.
+    /// Validation error of `field`.
     pub fn new(
         field: impl Into<CompactString>,
         found: impl Into<CompactString>,
@@ -103,7 +103,7 @@
 }
 
 impl Lists {
-    /// Finds all mistakes; lists without any may be accepted.
+    /// Returns all validation errors; lists without any may be accepted.
     pub fn check(&self) -> Vec<Mistake> {
         let mut mistakes = Vec::new();
         check_count("customers", self.customers.len(), &mut mistakes);
@@ -115,11 +115,11 @@
             self.customers.iter().map(|c| &c.id),
             &mut mistakes,
         );
-        for (at, plan) in self.plans.iter().enumerate() {
-            check_plan(at, plan, &mut mistakes);
+        for (index, plan) in self.plans.iter().enumerate() {
+            check_plan(index, plan, &mut mistakes);
         }
-        for (at, customer) in self.customers.iter().enumerate() {
-            check_customer(at, customer, &plans, &mut mistakes);
+        for (index, customer) in self.customers.iter().enumerate() {
+            check_customer(index, customer, &plans, &mut mistakes);
         }
         check_digests(&self.customers, &mut mistakes);
         mistakes
@@ -150,10 +150,10 @@
     }
 }
 
-fn check_plan(at: usize, plan: &Plan, mistakes: &mut Vec<Mistake>) {
-    check_id(&format_compact!("plans[{at}].id"), &plan.id, mistakes);
+fn check_plan(index: usize, plan: &Plan, mistakes: &mut Vec<Mistake>) {
+    check_id(&format_compact!("plans[{index}].id"), &plan.id, mistakes);
     if plan.priority > MOST_PRIORITY {
-        let field = format_compact!("plans[{at}].priority");
+        let field = format_compact!("plans[{index}].priority");
         let allowed = format_compact!("0 to {MOST_PRIORITY}");
         mistakes.push(Mistake::new(
             field,
@@ -163,7 +163,7 @@
     }
     for (name, rate) in [("requests", plan.requests), ("tokens", plan.tokens)] {
         if !(rate.is_finite() && rate > 0.0 && rate <= 1e9) {
-            let field = format_compact!("plans[{at}].{name}");
+            let field = format_compact!("plans[{index}].{name}");
             let found = format_compact!("{rate}");
             mistakes.push(Mistake::new(
                 field,
@@ -173,24 +173,24 @@
         }
     }
     if plan.running == 0 {
-        let field = format_compact!("plans[{at}].running");
+        let field = format_compact!("plans[{index}].running");
         mistakes.push(Mistake::new(field, "0", "1 or more"));
     }
 }
 
 fn check_customer(
-    at: usize,
+    index: usize,
     customer: &Customer,
     plans: &Table<Plan>,
     mistakes: &mut Vec<Mistake>,
 ) {
     check_id(
-        &format_compact!("customers[{at}].id"),
+        &format_compact!("customers[{index}].id"),
         &customer.id,
         mistakes,
     );
     if !plans.contains(&customer.plan) {
-        let field = format_compact!("customers[{at}].plan");
+        let field = format_compact!("customers[{index}].plan");
         let found = format_compact!("{:?}", customer.plan);
         mistakes.push(Mistake::new(
             field,
@@ -203,7 +203,7 @@
             .bytes()
             .all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
         if digest.len() != 64 || !hex {
-            let field = format_compact!("customers[{at}].digests[{n}]");
+            let field = format_compact!("customers[{index}].digests[{n}]");
             let found = format_compact!("{digest:?}");
             mistakes.push(Mistake::new(
                 field,
@@ -214,7 +214,8 @@
     }
 }
 
-/// One API key must not name two customers, or answers would cross.
+/// An API key must belong to one customer only; otherwise customers could read each other's
+/// answers.
 fn check_digests(customers: &[Customer], mistakes: &mut Vec<Mistake>) {
     let mut all: Vec<_> = customers
         .iter()
@@ -234,17 +235,17 @@
     }
 }
 
-/// Whether a text can be an id in lists and settings.
+/// Whether a string is a valid id in lists and settings.
 pub fn is_id(id: &str) -> bool {
-    let fine = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
-    !id.is_empty() && id.len() <= 64 && id.bytes().all(fine)
+    let allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
+    !id.is_empty() && id.len() <= 64 && id.bytes().all(allowed)
 }
 
-/// Lists that were accepted, with the revision they were accepted at.
+/// Accepted lists and their revision.
 #[proc_macros::setting]
 #[derive(Default)]
 pub struct Accepted {
-    /// Revision; 0 before any lists.
+    /// Revision; 0 before the first lists.
     pub revision: Revision,
     /// The lists.
     pub lists: Lists,
--- a/lib/src/request.rs
+++ b/lib/src/request.rs
@@ -1,10 +1,10 @@
-//! Life cycle of a request, as types.
+//! Life cycle of a request, encoded in types.
 //!
-//! A request waits, runs at an endpoint and ends. Only a running request that
-//! may be repeated has a method that makes it wait again. One that may run at
-//! most once has none, except against a [`NotSent`], which the border gives only
-//! when no byte of it left for the endpoint. So a booking cannot be sent twice
-//! by a mistake in some system: the code would not compile.
+//! A request waits, runs at an endpoint and ends. Only a running idempotent request has
+//! a method that makes it wait again. A non-idempotent one can wait again only with a
+//! [`NotSent`], which the connection code creates only if no byte of the request was
+//! sent to the endpoint. A bug in a system therefore cannot send, for example, a booking
+//! twice: it would not compile.
 
 use std::marker::PhantomData;
 use std::time::Instant;
@@ -15,91 +15,91 @@
 use crate::ids::{AttemptId, CustomerId, EndpointId, ModelId, RequestId, ServiceId, VersionId};
 use crate::table::Row;
 
-/// What a caller asked for; does not change over the request's life.
+/// What a caller requested; it never changes after arrival.
 #[proc_macros::row]
 pub struct Order {
-    /// Id given out for it.
+    /// Id of the request.
     pub id: RequestId,
-    /// Customer that asks.
+    /// Customer that sent it.
     pub customer: CustomerId,
-    /// Service that is to answer.
+    /// Requested service.
     pub service: ServiceId,
     /// Route of a plain service, as `METHOD path`, or the model.
     pub route: CompactString,
-    /// Model asked, for model services.
+    /// Requested model, for model services.
     pub model: Option<ModelId>,
-    /// Whether running it twice does the same as once.
+    /// Whether the request is idempotent.
     pub repeatable: bool,
-    /// Hash chain over the prompt's blocks, for finding cached prefixes.
+    /// Hash chain over the blocks of the prompt, to find cached prefixes.
     pub blocks: Vec<u64>,
-    /// Tokens of the prompt, estimated.
+    /// Estimated number of prompt tokens.
     pub prompt: u32,
-    /// Tokens of the answer at most, estimated.
+    /// Estimated maximum number of answer tokens.
     pub answer: u32,
-    /// When it came.
+    /// When it arrived.
     pub arrived: Instant,
-    /// When its answer must be complete.
+    /// Time by which the answer must be complete.
     pub deadline: Instant,
 }
 
 impl Order {
-    /// Tokens that it costs at most, prompt and answer.
+    /// Maximum number of tokens that it costs, prompt and answer.
     pub fn work(&self) -> u32 {
         self.prompt.saturating_add(self.answer).max(1)
     }
 }
 
-/// May be sent again.
+/// Marks a request that is idempotent and may be retried.
 #[proc_macros::row]
 pub struct Repeatable;
 
-/// May run at most once.
+/// Marks a request that is not idempotent and may run at most once.
 #[proc_macros::row]
 pub struct Once;
 
-/// Proof that no byte of a request left for the endpoint.
+/// Proof that no byte of a request was sent to the endpoint.
 ///
-/// Only the border that made the connection can know, so only inputs carry it.
+/// Only the code that opened the connection knows, so only inputs carry it.
 #[proc_macros::row]
 pub struct NotSent;
 
-/// A request that waits to be sent.
+/// A request that waits for an endpoint.
 #[proc_macros::row]
 pub struct Waiting {
-    /// What was asked.
+    /// What the caller requested.
     pub order: Order,
-    /// How often it was sent already.
+    /// Number of attempts so far.
     pub tries: u32,
-    /// Tokens of the answer that the caller has already.
+    /// Number of answer tokens that the caller has received.
     pub delivered: u32,
-    /// Endpoints that failed it.
+    /// Endpoints that it failed at.
     pub failed: Vec<EndpointId>,
-    /// Whether some sending of it ran.
+    /// Whether an attempt of it may have run.
     pub ran: Ran,
 }
 
 /// A request that was sent to an endpoint.
 #[proc_macros::row]
 pub struct Running<K> {
-    /// What was asked.
+    /// What the caller requested.
     pub order: Order,
-    /// Id of this sending.
+    /// Id of this attempt.
     pub attempt: AttemptId,
     /// Endpoint it was sent to.
     pub endpoint: EndpointId,
-    /// Version that the endpoint ran.
+    /// Version of the endpoint at that time.
     pub version: VersionId,
     /// When it was sent.
     pub sent: Instant,
-    /// When its first token came.
+    /// When the first token arrived.
     pub first: Option<Instant>,
-    /// Tokens of the answer that the caller has.
+    /// Number of answer tokens that the caller has received.
     pub delivered: u32,
-    /// How often it was sent, this time included.
+    /// Number of attempts, including this one.
     pub tries: u32,
-    /// Endpoints that failed it.
+    /// Endpoints that it failed at.
     pub failed: Vec<EndpointId>,
-    /// Whether an earlier sending of it ran.
+    /// Whether an earlier attempt may have run.
     pub ran: Ran,
     kind: PhantomData<K>,
 }
@@ -107,39 +107,39 @@
 /// How a request ended.
 #[proc_macros::row]
 pub enum Ending {
-    /// Answered in full.
+    /// Answered completely.
     Whole {
         /// HTTP status of the answer.
         status: u16,
     },
     /// Not answered.
     Failed {
-        /// Why.
+        /// Error code.
         code: Code,
-        /// Whether it ran.
+        /// Whether an attempt may have run.
         ran: Ran,
-        /// When coming back helps.
+        /// When a retry may succeed; none if it cannot.
         again: Option<Instant>,
     },
-    /// The caller went away.
+    /// The caller disconnected.
     Left,
 }
 
 /// Where and when a request is sent.
 #[proc_macros::row]
 pub struct Sending {
-    /// Id of this sending.
+    /// Id of this attempt.
     pub attempt: AttemptId,
-    /// Endpoint it goes to.
+    /// Endpoint it is sent to.
     pub endpoint: EndpointId,
-    /// Version the endpoint runs.
+    /// Version of the endpoint.
     pub version: VersionId,
-    /// When.
+    /// When it is sent.
     pub at: Instant,
 }
 
 impl Waiting {
-    /// A request that was just let in.
+    /// A request that was just admitted.
     pub fn new(order: Order) -> Self {
         Self {
             order,
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Sends it, by the life cycle that its route declares.
+    /// Makes it run, as idempotent or non-idempotent as its route declares.
     pub fn send(self, sending: Sending) -> Request {
         if self.order.repeatable {
             Request::Repeatable(self.run(sending))
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Makes it wait again, which is safe as nothing of it was sent.
+    /// Makes it wait again, which is safe because nothing of it was sent.
     pub fn unsent(self, _proof: NotSent) -> Waiting {
         let ran = self.ran;
         self.wait(ran)
@@ -197,14 +197,15 @@
 }
 
 impl Running<Repeatable> {
-    /// Makes it wait again.
+    /// Makes it wait for a retry.
     pub fn again(self) -> Waiting {
         self.wait(Ran::Unknown)
     }
 
-    /// Goes on at another endpoint. Leaving one that is reclaimed is no failure
-    /// of the request, so it uses up none of its tries. It ran there, though: were
-    /// the next endpoint to refuse it, its caller must not hear that it did not.
+    /// Continues at another endpoint. Moving away from a reclaimed endpoint is not a
+    /// failure of the request, so it does not count as an attempt. The request did run
+    /// there: if the next endpoint rejects it, the caller must not be told that it did not
+    /// run.
     #[must_use]
     pub fn move_to(self, sending: Sending) -> Self {
         Self {
@@ -219,19 +220,19 @@
     }
 }
 
-/// A request in whichever state it is.
+/// A request in any state before its end.
 #[proc_macros::row]
 pub enum Request {
-    /// Waits to be sent.
+    /// Waits for an endpoint.
     Waiting(Waiting),
-    /// Runs, and may be sent again.
+    /// Runs and may be retried.
     Repeatable(Running<Repeatable>),
-    /// Runs, and may not be sent again.
+    /// Runs and must not be retried.
     Once(Running<Once>),
 }
 
 impl Request {
-    /// What was asked.
+    /// What the caller requested.
     pub fn order(&self) -> &Order {
         match self {
             Self::Waiting(r) => &r.order,
@@ -240,7 +241,7 @@
         }
     }
 
-    /// Id of the sending, while it runs.
+    /// Id of the current attempt, while it runs.
     pub fn attempt(&self) -> Option<AttemptId> {
         match self {
             Self::Waiting(_) => None,
@@ -258,7 +259,7 @@
         }
     }
 
-    /// Notes tokens that the caller got from the running attempt.
+    /// Records the number of tokens that the caller has received, reported by the running attempt.
     pub fn progress(&mut self, now: Instant, delivered: u32) {
         let (first, count) = match self {
             Self::Waiting(_) => return,
@@ -269,7 +270,7 @@
         *count = (*count).max(delivered);
     }
 
-    /// Notes tokens that the caller has, from whichever attempt.
+    /// Records the number of tokens that the caller has received, reported by any attempt.
     pub fn reached(&mut self, delivered: u32) {
         let count = match self {
             Self::Waiting(r) => &mut r.delivered,
--- a/lib/src/settings.rs
+++ b/lib/src/settings.rs
@@ -1,8 +1,8 @@
 //! Settings of a daemon, read from a JSON file and checked field by field.
 //!
-//! A daemon with a wrong setting does not start: a mistake that shows only
-//! under load or after a failure is worse than none starting at all. Each
-//! mistake names the field, what was found there and what is allowed.
+//! A daemon with an invalid setting does not start: an error that shows only under load
+//! or after a failure is worse than a daemon that does not start. Each validation error
+//! names the field, the value found and what is allowed.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -13,7 +13,7 @@
 use crate::ids::{EndpointId, ModelId, RegionId, ServiceId, VersionId, ZoneId};
 use crate::lists::{Mistake, is_id};
 
-/// Everything a daemon learns at its start.
+/// Configuration that a daemon reads at startup.
 #[proc_macros::setting]
 pub struct Settings {
     /// Availability zone of this daemon.
@@ -21,39 +21,39 @@
     /// Region of the availability zone.
     #[serde(default = "default_region")]
     pub region: RegionId,
-    /// Address for callers.
+    /// Listen address for callers.
     pub callers: SocketAddr,
-    /// Address for operators.
+    /// Listen address for operators.
     pub operators: SocketAddr,
-    /// Address for other daemons.
+    /// Listen address for other daemons.
     pub peers: SocketAddr,
-    /// Files with credentials.
+    /// Files that hold the credentials.
     pub credentials: Credentials,
-    /// Peers' addresses to begin with.
+    /// Addresses of peers to contact first.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// The platform's services; none in the embedded default.
+    /// Addresses of the platform's services; none in the embedded configuration.
     #[serde(default)]
     pub platform: Option<Platform>,
-    /// Files with the two lists; used when there is no platform.
+    /// Files with the customer and plan lists, used without a platform.
     #[serde(default)]
     pub lists: Option<ListFiles>,
     /// Services and their routes.
     pub services: Vec<Service>,
-    /// Limits at the borders.
+    /// Limits on sizes, counts and times.
     #[serde(default)]
     pub limits: Limits,
-    /// Logs.
+    /// Logging.
     #[serde(default)]
     pub logs: Logs,
 }
 
-/// Files that hold the credentials, one line each.
+/// Files that hold the credentials, one line in each.
 #[proc_macros::setting]
 pub struct Credentials {
     /// File with the operators' bearer token.
     pub operators: CompactString,
-    /// File with the token that daemons show one another.
+    /// File with the bearer token that daemons use among themselves.
     pub peers: CompactString,
 }
 
@@ -62,10 +62,10 @@
 pub struct Platform {
     /// Key-value service.
     pub store: SocketAddr,
-    /// Cloud.
+    /// Cloud API.
     #[serde(default)]
     pub cloud: Option<SocketAddr>,
-    /// List of live and leaving hosts.
+    /// Service that lists live and leaving hosts.
     #[serde(default)]
     pub hosts: Option<SocketAddr>,
     /// Weight store.
@@ -73,44 +73,44 @@
     pub weights: Option<SocketAddr>,
 }
 
-/// Files with the two lists.
+/// Files with the customer and plan lists.
 #[proc_macros::setting]
 pub struct ListFiles {
-    /// File with the customers.
+    /// File with the customer list.
     pub customers: CompactString,
-    /// File with the plans.
+    /// File with the plan list.
     pub plans: CompactString,
 }
 
-/// What a service's endpoints speak.
+/// Protocol of a service's endpoints.
 #[proc_macros::kind]
 pub enum ServiceKind {
-    /// Model engine in OpenAI form.
+    /// Model engine with an OpenAI-compatible API.
     Model,
     /// Plain HTTP.
     Plain,
 }
 
-/// A service, its routes and the endpoints known from the start.
+/// A service, its routes and its statically configured endpoints.
 #[proc_macros::setting]
 pub struct Service {
     /// Id of the service.
     pub id: ServiceId,
-    /// What its endpoints speak.
+    /// Protocol of its endpoints.
     pub kind: ServiceKind,
-    /// Models it offers; for model services.
+    /// Models that it offers; for model services.
     #[serde(default)]
     pub models: Vec<ModelId>,
     /// Routes; for plain services.
     #[serde(default)]
     pub routes: Vec<Route>,
-    /// Time that a request of this service may take, in milliseconds.
+    /// Deadline of a request to this service, in milliseconds after its arrival.
     #[serde(default = "default_deadline")]
     pub deadline_ms: u64,
-    /// Version that has the requests until the first move; any if left out.
+    /// Version that receives all requests until the first version move; any version if omitted.
     #[serde(default)]
     pub version: Option<VersionId>,
-    /// Endpoints by address.
+    /// Statically configured endpoints.
     #[serde(default)]
     pub endpoints: Vec<Endpoint>,
 }
@@ -120,17 +120,17 @@
 pub struct Route {
     /// HTTP method.
     pub method: CompactString,
-    /// Path below the service; a `*` at its end stands for any rest.
+    /// Path below the service; a trailing `*` matches any suffix.
     pub path: CompactString,
-    /// Whether running it twice does the same as once; not unless declared.
+    /// Whether its requests are idempotent; false unless declared.
     #[serde(default)]
     pub repeatable: bool,
-    /// Time that a request may take, in milliseconds.
+    /// Deadline of a request, in milliseconds after its arrival.
     #[serde(default = "default_deadline")]
     pub deadline_ms: u64,
 }
 
-/// An endpoint by address.
+/// A statically configured endpoint.
 #[proc_macros::setting]
 pub struct Endpoint {
     /// Id of the endpoint.
@@ -144,29 +144,29 @@
     pub version: VersionId,
 }
 
-/// Limits on sizes, counts and times at the borders.
+/// Limits on sizes, counts and times of requests and connections.
 #[proc_macros::setting]
 #[serde(default)]
 pub struct Limits {
-    /// Bytes of a caller's body.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: u64,
-    /// Bytes of a plain service's answer.
+    /// Maximum size of a plain service's answer, in bytes.
     pub answer_bytes: u64,
-    /// Connections of callers at once.
+    /// Maximum number of concurrent connections of callers.
     pub connections: u64,
-    /// Requests waiting at once.
+    /// Maximum number of waiting requests.
     pub waiting: u64,
-    /// Requests sent to one endpoint at once.
+    /// Maximum number of this daemon's concurrent requests at one endpoint.
     pub running: u64,
-    /// Milliseconds in which a caller's headers must arrive.
+    /// Time in which a request's headers must arrive, in milliseconds.
     pub head_ms: u64,
-    /// Milliseconds in which a caller's body must arrive.
+    /// Time in which a request's body must arrive, in milliseconds.
     pub body_ms: u64,
-    /// Milliseconds for which a finished answer is kept.
+    /// Time for which a finished answer is kept, in milliseconds.
     pub keep_ms: u64,
-    /// Finished answers kept at once; the oldest go first.
+    /// Maximum number of finished answers kept; the oldest are evicted first.
     pub kept: u64,
-    /// Milliseconds a vanished caller has to come back for its stream.
+    /// Time that a disconnected caller has to reconnect to its stream, in milliseconds.
     pub return_ms: u64,
 }
 
@@ -187,11 +187,11 @@
     }
 }
 
-/// Logs.
+/// Logging.
 #[proc_macros::setting]
 #[serde(default)]
 pub struct Logs {
-    /// Least level that is written.
+    /// Minimum level of log lines.
     pub level: CompactString,
 }
 
@@ -215,30 +215,30 @@
     30_000
 }
 
-/// Why settings were refused.
+/// Why settings are invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// Not JSON, or a field has another type.
+    /// Not valid JSON, or a field has the wrong type.
     #[error("{}: {field}: {cause}", Code::BadSetting.number())]
     Shape {
         /// Path of the field.
         field: CompactString,
-        /// What the reader says.
+        /// Error message of the JSON parser.
         cause: CompactString,
     },
-    /// Fields outside what is allowed.
+    /// Fields with values that are not allowed.
     #[error("{}", mistakes.iter().map(|m| format!("{}: {m}", Code::BadSetting.number())).collect::<Vec<_>>().join("\n"))]
     Mistakes {
-        /// All of them.
+        /// All validation errors.
         mistakes: Vec<Mistake>,
     },
 }
 
 impl Settings {
-    /// Reads and checks settings.
+    /// Parses and validates settings.
     ///
     /// # Errors
-    /// Names each field that is wrong, what was found and what is allowed.
+    /// Names each invalid field, the value found and what is allowed.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let reader = &mut serde_json::Deserializer::from_str(text);
         let settings: Self =
@@ -254,8 +254,8 @@
         }
     }
 
-    /// Makes the files' names relative to the folder of the settings, so that a
-    /// daemon can be started from any folder.
+    /// Resolves file names relative to the directory of the settings file, so that a daemon
+    /// can be started from any directory.
     pub fn resolve(&mut self, folder: &Path) {
         let mut files = vec![&mut self.credentials.operators, &mut self.credentials.peers];
         if let Some(lists) = &mut self.lists {
@@ -269,8 +269,8 @@
 
     fn check(&self) -> Vec<Mistake> {
         let mut mistakes = Vec::new();
-        check_name("zone", &self.zone, &mut mistakes);
-        check_name("region", &self.region, &mut mistakes);
+        check_id("zone", &self.zone, &mut mistakes);
+        check_id("region", &self.region, &mut mistakes);
         self.check_addresses(&mut mistakes);
         self.check_source(&mut mistakes);
         self.check_services(&mut mistakes);
@@ -286,8 +286,8 @@
             ("peers", self.peers),
         ];
         for (at, (field, address)) in fields.iter().enumerate() {
-            let taken = fields[..at].iter().any(|(_, a)| a == address);
-            if taken && address.port() != 0 {
+            let is_duplicate = fields[..at].iter().any(|(_, a)| a == address);
+            if is_duplicate && address.port() != 0 {
                 let found = format_compact!("{address}");
                 mistakes.push(Mistake::new(*field, found, "an address of its own"));
             }
@@ -334,14 +334,14 @@
 
 impl Service {
     fn check(&self, field: &str, mistakes: &mut Vec<Mistake>) {
-        check_name(&format_compact!("{field}.id"), &self.id, mistakes);
-        check_time(
+        check_id(&format_compact!("{field}.id"), &self.id, mistakes);
+        check_duration(
             &format_compact!("{field}.deadline_ms"),
             self.deadline_ms,
             mistakes,
         );
         if let Some(version) = &self.version {
-            check_name(&format_compact!("{field}.version"), version, mistakes);
+            check_id(&format_compact!("{field}.version"), version, mistakes);
         }
         match self.kind {
             ServiceKind::Model if self.models.is_empty() => {
@@ -367,9 +367,9 @@
         }
         for (at, endpoint) in self.endpoints.iter().enumerate() {
             let field = format_compact!("{field}.endpoints[{at}]");
-            check_name(&format_compact!("{field}.id"), &endpoint.id, mistakes);
-            check_name(&format_compact!("{field}.zone"), &endpoint.zone, mistakes);
-            check_name(
+            check_id(&format_compact!("{field}.id"), &endpoint.id, mistakes);
+            check_id(&format_compact!("{field}.zone"), &endpoint.zone, mistakes);
+            check_id(
                 &format_compact!("{field}.version"),
                 &endpoint.version,
                 mistakes,
@@ -400,14 +400,14 @@
                 allowed,
             ));
         }
-        check_time(
+        check_duration(
             &format_compact!("{field}.deadline_ms"),
             self.deadline_ms,
             mistakes,
         );
     }
 
-    /// Whether a request is one of this route.
+    /// Whether a request belongs to this route.
     pub fn matches(&self, method: &str, path: &str) -> bool {
         let path_fits = match self.path.strip_suffix('*') {
             Some(start) => path.starts_with(start),
@@ -431,24 +431,24 @@
             ("kept", self.kept, 1, 1_000_000),
             ("return_ms", self.return_ms, 0, 60_000),
         ];
-        for (name, value, least, most) in fields {
-            if !(least..=most).contains(&value) {
+        for (name, value, min, max) in fields {
+            if !(min..=max).contains(&value) {
                 let field = format_compact!("limits.{name}");
-                let allowed = format_compact!("{least} to {most}");
+                let allowed = format_compact!("{min} to {max}");
                 mistakes.push(Mistake::new(field, format_compact!("{value}"), allowed));
             }
         }
     }
 }
 
-fn check_name(field: &str, name: &str, mistakes: &mut Vec<Mistake>) {
+fn check_id(field: &str, name: &str, mistakes: &mut Vec<Mistake>) {
     if !is_id(name) {
         let allowed = "1 to 64 of a-z, A-Z, 0-9, '-', '_' and '.'";
         mistakes.push(Mistake::new(field, format_compact!("{name:?}"), allowed));
     }
 }
 
-fn check_time(field: &str, ms: u64, mistakes: &mut Vec<Mistake>) {
+fn check_duration(field: &str, ms: u64, mistakes: &mut Vec<Mistake>) {
     if !(10..=3_600_000).contains(&ms) {
         mistakes.push(Mistake::new(
             field,
--- a/lib/src/table.rs
+++ b/lib/src/table.rs
@@ -1,16 +1,16 @@
-//! Tables of entities: sorted vectors, searched by halving.
+//! Tables of entities: sorted vectors with binary search.
 //!
 //! The tables are small (hundreds of endpoints, thousands of requests), are read
-//! far more often than changed, and are walked in order by every system. A
-//! sorted vector keeps rows side by side in memory and walks in the same order
-//! in every run, so that a replayed trace decides the same.
+//! far more often than changed, and are iterated in order by every system. A
+//! sorted vector keeps rows contiguous in memory and iterates in the same order in
+//! every run, so that a replayed trace leads to the same decisions.
 
-/// What a table can hold.
+/// A row that can be stored in a [`Table`].
 pub trait Row {
     /// Type the rows are sorted by.
     type Id: Ord + Clone;
 
-    /// Id of this row; never changes while the row stands in a table.
+    /// Id of this row; must not change while the row is in a table.
     fn id(&self) -> &Self::Id;
 }
 
@@ -32,7 +32,7 @@
         Self::default()
     }
 
-    /// Puts a row in, and returns the row that had its id.
+    /// Inserts a row and returns the previous row with the same id.
     pub fn insert(&mut self, row: R) -> Option<R> {
         match self.position(row.id()) {
             Ok(at) => Some(std::mem::replace(&mut self.rows[at], row)),
--- a/lib/tests/test_settings.rs
+++ b/lib/tests/test_settings.rs
@@ -1,4 +1,4 @@
-//! Checks of settings and lists.
+//! Validation of settings and lists.
 
 use poplarvale_lib::{Customer, Lists, Plan, Settings};
 use proptest::prelude::*;
@@ -6,12 +6,12 @@
 const EMBEDDED: &str = include_str!("../../demos/embedded/settings.json");
 
 #[test]
-fn the_embedded_default_passes() {
-    Settings::parse(EMBEDDED).expect("the settings are fine");
+fn the_embedded_settings_are_valid() {
+    Settings::parse(EMBEDDED).expect("the embedded settings are valid");
 }
 
 #[test]
-fn every_limit_has_bounds() {
+fn every_limit_is_bounded() {
     let names = [
         "body_bytes",
         "answer_bytes",
@@ -49,11 +49,11 @@
 proptest! {
     #![proptest_config(testutils::fixed(128))]
 
-    /// An operator mistypes a plan's name or gives one key to two customers. If
-    /// that were accepted, customers would be shut out or read each other's
+    /// An operator mistypes the name of a plan or assigns one key to two customers. If
+    /// such lists were accepted, customers would be rejected or could read each other's
     /// answers.
     #[test]
-    fn lists_pass_only_if_every_customer_has_a_plan_and_keys_of_its_own(
+    fn lists_are_valid_only_with_known_plans_and_unique_keys(
         plans in prop::collection::btree_set("[a-c]", 0..3),
         customers in prop::collection::btree_map("[k-o]", ("[a-d]", 0u8..6), 0..5),
     ) {
@@ -70,12 +70,12 @@
         let mut keys: Vec<u8> = customers.values().map(|(_, key)| *key).collect();
         keys.sort_unstable();
         keys.dedup();
-        let own = keys.len() == customers.len();
-        prop_assert_eq!(lists.check().is_empty(), known && own);
+        let unique = keys.len() == customers.len();
+        prop_assert_eq!(lists.check().is_empty(), known && unique);
     }
 
     #[test]
-    fn a_plan_with_senseless_numbers_is_refused(
+    fn a_plan_with_an_invalid_rate_is_rejected(
         requests in prop_oneof![Just(f64::NAN), Just(f64::INFINITY), -1e9..=0.0, 1e10..1e12],
     ) {
         let lists = Lists { customers: Vec::new(), plans: vec![Plan { requests, ..plan("p") }] };
--- a/lib/tests/test_table.rs
+++ b/lib/tests/test_table.rs
@@ -1,4 +1,4 @@
-//! Tables against the standard map, over generated changes.
+//! Compares `Table` with the standard library's `BTreeMap` over generated inserts and removals.
 
 use std::collections::BTreeMap;
 
@@ -34,7 +34,7 @@
     #![proptest_config(testutils::fixed(64))]
 
     #[test]
-    fn a_table_holds_what_a_map_holds(changes in changes()) {
+    fn a_table_matches_a_btree_map(changes in changes()) {
         let mut table = Table::new();
         let mut map = BTreeMap::new();
         for change in changes {
