--- a/lib/benches/decisions.rs
+++ b/lib/benches/decisions.rs
@@ -1,5 +1,5 @@
-//! Measures one routing decision and one tick, and how both grow with the
-//! endpoints and the requests in progress.
+//! Benchmarks a routing decision and a tick, and how both scale with the number of
+//! endpoints and of requests in progress.
 
 use std::hint::black_box;
 use std::time::{Duration, Instant};
@@ -15,9 +15,9 @@
 
 const ENDPOINTS: [usize; 3] = [10, 230, 4_400];
 const REQUESTS: [usize; 2] = [100, 5_000];
-/// Conversations that the caches hold.
-const TALKS: u64 = 2_000;
-/// Blocks of a prompt: 3,072 tokens.
+/// Number of different conversations in the caches.
+const CONVERSATIONS: u64 = 2_000;
+/// Number of blocks in a prompt: 3,072 tokens.
 const BLOCKS: usize = 48;
 
 fn main() {
@@ -28,12 +28,12 @@
         .configure_from_args();
     decisions(&mut criterion);
     ticks(&mut criterion);
-    waves(&mut criterion);
+    reclaims(&mut criterion);
     caches(&mut criterion);
     criterion.final_summary();
 }
 
-/// One decision by cost, over the whole group, with caches that are filled.
+/// One decision by the cost policy over all endpoints, with filled caches.
 fn decisions(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("decision");
     for endpoints in ENDPOINTS {
@@ -81,7 +81,7 @@
                                 request: done.request,
                                 outcome: Outcome::Whole { status: 200 },
                             },
-                            Input::Arrived(order(next, next as u64 % TALKS, now)),
+                            Input::Arrived(order(next, next as u64 % CONVERSATIONS, now)),
                         ];
                         sent.extend(sends(world.tick(now, inputs)));
                     });
@@ -92,9 +92,9 @@
     group.finish();
 }
 
-/// The tick in which a quarter of 230 endpoints is told to leave, and the one
-/// after it, in which the streams that stay are looked at again.
-fn waves(criterion: &mut Criterion) {
+/// The tick in which a quarter of 230 endpoints receives a notice to leave, and the next
+/// one, in which the streams that stay are checked again.
+fn reclaims(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("wave");
     for requests in REQUESTS {
         for (name, seconds) in [("all leave", 3), ("all stay", 60)] {
@@ -108,9 +108,9 @@
                     .collect()
             };
             let inputs = notices(&world);
-            let begun = Instant::now();
+            let begin = Instant::now();
             let moved = sends(world.tick(start, inputs)).count();
-            let first = begun.elapsed();
+            let first = begin.elapsed();
             println!("wave/{name}/{requests}: {moved} streams sent on, first tick {first:?}");
             group.bench_function(format!("next tick, {name}/{requests}"), |b| {
                 b.iter(|| black_box(world.tick(start, Vec::new())));
@@ -120,11 +120,11 @@
     group.finish();
 }
 
-/// What keeping a full cache view up to date takes: a sending, and an event.
+/// Cost of updating a full cache view for a sent request and for a cache event.
 fn caches(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("cache");
     let mut cache = Cache::default();
-    (0..100).for_each(|talk| cache.sent(&blocks(talk)));
+    (0..100).for_each(|conversation| cache.sent(&blocks(conversation)));
     let prompts: Vec<Vec<u64>> = (100..1_000).map(blocks).collect();
     let mut at = 0;
     group.bench_function("sent", |b| {
@@ -155,7 +155,7 @@
     let ids: Vec<_> = world.endpoints.iter().map(|e| e.id.clone()).collect();
     for (at, id) in ids.iter().enumerate() {
         for turn in 0..60 {
-            let blocks = blocks((at as u64 * 7 + turn) % TALKS);
+            let blocks = blocks((at as u64 * 7 + turn) % CONVERSATIONS);
             world.routing.sent(now, &blocks, id, 0);
         }
     }
@@ -173,21 +173,22 @@
     world.routing.policy = policy;
     let mut inputs = vec![Input::Lists(lists())];
     inputs.extend((0..endpoints).map(|at| Input::Endpoint(known(at))));
-    inputs
-        .extend((0..requests).map(|at| Input::Arrived(order(at as u128, at as u64 % TALKS, now))));
+    inputs.extend(
+        (0..requests).map(|at| Input::Arrived(order(at as u128, at as u64 % CONVERSATIONS, now))),
+    );
     let sent = sends(world.tick(now, inputs)).collect();
     (world, sent)
 }
 
-fn blocks(talk: u64) -> Vec<u64> {
-    let mut common = fastrand::Rng::with_seed(talk % 8);
-    let mut own = fastrand::Rng::with_seed(talk + 1_000);
+fn blocks(conversation: u64) -> Vec<u64> {
+    let mut common = fastrand::Rng::with_seed(conversation % 8);
+    let mut own = fastrand::Rng::with_seed(conversation + 1_000);
     let shared = std::iter::repeat_with(|| common.u64(..)).take(12);
     let rest = std::iter::repeat_with(|| own.u64(..)).take(BLOCKS - 12);
     shared.chain(rest).collect()
 }
 
-fn order(id: u128, talk: u64, now: Instant) -> Order {
+fn order(id: u128, conversation: u64, now: Instant) -> Order {
     Order {
         id,
         customer: "guests".into(),
@@ -195,7 +196,7 @@
         route: "small".into(),
         model: Some("small".into()),
         repeatable: true,
-        blocks: blocks(talk),
+        blocks: blocks(conversation),
         prompt: BLOCKS as u32 * 64,
         answer: 150,
         arrived: now,
--- a/lib/benches/load.rs
+++ b/lib/benches/load.rs
@@ -1,8 +1,8 @@
-//! Measures the decisions under load, each against the plain one on the same
-//! traces in the same run. Plain tables, as the figures are outcomes on virtual
-//! time; only the cost of a tick is taken from the clock.
+//! Compares the adaptive load policies with the plain ones on the same traces in the same
+//! run. It prints tables instead of using a benchmark harness, since the results are
+//! outcomes in virtual time; only the cost of ticks and claims is measured on the clock.
 //!
-//! `write` as argument writes the committed traces anew.
+//! With `write` as argument it regenerates the committed traces.
 
 #[path = "../tests/traces/driver.rs"]
 mod driver;
@@ -21,7 +21,7 @@
 use poplarvale_lib::{Command, CustomerId, Input, Outcome, World};
 use testutils::fake_endpoints::{Behaviour, Slow};
 
-/// Endpoints of 2,000 units a second, 200 for each piece at most.
+/// Endpoints that process 2,000 units per second, at most 200 per request.
 fn endpoints(count: usize) -> Vec<(String, Behaviour)> {
     let name = |n| (format!("e{n}"), Behaviour::sound(2_000.0, 200.0));
     (0..count).map(name).collect()
@@ -40,8 +40,8 @@
     }
 }
 
-/// Those answered before the last arrival; what is finished in the quiet after it
-/// would count as more than the endpoints can do.
+/// Requests that ended before the last arrival. Counting those that finish in the idle
+/// time after it would overstate the throughput of the endpoints.
 fn within(ended: &[Ended], seconds: f64) -> Vec<Ended> {
     let at = |e: &&Ended| e.arrival.at as f64 / 1e3 + e.after.as_secs_f64();
     ended.iter().filter(|e| at(e) <= seconds).cloned().collect()
@@ -77,7 +77,7 @@
     );
 }
 
-/// Policies in the order in which the decisions were built.
+/// The plain policy, single adaptive decisions and all of them together.
 fn policies() -> Vec<(&'static str, Policy)> {
     let plain = Policy::plain();
     let admission = Policy {
@@ -128,8 +128,8 @@
     }
 }
 
-/// The same load through more and more daemons, which know of each other's
-/// requests only by how fast the endpoints are.
+/// The same load spread over more and more daemons, which notice each other's requests
+/// only by the speed of the endpoints.
 fn daemons() {
     for (count, places) in [(8, 10), (8, 2), (40, 2)] {
         for load in [1.0, 2.0, 5.0] {
@@ -149,7 +149,7 @@
     }
 }
 
-/// Callers that come back up to three times when they are told to.
+/// Callers that retry up to three times at the time given in the rejection.
 fn returns() {
     let traces = [
         ("burst", generate::burst(), 22),
@@ -175,7 +175,7 @@
     }
 }
 
-/// Outcomes of single customers beside each other.
+/// Outcomes per customer, side by side.
 fn fairness(title: &str, trace: &[Arrival], customers: &[&str], change: impl Fn(&mut Scene)) {
     println!("{title} ({} arrivals)", trace.len());
     let origin = Instant::now();
@@ -197,7 +197,7 @@
     }
 }
 
-/// One of four endpoints runs at a tenth from the tenth to the thirtieth second.
+/// One of four endpoints runs at a tenth of its speed from the 10th to the 30th second.
 fn slow(scene: &mut Scene) {
     scene.endpoints = endpoints(4);
     scene.endpoints[0].1.slow = Some(Slow {
@@ -207,7 +207,7 @@
     });
 }
 
-/// Some of four endpoints break a share of what they run.
+/// Some of four endpoints fail a share of their requests.
 fn breaking(scene: &mut Scene, count: usize, share: f64) {
     scene.endpoints = endpoints(4);
     for (_, behaviour) in &mut scene.endpoints[..count] {
@@ -215,14 +215,14 @@
     }
 }
 
-/// Cost of claiming anew, at the size of a large fleet.
+/// Cost of updating claims, up to the size of a large fleet.
 fn claims() {
     println!("claiming anew for 20 busy customers, microseconds (median of 200)");
     for daemons in [8, 40, 400] {
         let origin = Instant::now();
-        let mut board = ShareTable::default();
+        let mut table = ShareTable::default();
         let customers: Vec<CustomerId> = (0..20).map(|n| format!("c{n}").into()).collect();
-        board.set_expected(daemons);
+        table.set_expected(daemons);
         for incarnation in 1..daemons as u64 {
             for customer in &customers {
                 let row = ShareRow {
@@ -231,15 +231,15 @@
                     demand: LIMIT.times(0.01),
                     claim: LIMIT.times(0.5 / daemons as f64),
                 };
-                board.apply_row(origin, row);
+                table.apply_row(origin, row);
             }
         }
         let mut times: Vec<f64> = (0..200)
             .map(|_| {
                 let begin = Instant::now();
                 for customer in &customers {
-                    board.record_request(origin, customer, 100.0);
-                    board.update_claim(origin, customer, LIMIT, 1.0);
+                    table.record_request(origin, customer, 100.0);
+                    table.update_claim(origin, customer, LIMIT, 1.0);
                 }
                 begin.elapsed().as_secs_f64() * 1e6
             })
@@ -249,7 +249,7 @@
     }
 }
 
-/// Endpoints that a daemon sends to when it measures the cost of a tick.
+/// Number of endpoints of the daemon whose tick is measured.
 const ENDPOINTS: usize = 230;
 const LIMIT: Amounts = Amounts {
     requests: 100.0,
@@ -257,8 +257,8 @@
     running: 40.0,
 };
 
-/// Eight daemons share 100 requests a second. What part of the 80 that are
-/// asked for is within the shares, against an even split, as demand is skewed.
+/// Eight daemons share a limit of 100 requests per second. Prints how much of a skewed demand
+/// of 80 requests per second fits into their shares, compared with an even split.
 fn shares() {
     println!("shares of 100 requests/s among 8 daemons, 80/s asked for");
     for hot in [8, 4, 2, 1] {
@@ -285,12 +285,12 @@
     while fleet.share(1).requests < 60.0 {
         fleet.round(&asks);
     }
-    let took = (fleet.now - begin).as_secs_f64();
-    println!("  demand moves to another daemon: 60/s there after {took:.1} s");
+    let elapsed = (fleet.now - begin).as_secs_f64();
+    println!("  demand moves to another daemon: 60/s there after {elapsed:.1} s");
 }
 
-/// Use above the limit, connected and while some daemons are cut off for a
-/// minute, against the whole plan at each daemon.
+/// Usage above the limit, while connected and while some daemons are partitioned for a minute,
+/// compared with the whole plan at each daemon.
 fn overshoot() {
     println!("most that 8 daemons give out, in parts of the limit (whole plan at each: 8.00)");
     for cut in [0, 1, 2, 3, 4] {
@@ -325,7 +325,7 @@
     }
 }
 
-/// A world with full endpoints and some requests waiting, of 50 customers.
+/// A world with endpoints at their limit and waiting requests of 50 customers.
 fn full(policy: Policy, origin: Instant, waiting: usize) -> (World, Vec<(u128, u128)>) {
     let scene = Scene {
         endpoints: endpoints(ENDPOINTS),
@@ -372,7 +372,7 @@
     times[times.len() / 2]
 }
 
-/// Cost of a tick with full endpoints and requests that wait.
+/// Cost of a tick with endpoints at their limit and waiting requests.
 fn cost() {
     println!("a tick with {ENDPOINTS} full endpoints, microseconds (median of 200)");
     for waiting in [100, 5_000] {
