--- a/lib/src/lease.rs
+++ b/lib/src/lease.rs
@@ -9,7 +9,7 @@
 //!
 //! - a [`Lease`] counts as expired some time before it expires in the service, so that a
 //!   write sent at the last moment is still applied under the lease;
-//! - a [`Pulse`] detects that a tick ran much later than scheduled; all earlier
+//! - a [`PauseDetector`] detects that a tick ran much later than scheduled; all earlier
 //!   information then counts as stale and the lease is released;
 //! - every write carries the fencing token and the revision that the decision was based
 //!   on, so that a write which arrives late has no effect.
@@ -19,7 +19,7 @@
 use std::time::{Duration, Instant};
 
 /// Fencing token of a lease; a later grant has a higher one.
-pub type Fence = u64;
+pub type FencingToken = u64;
 
 /// How long before its expiry in the service a lease counts as expired. A write to the
 /// platform's service takes milliseconds and is abandoned after one second, so a write sent
@@ -38,7 +38,7 @@
 #[proc_macros::row]
 pub struct Lease {
     /// Fencing token of the grant.
-    pub fence: Fence,
+    pub fence: FencingToken,
     /// When it expires in the service, counted from before the grant was requested.
     pub deadline: Instant,
 }
@@ -58,13 +58,13 @@
 /// Proof that a lease was valid when an action was decided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permit {
-    fence: Fence,
+    fence: FencingToken,
     until: Instant,
 }
 
 impl Permit {
     /// Fencing token that the action must carry.
-    pub fn fence(&self) -> Fence {
+    pub fn fence(&self) -> FencingToken {
         self.fence
     }
 
@@ -76,31 +76,31 @@
 
 /// Whether the process ran without a pause since the previous tick.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Beat {
+pub enum TickTiming {
     /// The tick ran on time.
-    Steady,
+    OnTime,
     /// The process just started or was paused; its information may be stale.
     Paused,
 }
 
 /// Detects pauses of the process from late ticks.
 #[derive(Clone, Debug, Default)]
-pub struct Pulse {
+pub struct PauseDetector {
     due: Option<Instant>,
 }
 
-impl Pulse {
+impl PauseDetector {
     /// A detector whose first tick counts as a pause.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Records a tick.
-    pub fn beat(&mut self, now: Instant) -> Beat {
+    pub fn tick(&mut self, now: Instant) -> TickTiming {
         let due = self.due.replace(now + TICK);
         match due {
-            Some(due) if now < due + PAUSE => Beat::Steady,
-            Some(_) | None => Beat::Paused,
+            Some(due) if now < due + PAUSE => TickTiming::OnTime,
+            Some(_) | None => TickTiming::Paused,
         }
     }
 }
--- a/lib/src/moves/controller.rs
+++ b/lib/src/moves/controller.rs
@@ -16,7 +16,7 @@
 use compact_str::{CompactString, format_compact};
 
 use crate::ids::{Incarnation, Revision, ServiceId, VersionId};
-use crate::lease::{Beat, Lease, Permit, Pulse};
+use crate::lease::{Lease, PauseDetector, Permit, TickTiming};
 use crate::moves::evidence::{Evidence, Row, Sample};
 use crate::moves::lifecycle::{MoveId, Record};
 use crate::moves::share::{Counter, FULL_SHARE, Share};
@@ -203,7 +203,7 @@
     verdicts: Vec<Verdict>,
     fresh_until: Option<Instant>,
     lease: Option<Lease>,
-    pulse: Pulse,
+    pauses: PauseDetector,
     counter: Counter,
     evidence: Evidence,
     detector: Detector,
@@ -224,7 +224,7 @@
             verdicts: Vec::new(),
             fresh_until: None,
             lease: None,
-            pulse: Pulse::new(),
+            pauses: PauseDetector::new(),
             counter: Counter::default(),
             evidence: Evidence::default(),
             detector: Detector::default(),
@@ -408,7 +408,7 @@
     /// Evaluates the evidence and decides what to do.
     pub fn tick(&mut self, inputs: TickInputs) -> Vec<Action> {
         let now = inputs.time.now;
-        if self.pulse.beat(now) == Beat::Paused {
+        if self.pauses.tick(now) == TickTiming::Paused {
             self.fresh_until = None;
             self.lease = None;
         }
--- a/lib/tests/test_moves.rs
+++ b/lib/tests/test_moves.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use poplarvale_lib::Code;
-use poplarvale_lib::lease::{Beat, Lease, MARGIN, Permit, Pulse, TICK};
+use poplarvale_lib::lease::{Lease, MARGIN, PauseDetector, Permit, TICK, TickTiming};
 use poplarvale_lib::moves::ask::{Ask, Fleet, ask, cancel};
 use poplarvale_lib::moves::stages::{LAST_STAGE, Scale, due, endpoint_counts, shares};
 use poplarvale_lib::moves::{Counter, FULL_SHARE, Record, status};
@@ -232,11 +232,14 @@
 /// time has passed and would act on outdated state.
 #[test]
 fn a_late_tick_is_a_pause_and_so_is_the_first() {
-    let mut pulse = Pulse::new();
+    let mut pauses = PauseDetector::new();
     let now = Instant::now();
-    assert_eq!(pulse.beat(now), Beat::Paused);
-    assert_eq!(pulse.beat(now + TICK), Beat::Steady);
-    assert_eq!(pulse.beat(now + Duration::from_secs(5)), Beat::Paused);
+    assert_eq!(pauses.tick(now), TickTiming::Paused);
+    assert_eq!(pauses.tick(now + TICK), TickTiming::OnTime);
+    assert_eq!(
+        pauses.tick(now + Duration::from_secs(5)),
+        TickTiming::Paused
+    );
 }
 
 proptest! {
