--- a/daemon/src/core.rs
+++ b/daemon/src/core.rs
@@ -203,7 +203,7 @@
             service: ask.service,
             route: ask.route,
             model,
-            repeatable: ask.repeatable,
+            idempotent: ask.repeatable,
             blocks: ask.blocks,
             prompt: ask.prompt,
             answer: ask.answer,
--- a/lib/benches/decisions.rs
+++ b/lib/benches/decisions.rs
@@ -195,7 +195,7 @@
         service: "pool".into(),
         route: "small".into(),
         model: Some("small".into()),
-        repeatable: true,
+        idempotent: true,
         blocks: blocks(conversation),
         prompt: BLOCKS as u32 * 64,
         answer: 150,
--- a/lib/src/dump.rs
+++ b/lib/src/dump.rs
@@ -113,8 +113,8 @@
         Request::Waiting(r) => json!({
             "state": "waiting", "tries": r.tries, "delivered": r.delivered, "failed": r.failed,
         }),
-        Request::Repeatable(r) => running(r, now),
-        Request::Once(r) => running(r, now),
+        Request::Idempotent(r) => running(r, now),
+        Request::NonIdempotent(r) => running(r, now),
     };
     if let (Value::Object(all), Value::Object(state)) = (&mut value, state) {
         all.extend(state);
@@ -128,7 +128,7 @@
         "customer": order.customer,
         "service": order.service,
         "route": order.route,
-        "repeatable": order.repeatable,
+        "repeatable": order.idempotent,
         "prompt": order.prompt,
         "answer": order.answer,
         "arrived_ms": millis(order.arrived, now),
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -37,7 +37,9 @@
 pub use ids::*;
 pub use input::{Input, Known, Outcome};
 pub use lists::{Accepted, Customer, Lists, MOST_PRIORITY, MOST_ROWS, Mistake, Plan, is_id};
-pub use request::{Ending, NotSent, Once, Order, Repeatable, Request, Running, Sending, Waiting};
+pub use request::{
+    Attempt, Ending, Idempotent, NonIdempotent, NotSent, Order, Request, Running, Waiting,
+};
 pub use settings::{
     Credentials, Limits, ListFiles, Logs, Platform, Route, Service, ServiceKind, Settings,
     SettingsError,
--- a/lib/src/request.rs
+++ b/lib/src/request.rs
@@ -29,7 +29,7 @@
     /// Requested model, for model services.
     pub model: Option<ModelId>,
     /// Whether the request is idempotent.
-    pub repeatable: bool,
+    pub idempotent: bool,
     /// Hash chain over the blocks of the prompt, to find cached prefixes.
     pub blocks: Vec<u64>,
     /// Estimated number of prompt tokens.
@@ -51,11 +51,11 @@
 
 /// Marks a request that is idempotent and may be retried.
 #[proc_macros::row]
-pub struct Repeatable;
+pub struct Idempotent;
 
 /// Marks a request that is not idempotent and may run at most once.
 #[proc_macros::row]
-pub struct Once;
+pub struct NonIdempotent;
 
 /// Proof that no byte of a request was sent to the endpoint.
 ///
@@ -125,17 +125,17 @@
     Left,
 }
 
-/// Where and when a request is sent.
+/// One attempt of a request at an endpoint.
 #[proc_macros::row]
-pub struct Sending {
+pub struct Attempt {
     /// Id of this attempt.
-    pub attempt: AttemptId,
+    pub id: AttemptId,
     /// Endpoint it is sent to.
     pub endpoint: EndpointId,
     /// Version of the endpoint.
     pub version: VersionId,
     /// When it is sent.
-    pub at: Instant,
+    pub sent: Instant,
 }
 
 impl Waiting {
@@ -151,21 +151,21 @@
     }
 
     /// Makes it run, as idempotent or non-idempotent as its route declares.
-    pub fn send(self, sending: Sending) -> Request {
-        if self.order.repeatable {
-            Request::Repeatable(self.run(sending))
+    pub fn send(self, attempt: Attempt) -> Request {
+        if self.order.idempotent {
+            Request::Idempotent(self.run(attempt))
         } else {
-            Request::Once(self.run(sending))
+            Request::NonIdempotent(self.run(attempt))
         }
     }
 
-    fn run<K>(self, sending: Sending) -> Running<K> {
+    fn run<K>(self, attempt: Attempt) -> Running<K> {
         Running {
             order: self.order,
-            attempt: sending.attempt,
-            endpoint: sending.endpoint,
-            version: sending.version,
-            sent: sending.at,
+            attempt: attempt.id,
+            endpoint: attempt.endpoint,
+            version: attempt.version,
+            sent: attempt.sent,
             first: None,
             delivered: self.delivered,
             tries: self.tries + 1,
@@ -196,9 +196,9 @@
     }
 }
 
-impl Running<Repeatable> {
+impl Running<Idempotent> {
     /// Makes it wait for a retry.
-    pub fn again(self) -> Waiting {
+    pub fn retry(self) -> Waiting {
         self.wait(Ran::Unknown)
     }
 
@@ -207,12 +207,12 @@
     /// there: if the next endpoint rejects it, the caller must not be told that it did not
     /// run.
     #[must_use]
-    pub fn move_to(self, sending: Sending) -> Self {
+    pub fn move_to(self, attempt: Attempt) -> Self {
         Self {
-            attempt: sending.attempt,
-            endpoint: sending.endpoint,
-            version: sending.version,
-            sent: sending.at,
+            attempt: attempt.id,
+            endpoint: attempt.endpoint,
+            version: attempt.version,
+            sent: attempt.sent,
             first: None,
             ran: Ran::Unknown,
             ..self
@@ -226,9 +226,9 @@
     /// Waits for an endpoint.
     Waiting(Waiting),
     /// Runs and may be retried.
-    Repeatable(Running<Repeatable>),
+    Idempotent(Running<Idempotent>),
     /// Runs and must not be retried.
-    Once(Running<Once>),
+    NonIdempotent(Running<NonIdempotent>),
 }
 
 impl Request {
@@ -236,8 +236,8 @@
     pub fn order(&self) -> &Order {
         match self {
             Self::Waiting(r) => &r.order,
-            Self::Repeatable(r) => &r.order,
-            Self::Once(r) => &r.order,
+            Self::Idempotent(r) => &r.order,
+            Self::NonIdempotent(r) => &r.order,
         }
     }
 
@@ -245,8 +245,8 @@
     pub fn attempt(&self) -> Option<AttemptId> {
         match self {
             Self::Waiting(_) => None,
-            Self::Repeatable(r) => Some(r.attempt),
-            Self::Once(r) => Some(r.attempt),
+            Self::Idempotent(r) => Some(r.attempt),
+            Self::NonIdempotent(r) => Some(r.attempt),
         }
     }
 
@@ -254,28 +254,28 @@
     pub fn endpoint(&self) -> Option<&EndpointId> {
         match self {
             Self::Waiting(_) => None,
-            Self::Repeatable(r) => Some(&r.endpoint),
-            Self::Once(r) => Some(&r.endpoint),
+            Self::Idempotent(r) => Some(&r.endpoint),
+            Self::NonIdempotent(r) => Some(&r.endpoint),
         }
     }
 
     /// Records the number of tokens that the caller has received, reported by the running attempt.
-    pub fn progress(&mut self, now: Instant, delivered: u32) {
+    pub fn record_progress(&mut self, now: Instant, delivered: u32) {
         let (first, count) = match self {
             Self::Waiting(_) => return,
-            Self::Repeatable(r) => (&mut r.first, &mut r.delivered),
-            Self::Once(r) => (&mut r.first, &mut r.delivered),
+            Self::Idempotent(r) => (&mut r.first, &mut r.delivered),
+            Self::NonIdempotent(r) => (&mut r.first, &mut r.delivered),
         };
         first.get_or_insert(now);
         *count = (*count).max(delivered);
     }
 
     /// Records the number of tokens that the caller has received, reported by any attempt.
-    pub fn reached(&mut self, delivered: u32) {
+    pub fn record_delivered(&mut self, delivered: u32) {
         let count = match self {
             Self::Waiting(r) => &mut r.delivered,
-            Self::Repeatable(r) => &mut r.delivered,
-            Self::Once(r) => &mut r.delivered,
+            Self::Idempotent(r) => &mut r.delivered,
+            Self::NonIdempotent(r) => &mut r.delivered,
         };
         *count = (*count).max(delivered);
     }
--- a/lib/src/routing/pick.rs
+++ b/lib/src/routing/pick.rs
@@ -112,7 +112,7 @@
 fn open<'a>(view: &'a View, endpoints: &'a Table<Endpoint>, ask: &Ask<'_>) -> Vec<Open<'a>> {
     let waiting = ask.waiting;
     let order = &waiting.order;
-    let stay = (!order.repeatable).then(|| {
+    let stay = (!order.idempotent).then(|| {
         view.tails
             .until(ask.now, &order.service, &order.route, order.deadline)
     });
--- a/lib/src/systems/expire.rs
+++ b/lib/src/systems/expire.rs
@@ -33,7 +33,7 @@
     moving::record_overdue(world, now, &request);
     let (code, ran) = match &request {
         Request::Waiting(waiting) => (Code::Expired, waiting.ran),
-        Request::Repeatable(_) | Request::Once(_) => (Code::Overdue, Ran::Unknown),
+        Request::Idempotent(_) | Request::NonIdempotent(_) => (Code::Overdue, Ran::Unknown),
     };
     leaving::record_duration(world, now, &request);
     if let Some(attempt) = request.attempt() {
--- a/lib/src/systems/intake.rs
+++ b/lib/src/systems/intake.rs
@@ -89,7 +89,7 @@
     };
     // Cancelling a non-idempotent request could leave it half done. It runs to its end,
     // and its answer is kept for a caller that reconnects.
-    if matches!(request, Request::Once(_)) {
+    if matches!(request, Request::NonIdempotent(_)) {
         return;
     }
     if let Some(attempt) = request.attempt() {
@@ -112,11 +112,11 @@
         return;
     };
     if request.attempt() == Some(attempt) {
-        request.progress(now, delivered);
+        request.record_progress(now, delivered);
     } else {
         // The tokens came from an attempt whose endpoint has died since. The caller has
         // received them, so the next endpoint continues after them.
-        request.reached(delivered);
+        request.record_delivered(delivered);
     }
 }
 
@@ -150,14 +150,14 @@
         (Request::Waiting(waiting), _) => {
             world.requests.insert(Request::Waiting(waiting));
         }
-        (Request::Repeatable(running), Outcome::Unsent(proof)) => {
+        (Request::Idempotent(running), Outcome::Unsent(proof)) => {
             retry::run(world, now, running.unsent(proof), Code::Refused, Ran::No);
         }
-        (Request::Once(running), Outcome::Unsent(proof)) => {
+        (Request::NonIdempotent(running), Outcome::Unsent(proof)) => {
             retry::run(world, now, running.unsent(proof), Code::Refused, Ran::No);
         }
-        (Request::Repeatable(running), Outcome::Broken { code }) if !is_final(code) => {
-            retry::run(world, now, Running::again(running), code, Ran::Unknown);
+        (Request::Idempotent(running), Outcome::Broken { code }) if !is_final(code) => {
+            retry::run(world, now, Running::retry(running), code, Ran::Unknown);
         }
         (request, Outcome::Broken { code }) => {
             world.requests.insert(request);
--- a/lib/src/systems/leaving.rs
+++ b/lib/src/systems/leaving.rs
@@ -12,7 +12,7 @@
 use crate::command::{Command, Send};
 use crate::endpoint::Endpoint;
 use crate::ids::{EndpointId, RequestId};
-use crate::request::{Repeatable, Request, Running, Sending};
+use crate::request::{Attempt, Idempotent, Request, Running};
 use crate::routing::{Ask, Carry, Pick, Policy, Stream, pick, plan, stays};
 use crate::world::World;
 
@@ -35,12 +35,12 @@
         return;
     }
     for request in &mut world.requests {
-        let Request::Repeatable(running) = request else {
+        let Request::Idempotent(running) = request else {
             continue;
         };
         if running.endpoint == *endpoint {
             world.commands.push(Command::Cancel(running.attempt));
-            *request = Request::Waiting(running.clone().again());
+            *request = Request::Waiting(running.clone().retry());
         }
     }
 }
@@ -48,8 +48,8 @@
 /// Records how long a request took, or has taken so far, for the tail latency of its route.
 pub(crate) fn record_duration(world: &mut World, now: Instant, request: &Request) {
     let sent = match request {
-        Request::Repeatable(running) => running.sent,
-        Request::Once(running) => running.sent,
+        Request::Idempotent(running) => running.sent,
+        Request::NonIdempotent(running) => running.sent,
         Request::Waiting(_) => return,
     };
     let order = request.order();
@@ -83,7 +83,7 @@
     }
     let mut overdue = Vec::new();
     for request in &world.requests {
-        let Request::Repeatable(running) = request else {
+        let Request::Idempotent(running) = request else {
             continue;
         };
         let Ok(at) = endpoints.binary_search_by(|e| e.id.cmp(&running.endpoint)) else {
@@ -135,7 +135,7 @@
 }
 
 fn stream(world: &mut World, now: Instant, from: &Endpoint, id: RequestId) -> Option<Stream> {
-    let Some(Request::Repeatable(running)) = world.requests.get(&id).cloned() else {
+    let Some(Request::Idempotent(running)) = world.requests.get(&id).cloned() else {
         return None;
     };
     let rest = remaining_time(world, now, &running);
@@ -152,7 +152,7 @@
 }
 
 /// Upper estimate of the time that a request still runs.
-fn remaining_time(world: &World, now: Instant, running: &Running<Repeatable>) -> Duration {
+fn remaining_time(world: &World, now: Instant, running: &Running<Idempotent>) -> Duration {
     let order = &running.order;
     let Some(seat) = world.routing.get(&running.endpoint) else {
         return Duration::ZERO;
@@ -174,8 +174,8 @@
     Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
 }
 
-fn pick_other(world: &mut World, now: Instant, running: &Running<Repeatable>) -> Option<Pick> {
-    let waiting = running.clone().again();
+fn pick_other(world: &mut World, now: Instant, running: &Running<Idempotent>) -> Option<Pick> {
+    let waiting = running.clone().retry();
     let ask = Ask {
         filter: &world.open_to(now, &waiting),
         waiting: &waiting,
@@ -203,7 +203,7 @@
 /// Moves a stream to another endpoint. While there is none it stays, since tokens that
 /// it still generates need not be computed elsewhere.
 fn move_stream(world: &mut World, now: Instant, id: RequestId, action: Carry) {
-    let Some(Request::Repeatable(running)) = world.requests.get(&id).cloned() else {
+    let Some(Request::Idempotent(running)) = world.requests.get(&id).cloned() else {
         return;
     };
     let Some(to) = pick_other(world, now, &running) else {
@@ -234,19 +234,19 @@
         fresh: false,
         deadline: running.order.deadline,
     }));
-    let sending = Sending {
-        attempt,
+    let next = Attempt {
+        id: attempt,
         endpoint: row.id.clone(),
         version: row.version,
-        at: now,
+        sent: now,
     };
     let prompt = if moves { 0 } else { size };
     world
         .routing
         .sent(now, &running.order.blocks, &row.id, prompt);
     shift_running(world, &from.id, &row.id);
-    let continued = running.move_to(sending);
-    world.requests.insert(Request::Repeatable(continued));
+    let continued = running.move_to(next);
+    world.requests.insert(Request::Idempotent(continued));
 }
 
 fn shift_running(world: &mut World, from: &EndpointId, to: &EndpointId) {
--- a/lib/src/systems/moving.rs
+++ b/lib/src/systems/moving.rs
@@ -88,7 +88,7 @@
             continue;
         };
         let draw = world.rng.u32(..FULL_SHARE);
-        if controller.version_for(now, order.repeatable, draw) == Pick::New {
+        if controller.version_for(now, order.idempotent, draw) == Pick::New {
             world.chosen.insert(Chosen { id: *id });
         }
     }
@@ -255,8 +255,8 @@
 fn record(world: &mut World, now: Instant, request: &Request, whole: bool) {
     let (order, version, endpoint, latency) = match request {
         Request::Waiting(_) => return,
-        Request::Repeatable(r) => (&r.order, &r.version, &r.endpoint, latency(r, now)),
-        Request::Once(r) => (&r.order, &r.version, &r.endpoint, latency(r, now)),
+        Request::Idempotent(r) => (&r.order, &r.version, &r.endpoint, latency(r, now)),
+        Request::NonIdempotent(r) => (&r.order, &r.version, &r.endpoint, latency(r, now)),
     };
     // A failure at an endpoint that is being reclaimed is not caused by its version.
     let leaving = world
@@ -282,7 +282,7 @@
     };
     controller.record(&Sample {
         route: order.route.clone(),
-        idempotent: order.repeatable,
+        idempotent: order.idempotent,
         which,
         time: whole.then_some(latency),
         compared,
--- a/lib/src/systems/queue.rs
+++ b/lib/src/systems/queue.rs
@@ -91,7 +91,7 @@
         return false;
     };
     let moved = world.moves.contains(&waiting.order.service);
-    if waiting.failed.is_empty() && waiting.order.repeatable && !moved {
+    if waiting.failed.is_empty() && waiting.order.idempotent && !moved {
         return true;
     }
     let ask = Ask {
--- a/lib/src/systems/route.rs
+++ b/lib/src/systems/route.rs
@@ -4,7 +4,7 @@
 
 use crate::command::{Command, Send};
 use crate::ids::RequestId;
-use crate::request::{Request, Sending};
+use crate::request::{Attempt, Request};
 use crate::systems::{choose, queue};
 use crate::world::World;
 
@@ -35,18 +35,18 @@
         address: row.address,
         delivered: waiting.delivered,
         cache_from: None,
-        fresh: !waiting.order.repeatable,
+        fresh: !waiting.order.idempotent,
         deadline: waiting.order.deadline,
     }));
     let prompt = waiting.order.prompt.saturating_add(waiting.delivered);
     world
         .routing
         .sent(now, &waiting.order.blocks, &row.id, prompt);
-    let sending = Sending {
-        attempt,
+    let next = Attempt {
+        id: attempt,
         endpoint,
         version: row.version.clone(),
-        at: now,
+        sent: now,
     };
-    world.requests.insert(waiting.send(sending));
+    world.requests.insert(waiting.send(next));
 }
--- a/lib/tests/test_load_schedules.rs
+++ b/lib/tests/test_load_schedules.rs
@@ -300,10 +300,10 @@
     run.step(&arrive).expect("it is admitted");
     assert_eq!(run.records[0].attempts.len(), 1);
     let id = poplarvale_lib::joined(driver::INCARNATION, 0);
-    let Some(Request::Repeatable(running)) = run.world.requests.get(&id).cloned() else {
+    let Some(Request::Idempotent(running)) = run.world.requests.get(&id).cloned() else {
         panic!("it runs");
     };
-    run.world.requests.insert(Request::Waiting(running.again()));
+    run.world.requests.insert(Request::Waiting(running.retry()));
     run.now += Duration::from_millis(50);
     run.tick(Vec::new()).expect("all checks pass");
     assert_eq!(run.records[0].attempts.len(), 2);
--- a/lib/tests/test_moves.rs
+++ b/lib/tests/test_moves.rs
@@ -354,7 +354,7 @@
                 service: "booking".into(),
                 route: "GET /lessons".into(),
                 model: None,
-                repeatable: true,
+                idempotent: true,
                 blocks: Vec::new(),
                 prompt: 1,
                 answer: 0,
--- a/lib/tests/test_routing_leaving.rs
+++ b/lib/tests/test_routing_leaving.rs
@@ -80,7 +80,7 @@
         service: "pool".into(),
         route: "POST /bookings".into(),
         model: repeatable.then(|| "small".into()),
-        repeatable,
+        idempotent: repeatable,
         blocks: vec![1 << 60, 2 << 60, 3 << 60, 4 << 60],
         prompt: 256,
         answer: 300,
--- a/lib/tests/traces/driver.rs
+++ b/lib/tests/traces/driver.rs
@@ -182,7 +182,7 @@
         service: "chat".into(),
         route: "m".into(),
         model: Some("m".into()),
-        repeatable: arrival.repeatable,
+        idempotent: arrival.repeatable,
         blocks: Vec::new(),
         prompt: arrival.prompt,
         answer: arrival.answer,
--- a/lib/testutils/src/replay.rs
+++ b/lib/testutils/src/replay.rs
@@ -269,7 +269,7 @@
             service: "pool".into(),
             route: "small".into(),
             model: Some("small".into()),
-            repeatable: true,
+            idempotent: true,
             blocks: arrival.blocks.clone(),
             prompt: arrival.blocks.len() as u32 * 64,
             answer: arrival.answer,
