--- a/lib/src/dump.rs
+++ b/lib/src/dump.rs
@@ -102,7 +102,7 @@
         "version": row.version,
         "running": row.running,
         "leaving_ms": row.leaving.map(|at| millis(at, now)),
-        "shunned_ms": row.shunned.map(|at| millis(at, now)),
+        "shunned_ms": row.ejected_until.map(|at| millis(at, now)),
         "failures": row.failures,
     })
 }
--- a/lib/src/endpoint.rs
+++ b/lib/src/endpoint.rs
@@ -26,20 +26,20 @@
     /// Maximum number of this daemon's concurrent requests there.
     pub limit: u32,
     /// Until when it is ejected and receives no requests.
-    pub shunned: Option<Instant>,
+    pub ejected_until: Option<Instant>,
     /// Consecutive failures since the last success.
     pub failures: u32,
 }
 
 impl Endpoint {
     /// Whether it is neither leaving nor ejected, even if it is at its limit now.
-    pub fn serves(&self, now: Instant) -> bool {
-        self.leaving.is_none() && self.shunned.is_none_or(|until| until <= now)
+    pub fn is_available(&self, now: Instant) -> bool {
+        self.leaving.is_none() && self.ejected_until.is_none_or(|until| until <= now)
     }
 
     /// Whether new requests may be sent to it now.
-    pub fn takes(&self, now: Instant) -> bool {
-        self.serves(now) && self.running < self.limit
+    pub fn accepts(&self, now: Instant) -> bool {
+        self.is_available(now) && self.running < self.limit
     }
 }
 
--- a/lib/src/load/state.rs
+++ b/lib/src/load/state.rs
@@ -245,7 +245,7 @@
     pub(crate) fn rebuild_pools(&mut self, now: Instant, endpoints: &Table<Endpoint>, view: &View) {
         self.pools = Table::new();
         let pairs = endpoints.iter().zip(&self.endpoint_stats).enumerate();
-        for (at, (endpoint, stats)) in pairs.filter(|(_, (e, _))| e.serves(now)) {
+        for (at, (endpoint, stats)) in pairs.filter(|(_, (e, _))| e.is_available(now)) {
             if !self.pools.contains(&endpoint.service) {
                 self.pools.insert(Pool::new(endpoint.service.clone()));
             }
--- a/lib/src/routing/pick.rs
+++ b/lib/src/routing/pick.rs
@@ -124,7 +124,7 @@
         let (Some(endpoint), Some(seat)) = (rows.get(at), seats.get(at)) else {
             continue;
         };
-        if endpoint.takes(ask.now)
+        if endpoint.accepts(ask.now)
             && endpoint.running < ask.most
             && lasts(seat, stay)
             && !waiting.failed.contains(&endpoint.id)
--- a/lib/src/systems/choose.rs
+++ b/lib/src/systems/choose.rs
@@ -71,7 +71,7 @@
 ) -> Vec<&'a Endpoint> {
     let fits = |endpoint: &&Endpoint| {
         endpoint.service == waiting.order.service
-            && endpoint.takes(now)
+            && endpoint.accepts(now)
             && endpoint.running < world.setup.running
             && !waiting.failed.contains(&endpoint.id)
             && filter.allows(endpoint)
--- a/lib/src/systems/health.rs
+++ b/lib/src/systems/health.rs
@@ -93,7 +93,7 @@
     }
     endpoint.failures += 1;
     if endpoint.failures >= EJECT_AFTER {
-        endpoint.shunned = Some(now + PLAIN_EJECTION);
+        endpoint.ejected_until = Some(now + PLAIN_EJECTION);
         endpoint.failures = 0;
     }
 }
@@ -175,7 +175,7 @@
         stats.ejection.eject(now);
     }
     if let Some(endpoint) = world.endpoints.get_mut(id) {
-        endpoint.shunned = Some(now);
+        endpoint.ejected_until = Some(now);
     }
 }
 
@@ -186,7 +186,7 @@
         if stats.ejection.start_probe(now) {
             stats.meter.reset_unit_time();
         }
-        endpoint.shunned = stats.ejection.until();
+        endpoint.ejected_until = stats.ejection.until();
     }
 }
 
--- a/lib/src/systems/intake.rs
+++ b/lib/src/systems/intake.rs
@@ -77,7 +77,7 @@
         version: known.version,
         running: 0,
         limit: world.setup.running,
-        shunned: None,
+        ejected_until: None,
         failures: 0,
     });
     world.endpoints.insert(endpoint);
--- a/lib/src/systems/moving.rs
+++ b/lib/src/systems/moving.rs
@@ -104,7 +104,7 @@
     for controller in &mut world.moves {
         let to = controller.versions().map(|(_, to)| to.clone());
         let runs = |e: &Endpoint| e.service == *controller.id() && Some(&e.version) == to.as_ref();
-        let ready = endpoints.iter().any(|e| runs(e) && e.takes(now));
+        let ready = endpoints.iter().any(|e| runs(e) && e.accepts(now));
         let inputs = TickInputs { time, reach, ready };
         let service = controller.id().clone();
         for action in controller.tick(inputs) {
@@ -211,7 +211,7 @@
 
 /// Endpoints of a version that accept requests, sorted by id: the same order at every daemon.
 fn open(world: &World, now: Instant, service: &ServiceId, version: &VersionId) -> Vec<EndpointId> {
-    let runs = |e: &&Endpoint| e.service == *service && e.version == *version && e.takes(now);
+    let runs = |e: &&Endpoint| e.service == *service && e.version == *version && e.accepts(now);
     world
         .endpoints
         .iter()
--- a/lib/src/systems/queue.rs
+++ b/lib/src/systems/queue.rs
@@ -67,7 +67,7 @@
 /// Takes the requests of one service that its free capacity allows from its queue.
 fn take_sendable(world: &mut World, now: Instant, service: &ServiceId, ids: &mut Vec<RequestId>) {
     let endpoints = world.endpoints.iter();
-    let open = endpoints.filter(|e| e.service == *service && e.takes(now));
+    let open = endpoints.filter(|e| e.service == *service && e.accepts(now));
     let capacity: u32 = open.map(|e| e.limit - e.running).sum();
     let mut free = capacity.min(world.load.capacity(service).free());
     while free > 0 {
