--- a/daemon/src/attempt/model.rs
+++ b/daemon/src/attempt/model.rs
@@ -54,7 +54,7 @@
             return Outcome::Broken { code: Code::Broken };
         };
         match take(job, send, &event) {
-            Ok(Step::Whole) => return Outcome::Whole { status: 200 },
+            Ok(Step::Whole) => return Outcome::Complete { status: 200 },
             Ok(Step::More(count)) => report(send, core, count),
             Err(outcome) => return outcome,
         }
--- a/daemon/src/attempt/plain.rs
+++ b/daemon/src/attempt/plain.rs
@@ -113,7 +113,7 @@
         .set_head(send.attempt, head)
         .and_then(|()| job.answer.push(send.attempt, 0, body));
     match added {
-        Ok(_) => Outcome::Whole { status },
+        Ok(_) => Outcome::Complete { status },
         Err(error) => refused(error),
     }
 }
--- a/daemon/src/claims.rs
+++ b/daemon/src/claims.rs
@@ -255,7 +255,7 @@
 /// What a request's ending means to its claim.
 fn end(view: &View) -> End {
     match &view.ending {
-        Some(Ending::Whole { status }) => End::Answered(kept(*status, view)),
+        Some(Ending::Complete { status }) => End::Answered(kept(*status, view)),
         Some(Ending::Failed { ran: Ran::No, .. }) => End::Unsent,
         _ => End::Unknown,
     }
--- a/daemon/src/core.rs
+++ b/daemon/src/core.rs
@@ -258,7 +258,7 @@
                 return;
             };
             if job.answer.readers() == 0 && !job.answer.is_ended() {
-                core.take(Input::Left(id), ctx);
+                core.take(Input::CallerLeft(id), ctx);
             }
         });
     }
--- a/daemon/src/fleet.rs
+++ b/daemon/src/fleet.rs
@@ -92,7 +92,7 @@
             ),
             Change::Departed(id) => {
                 self.daemons.remove(&id);
-                self.core.do_send(Report(Input::Parted(id)));
+                self.core.do_send(Report(Input::PeerEnded(id)));
                 log::info!("fleet: daemon {id:016x} is forgotten.");
             }
             Change::Put { origin, key, value } => {
@@ -144,7 +144,7 @@
     /// A row of a customer, or the one without a name that ends a round.
     fn demand(&self, origin: Incarnation, key: &Key, value: &[u8]) {
         let input = if key.name.is_empty() {
-            Some(Input::Met(origin))
+            Some(Input::PeerSeen(origin))
         } else {
             shares::decode(&key.name, origin, value).map(Input::Share)
         };
@@ -200,7 +200,7 @@
 
     fn set_live(&mut self, live: Vec<Peer>) {
         self.live = live;
-        self.core.do_send(Report(Input::Fleet(self.sharers())));
+        self.core.do_send(Report(Input::FleetSize(self.sharers())));
         if let Some(config) = &self.config {
             config.do_send(crate::config::SetPeers(self.live.clone()));
         }
--- a/daemon/src/metrics.rs
+++ b/daemon/src/metrics.rs
@@ -90,9 +90,9 @@
 
     pub(crate) fn ended(&self, ending: &Ending) {
         let (outcome, code) = match ending {
-            Ending::Whole { .. } => ("whole", 0),
+            Ending::Complete { .. } => ("whole", 0),
             Ending::Failed { code, .. } => ("failed", code.number()),
-            Ending::Left => ("left", 0),
+            Ending::CallerLeft => ("left", 0),
         };
         let labels = [
             KeyValue::new("outcome", outcome),
--- a/daemon/src/platform/hosts.rs
+++ b/daemon/src/platform/hosts.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 use poplarvale_lib::protos::platform::{ListedHost, ListedHosts};
-use poplarvale_lib::{EndpointId, Input, Known, Row, Table};
+use poplarvale_lib::{EndpointId, Input, ListedEndpoint, Row, Table};
 
 /// Time for a whole call; one that takes longer is made anew.
 const CALL_TIME: Duration = Duration::from_secs(2);
@@ -74,7 +74,7 @@
 /// An endpoint that the list has named.
 #[derive(Clone, Debug, PartialEq)]
 struct Host {
-    known: Known,
+    known: ListedEndpoint,
     /// Answers in a row without it.
     absent: u32,
 }
@@ -160,7 +160,7 @@
     }
 
     /// An endpoint that is new or has changed.
-    fn name(&mut self, known: Known) -> Option<Input> {
+    fn name(&mut self, known: ListedEndpoint) -> Option<Input> {
         if self.fixed.binary_search(&known.id).is_ok() {
             return None;
         }
@@ -199,11 +199,11 @@
     }
 }
 
-fn endpoint(listed: &ListedHost) -> Option<(&ListedHost, Known)> {
+fn endpoint(listed: &ListedHost) -> Option<(&ListedHost, ListedEndpoint)> {
     if listed.id.is_empty() || listed.service.is_empty() {
         return None;
     }
-    let known = Known {
+    let known = ListedEndpoint {
         id: listed.id.as_str().into(),
         service: listed.service.as_str().into(),
         zone: listed.zone.as_str().into(),
--- a/daemon/src/problem.rs
+++ b/daemon/src/problem.rs
@@ -44,16 +44,20 @@
 
     /// What a request's ending means to its caller, if it failed.
     pub fn of(ending: &Ending, request: RequestId) -> Option<Self> {
-        let (code, ran, again) = match *ending {
-            Ending::Whole { .. } => return None,
-            Ending::Failed { code, ran, again } => (code, ran, again),
-            Ending::Left => (Code::NoRequest, Ran::Unknown, None),
+        let (code, ran, retry_at) = match *ending {
+            Ending::Complete { .. } => return None,
+            Ending::Failed {
+                code,
+                ran,
+                retry_at,
+            } => (code, ran, retry_at),
+            Ending::CallerLeft => (Code::NoRequest, Ran::Unknown, None),
         };
         Some(Self {
             code,
             detail: String::new(),
             ran,
-            again,
+            again: retry_at,
             request: Some(request),
         })
     }
--- a/daemon/src/run.rs
+++ b/daemon/src/run.rs
@@ -11,7 +11,7 @@
 use actix_web::{App, HttpServer, web};
 use error_stack::{Report, ResultExt as _};
 use poplarvale_lib::gossip::{self, Kind};
-use poplarvale_lib::{Input, Known, Settings, Setup, World};
+use poplarvale_lib::{Input, ListedEndpoint, Settings, Setup, World};
 use tokio::signal::unix::{SignalKind, signal};
 
 use crate::claims::{self, Claims};
@@ -263,7 +263,7 @@
     let core = Core::new(world, settings.limits.clone(), metrics).start();
     for service in &settings.services {
         for endpoint in &service.endpoints {
-            core.do_send(core::Report(Input::Endpoint(Known {
+            core.do_send(core::Report(Input::Endpoint(ListedEndpoint {
                 id: endpoint.id.clone(),
                 service: service.id.clone(),
                 zone: endpoint.zone.clone(),
--- a/lib/benches/decisions.rs
+++ b/lib/benches/decisions.rs
@@ -9,7 +9,7 @@
 use poplarvale_lib::moves::Filter;
 use poplarvale_lib::routing::{Ask, Cache, CacheEvent, Policy, pick};
 use poplarvale_lib::{
-    Accepted, Command, Customer, Input, Known, Lists, Order, Outcome, Plan, Send, Service,
+    Accepted, Command, Customer, Input, ListedEndpoint, Lists, Order, Outcome, Plan, Send, Service,
     ServiceKind, Setup, Waiting, World,
 };
 
@@ -79,7 +79,7 @@
                             Input::Ended {
                                 attempt: done.attempt,
                                 request: done.request,
-                                outcome: Outcome::Whole { status: 200 },
+                                outcome: Outcome::Complete { status: 200 },
                             },
                             Input::Arrived(order(next, next as u64 % CONVERSATIONS, now)),
                         ];
@@ -204,8 +204,8 @@
     }
 }
 
-fn known(at: usize) -> Known {
-    Known {
+fn known(at: usize) -> ListedEndpoint {
+    ListedEndpoint {
         id: format_compact!("endpoint-{at:05}"),
         service: "pool".into(),
         zone: format_compact!("z{}", at % 4),
--- a/lib/benches/load.rs
+++ b/lib/benches/load.rs
@@ -387,7 +387,7 @@
                 vec![Input::Ended {
                     attempt: *attempt,
                     request: *request,
-                    outcome: Outcome::Whole { status: 200 },
+                    outcome: Outcome::Complete { status: 200 },
                 }]
             });
             let end = tick(&mut world, now, ends);
--- a/lib/src/input.rs
+++ b/lib/src/input.rs
@@ -17,7 +17,7 @@
     /// A request arrived.
     Arrived(Order),
     /// The caller of a request disconnected and did not reconnect.
-    Left(RequestId),
+    CallerLeft(RequestId),
     /// The caller has received tokens of the answer.
     Progress {
         /// Attempt that they came from.
@@ -39,7 +39,7 @@
     /// New customer and plan lists were accepted.
     Lists(Accepted),
     /// An endpoint exists.
-    Endpoint(Known),
+    Endpoint(ListedEndpoint),
     /// An endpoint was announced as leaving.
     Leaving {
         /// Endpoint.
@@ -52,11 +52,11 @@
     /// Routing data of endpoints: load reports, cache events.
     Routing(Event),
     /// Number of daemons that the list of hosts implies, including this one.
-    Fleet(usize),
+    FleetSize(usize),
     /// Another daemon was seen, and all rows that it wrote until then were received.
-    Met(Incarnation),
+    PeerSeen(Incarnation),
     /// Another daemon has ended for good.
-    Parted(Incarnation),
+    PeerEnded(Incarnation),
     /// Another daemon's claim to a share of a customer's limits.
     Share(ShareRow),
     /// An event of the version move of a service.
@@ -76,7 +76,7 @@
 #[proc_macros::row]
 pub enum Outcome {
     /// The complete answer arrived.
-    Whole {
+    Complete {
         /// HTTP status.
         status: u16,
     },
@@ -91,7 +91,7 @@
 
 /// An endpoint listed by the platform or in the settings.
 #[proc_macros::row]
-pub struct Known {
+pub struct ListedEndpoint {
     /// Its id.
     pub id: EndpointId,
     /// Service it serves.
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -35,7 +35,7 @@
 pub use dump::TABLES;
 pub use endpoint::Endpoint;
 pub use ids::*;
-pub use input::{Input, Known, Outcome};
+pub use input::{Input, ListedEndpoint, Outcome};
 pub use lists::{Accepted, Customer, Lists, MOST_PRIORITY, MOST_ROWS, Mistake, Plan, is_id};
 pub use request::{
     Attempt, Ending, Idempotent, NonIdempotent, NotSent, Order, Request, Running, Waiting,
--- a/lib/src/request.rs
+++ b/lib/src/request.rs
@@ -108,7 +108,7 @@
 #[proc_macros::row]
 pub enum Ending {
     /// Answered completely.
-    Whole {
+    Complete {
         /// HTTP status of the answer.
         status: u16,
     },
@@ -119,10 +119,10 @@
         /// Whether an attempt may have run.
         ran: Ran,
         /// When a retry may succeed; none if it cannot.
-        again: Option<Instant>,
+        retry_at: Option<Instant>,
     },
     /// The caller disconnected.
-    Left,
+    CallerLeft,
 }
 
 /// One attempt of a request at an endpoint.
--- a/lib/src/systems/admit.rs
+++ b/lib/src/systems/admit.rs
@@ -23,20 +23,23 @@
 /// Why a request is rejected.
 struct Rejection {
     code: Code,
-    again: Option<Instant>,
+    retry_at: Option<Instant>,
 }
 
 impl Rejection {
     /// A retry cannot succeed.
     fn permanent(code: Code) -> Self {
-        Self { code, again: None }
+        Self {
+            code,
+            retry_at: None,
+        }
     }
 
     /// A retry may succeed after [`RETRY_AFTER`].
     fn temporary(code: Code, now: Instant) -> Self {
         Self {
             code,
-            again: Some(now + RETRY_AFTER),
+            retry_at: Some(now + RETRY_AFTER),
         }
     }
 }
@@ -61,7 +64,7 @@
     let ending = Ending::Failed {
         code: rejection.code,
         ran: Ran::No,
-        again: rejection.again,
+        retry_at: rejection.retry_at,
     };
     world.commands.push(Command::Finish {
         request: order.id,
@@ -177,10 +180,10 @@
             // world's generator: a rejection must not change which endpoints are chosen.
             let jitter = f64::from(order.id as u8) / 255.0;
             let load = &mut world.load;
-            let again = load.retry_at(now, &order.service, excess, work, jitter);
+            let retry_at = load.retry_at(now, &order.service, excess, work, jitter);
             Err(Rejection {
                 code: Code::TooLate,
-                again: Some(again),
+                retry_at: Some(retry_at),
             })
         }
     }
@@ -211,14 +214,14 @@
         let wait = (1.0 - allowance.requests) / limit.requests;
         return Err(Rejection {
             code: Code::RequestRate,
-            again: Some(now + refill_time(wait)),
+            retry_at: Some(now + refill_time(wait)),
         });
     }
     if allowance.tokens <= 0.0 {
         let wait = (1.0 - allowance.tokens) / limit.tokens;
         return Err(Rejection {
             code: Code::TokenRate,
-            again: Some(now + refill_time(wait)),
+            retry_at: Some(now + refill_time(wait)),
         });
     }
     allowance.take(order.work());
--- a/lib/src/systems/expire.rs
+++ b/lib/src/systems/expire.rs
@@ -49,7 +49,7 @@
         Ending::Failed {
             code,
             ran,
-            again: None,
+            retry_at: None,
         },
     );
 }
--- a/lib/src/systems/health.rs
+++ b/lib/src/systems/health.rs
@@ -44,17 +44,17 @@
     request: &Request,
     outcome: &Outcome,
 ) {
-    let whole = matches!(outcome, Outcome::Whole { status } if *status < 500);
-    let sample = measure(world, now, request, whole);
-    if whole {
+    let ok = matches!(outcome, Outcome::Complete { status } if *status < 500);
+    let sample = measure(world, now, request, ok);
+    if ok {
         world.load.retry_budget(&request.order().service).deposit();
     }
     let Some(endpoint) = request.endpoint().cloned() else {
         return;
     };
     match world.load.policy.ejection {
-        Choice::Plain => record_plain(world, now, &endpoint, whole),
-        Choice::Adaptive => record_adaptive(world, now, &endpoint, whole, sample),
+        Choice::Plain => record_plain(world, now, &endpoint, ok),
+        Choice::Adaptive => record_adaptive(world, now, &endpoint, ok, sample),
     }
 }
 
@@ -83,11 +83,11 @@
     }
 }
 
-fn record_plain(world: &mut World, now: Instant, endpoint: &EndpointId, whole: bool) {
+fn record_plain(world: &mut World, now: Instant, endpoint: &EndpointId, ok: bool) {
     let Some(endpoint) = world.endpoints.get_mut(endpoint) else {
         return;
     };
-    if whole {
+    if ok {
         endpoint.failures = 0;
         return;
     }
@@ -98,13 +98,13 @@
     }
 }
 
-fn measure(world: &mut World, now: Instant, request: &Request, whole: bool) -> Option<Sample> {
+fn measure(world: &mut World, now: Instant, request: &Request, ok: bool) -> Option<Sample> {
     let load = &mut world.load;
     let sent = load.in_flight.remove(&request.attempt()?)?;
     let endpoint = world.endpoints.get(request.endpoint()?)?;
     let stats = load.endpoint_stats.get_mut(request.endpoint()?)?;
-    stats.limiter.record_outcome(whole, endpoint.running + 1);
-    if !whole {
+    stats.limiter.record_outcome(ok, endpoint.running + 1);
+    if !ok {
         return None;
     }
     load.record_completion(now, &sent)
@@ -114,13 +114,13 @@
     world: &mut World,
     now: Instant,
     id: &EndpointId,
-    whole: bool,
+    ok: bool,
     sample: Option<Sample>,
 ) {
     let Some(service) = world.endpoints.get(id).map(|e| e.service.clone()) else {
         return;
     };
-    let bad = if whole {
+    let bad = if ok {
         let slow = is_slow_probe(world, id, &service, sample);
         let stats = world.load.endpoint_stats.get_mut(id);
         stats.is_some_and(|stats| stats.ejection.record_success(now, slow))
@@ -181,8 +181,8 @@
 
 /// Starts probing endpoints whose ejection is over, and updates the endpoint table.
 fn update_ejections(world: &mut World, now: Instant) {
-    let stats = &mut world.load.endpoint_stats;
-    for (endpoint, stats) in world.endpoints.iter_mut().zip(stats) {
+    let all_stats = &mut world.load.endpoint_stats;
+    for (endpoint, stats) in world.endpoints.iter_mut().zip(all_stats) {
         if stats.ejection.start_probe(now) {
             stats.meter.reset_unit_time();
         }
@@ -202,7 +202,7 @@
     }
     world.load.reviewed = Some(now);
     let services = world.load.service_stats.iter();
-    let services: Vec<ServiceId> = services.map(|whole| whole.service.clone()).collect();
+    let services: Vec<ServiceId> = services.map(|stats| stats.service.clone()).collect();
     for service in services {
         let Some(typical) = world.load.typical_unit_time(&service) else {
             continue;
--- a/lib/src/systems/intake.rs
+++ b/lib/src/systems/intake.rs
@@ -6,7 +6,7 @@
 use crate::command::Command;
 use crate::endpoint::Endpoint;
 use crate::ids::{AttemptId, EndpointId, RequestId};
-use crate::input::{Input, Known, Outcome};
+use crate::input::{Input, ListedEndpoint, Outcome};
 use crate::keys::Keys;
 use crate::lists::Accepted;
 use crate::request::{Ending, Order, Request, Running};
@@ -19,7 +19,7 @@
     for input in inputs {
         match input {
             Input::Arrived(order) => arrived.push(order),
-            Input::Left(request) => caller_left(world, request),
+            Input::CallerLeft(request) => caller_left(world, request),
             Input::Progress {
                 attempt,
                 request,
@@ -35,15 +35,15 @@
                 attempt_ended(world, now, attempt, request, outcome);
             }
             Input::Lists(lists) => apply_lists(world, lists),
-            Input::Endpoint(known) => update_endpoint(world, now, known),
+            Input::Endpoint(listed) => update_endpoint(world, now, listed),
             Input::Leaving { endpoint, until } => leaving::add_notice(world, now, &endpoint, until),
             Input::Gone(endpoint) => {
                 leaving::remove_endpoint(world, &endpoint);
             }
             Input::Routing(event) => world.routing.take(now, event),
-            Input::Fleet(count) => world.load.shares.set_expected(count),
-            Input::Met(incarnation) => allowance::record_peer(world, now, incarnation),
-            Input::Parted(incarnation) => world.load.shares.remove_peer(incarnation),
+            Input::FleetSize(count) => world.load.shares.set_expected(count),
+            Input::PeerSeen(incarnation) => allowance::record_peer(world, now, incarnation),
+            Input::PeerEnded(incarnation) => world.load.shares.remove_peer(incarnation),
             Input::Share(row) => allowance::merge_share(world, now, row),
             Input::Move { service, event } => moving::apply_event(world, now, &service, event),
             Input::Watch(watch) => world.watch = Some(watch),
@@ -65,16 +65,16 @@
     world.plans = accepted.lists.plans.into_iter().collect();
 }
 
-fn update_endpoint(world: &mut World, now: Instant, known: Known) {
-    let old = world.endpoints.remove(&known.id);
-    let same = old.filter(|o| o.address == known.address && o.version == known.version);
+fn update_endpoint(world: &mut World, now: Instant, listed: ListedEndpoint) {
+    let old = world.endpoints.remove(&listed.id);
+    let same = old.filter(|o| o.address == listed.address && o.version == listed.version);
     let endpoint = same.unwrap_or(Endpoint {
-        leaving: world.routing.notices.until(now, &known.id),
-        id: known.id,
-        service: known.service,
-        zone: known.zone,
-        address: known.address,
-        version: known.version,
+        leaving: world.routing.notices.until(now, &listed.id),
+        id: listed.id,
+        service: listed.service,
+        zone: listed.zone,
+        address: listed.address,
+        version: listed.version,
         running: 0,
         limit: world.setup.running,
         ejected_until: None,
@@ -98,7 +98,7 @@
     if let Some(endpoint) = request.endpoint().cloned() {
         release(world, &endpoint);
     }
-    finish(world, id, Ending::Left);
+    finish(world, id, Ending::CallerLeft);
 }
 
 fn record_progress(
@@ -143,9 +143,9 @@
         moving::record_outcome(world, now, &request, &outcome);
     }
     match (request, outcome) {
-        (request, Outcome::Whole { status }) => {
+        (request, Outcome::Complete { status }) => {
             world.requests.insert(request);
-            finish(world, id, Ending::Whole { status });
+            finish(world, id, Ending::Complete { status });
         }
         (Request::Waiting(waiting), _) => {
             world.requests.insert(Request::Waiting(waiting));
@@ -164,7 +164,7 @@
             let ending = Ending::Failed {
                 code,
                 ran: Ran::Unknown,
-                again: None,
+                retry_at: None,
             };
             finish(world, id, ending);
         }
--- a/lib/src/systems/moving.rs
+++ b/lib/src/systems/moving.rs
@@ -241,7 +241,7 @@
     outcome: &Outcome,
 ) {
     match outcome {
-        Outcome::Whole { status } => record(world, now, request, *status < 500),
+        Outcome::Complete { status } => record(world, now, request, *status < 500),
         Outcome::Broken { .. } => record(world, now, request, false),
         Outcome::Unsent(_) => {}
     }
@@ -252,7 +252,7 @@
     record(world, now, request, false);
 }
 
-fn record(world: &mut World, now: Instant, request: &Request, whole: bool) {
+fn record(world: &mut World, now: Instant, request: &Request, ok: bool) {
     let (order, version, endpoint, latency) = match request {
         Request::Waiting(_) => return,
         Request::Idempotent(r) => (&r.order, &r.version, &r.endpoint, latency(r, now)),
@@ -263,7 +263,7 @@
         .endpoints
         .get(endpoint)
         .is_none_or(|e| e.leaving.is_some());
-    if leaving && !whole {
+    if leaving && !ok {
         return;
     }
     let compared = is_compared(world, now, &order.service, version, endpoint);
@@ -284,7 +284,7 @@
         route: order.route.clone(),
         idempotent: order.idempotent,
         which,
-        time: whole.then_some(latency),
+        time: ok.then_some(latency),
         compared,
     });
 }
--- a/lib/src/systems/queue.rs
+++ b/lib/src/systems/queue.rs
@@ -133,11 +133,11 @@
     let queued = world.load.queues.get(&service).map_or(0.0, FairQueue::work);
     let drain_time = Duration::from_secs_f64((queued / rate).clamp(0.0, 1e6));
     let jitter = f64::from(id as u8) / 255.0;
-    let again = world.load.retry_at(now, &service, drain_time, work, jitter);
+    let retry_at = world.load.retry_at(now, &service, drain_time, work, jitter);
     let ending = Ending::Failed {
         code: Code::TooLate,
         ran,
-        again: Some(again),
+        retry_at: Some(retry_at),
     };
     finish(world, id, ending);
 }
--- a/lib/src/systems/retry.rs
+++ b/lib/src/systems/retry.rs
@@ -33,11 +33,11 @@
     world.load.enqueue(priority, &waiting);
     world.requests.insert(Request::Waiting(waiting));
     if over {
-        let again = retry_after::with_jitter(now, RETRY_AFTER, world.rng.f64());
+        let retry_at = retry_after::with_jitter(now, RETRY_AFTER, world.rng.f64());
         let ending = Ending::Failed {
             code,
             ran,
-            again: Some(again),
+            retry_at: Some(retry_at),
         };
         finish(world, id, ending);
     }
--- a/lib/tests/test_load.rs
+++ b/lib/tests/test_load.rs
@@ -82,10 +82,10 @@
             late.len()
         );
         for e in late {
-            let poplarvale_lib::Ending::Failed { again, .. } = e.ending else {
+            let poplarvale_lib::Ending::Failed { retry_at, .. } = e.ending else {
                 panic!("a rejection is a failure");
             };
-            assert!(again.is_some());
+            assert!(retry_at.is_some());
         }
     }
 }
--- a/lib/tests/test_load_schedules.rs
+++ b/lib/tests/test_load_schedules.rs
@@ -7,8 +7,8 @@
 use poplarvale_lib::load::Policy;
 use poplarvale_lib::routing;
 use poplarvale_lib::{
-    Code, Command, Ending, EndpointId, Input, Known, NotSent, Outcome, Ran, Request, RequestId,
-    Send, World,
+    Code, Command, Ending, EndpointId, Input, ListedEndpoint, NotSent, Outcome, Ran, Request,
+    RequestId, Send, World,
 };
 use proptest::prelude::*;
 use testutils::fake_endpoints::Behaviour;
@@ -135,7 +135,10 @@
                     return Ok(());
                 }
                 let number = which % self.records.len();
-                self.tick(vec![Input::Left(poplarvale_lib::joined(7, number as u64))])
+                self.tick(vec![Input::CallerLeft(poplarvale_lib::joined(
+                    7,
+                    number as u64,
+                ))])
             }
             Step::Endpoint { number, how } => self.endpoint(number, how),
             Step::Wait { ms } => {
@@ -152,8 +155,8 @@
         let at = which % self.running.len();
         let (attempt, request) = self.running.swap_remove(at);
         let outcome = match how {
-            0..3 => Outcome::Whole { status: 200 },
-            3 => Outcome::Whole { status: 500 },
+            0..3 => Outcome::Complete { status: 200 },
+            3 => Outcome::Complete { status: 500 },
             4 => Outcome::Unsent(NotSent),
             _ => Outcome::Broken { code: Code::Broken },
         };
@@ -183,7 +186,7 @@
             _ => {
                 self.leaving.retain(|other| *other != id);
                 let version = format!("v{}", self.records.len());
-                Input::Endpoint(Known {
+                Input::Endpoint(ListedEndpoint {
                     id,
                     service: "chat".into(),
                     zone: "a".into(),
--- a/lib/tests/test_load_shares.rs
+++ b/lib/tests/test_load_shares.rs
@@ -198,7 +198,7 @@
         let mut count = 0;
         for at in 0..2 {
             let other = worlds[1 - at].setup.incarnation;
-            let mut inputs = vec![Input::Met(other)];
+            let mut inputs = vec![Input::PeerSeen(other)];
             inputs.extend(rows[1 - at].iter().cloned().map(Input::Share));
             for _ in 0..4 {
                 number += 1;
@@ -241,7 +241,7 @@
             ends.push(Input::Ended {
                 attempt: send.attempt,
                 request: send.request,
-                outcome: Outcome::Whole { status: 200 },
+                outcome: Outcome::Complete { status: 200 },
             });
         }
     }
--- a/lib/tests/test_moves.rs
+++ b/lib/tests/test_moves.rs
@@ -291,8 +291,8 @@
         Event, FULL_SHARE, Reach, Record, Source, Stored, Verdict, Watch, stages,
     };
     use poplarvale_lib::{
-        Accepted, Code, Command, Customer, Endpoint, Input, Known, Lists, Order, Outcome, Plan,
-        Send, Setup, Waiting, World,
+        Accepted, Code, Command, Customer, Endpoint, Input, ListedEndpoint, Lists, Order, Outcome,
+        Plan, Send, Setup, Waiting, World,
     };
 
     const WALL: u64 = 1_000_000_000;
@@ -379,7 +379,7 @@
                     self.tick(vec![Input::Ended {
                         attempt,
                         request: id,
-                        outcome: Outcome::Whole { status },
+                        outcome: Outcome::Complete { status },
                     }]);
                 }
             }
@@ -409,7 +409,7 @@
     }
 
     fn known(n: u8, version: &str) -> Input {
-        Input::Endpoint(Known {
+        Input::Endpoint(ListedEndpoint {
             id: format!("e{n}").into(),
             service: "booking".into(),
             zone: "hanko".into(),
@@ -563,7 +563,7 @@
             };
             let row = harness.world.endpoints.get(&endpoint).cloned();
             if !row.as_ref().is_some_and(is_new) {
-                harness.tick(vec![ended(Outcome::Whole { status: 200 })]);
+                harness.tick(vec![ended(Outcome::Complete { status: 200 })]);
                 continue;
             }
             let until = harness.now + Duration::from_secs(20);
@@ -581,7 +581,7 @@
                 harness.tick(vec![Input::Ended {
                     attempt: again.attempt,
                     request,
-                    outcome: Outcome::Whole { status: 200 },
+                    outcome: Outcome::Complete { status: 200 },
                 }]);
             }
             let n = endpoint
--- a/lib/tests/test_routing_leaving.rs
+++ b/lib/tests/test_routing_leaving.rs
@@ -9,8 +9,8 @@
     Carry, Event, FLOOR, KEPT, MARGIN, Notices, Report, SAMPLES, Stream, Tails, plan,
 };
 use poplarvale_lib::{
-    Accepted, AttemptId, Code, Command, Customer, Ending, EndpointId, Input, Known, Lists, NotSent,
-    Order, Outcome, Plan, Ran, RequestId, Send, Setup, World,
+    Accepted, AttemptId, Code, Command, Customer, Ending, EndpointId, Input, ListedEndpoint, Lists,
+    NotSent, Order, Outcome, Plan, Ran, RequestId, Send, Setup, World,
 };
 use proptest::prelude::*;
 
@@ -21,7 +21,7 @@
 }
 
 fn known(at: usize, version: &str) -> Input {
-    Input::Endpoint(Known {
+    Input::Endpoint(ListedEndpoint {
         id: name(at),
         service: "pool".into(),
         zone: "z".into(),
@@ -250,7 +250,7 @@
         let done = Input::Ended {
             attempt: sent[0].attempt,
             request: id,
-            outcome: Outcome::Whole { status: 200 },
+            outcome: Outcome::Complete { status: 200 },
         };
         world.tick(now, vec![done]);
     }
@@ -367,7 +367,7 @@
                     delivered: *delivered,
                 })
             }
-            Act::Whole(at) => self.end(at, Outcome::Whole { status: 200 }),
+            Act::Whole(at) => self.end(at, Outcome::Complete { status: 200 }),
             Act::Unsent(at) => self.end(at, Outcome::Unsent(NotSent)),
             Act::Broken(at) => self.end(at, Outcome::Broken { code: Code::Broken }),
             Act::Leaving(at, seconds) => {
@@ -459,7 +459,7 @@
             let inputs = match end {
                 Some(end) if !live.is_empty() => {
                     let done = live.swap_remove(end % live.len());
-                    let outcome = Outcome::Whole { status: 200 };
+                    let outcome = Outcome::Complete { status: 200 };
                     vec![Input::Ended { attempt: done.attempt, request: done.request, outcome }]
                 }
                 _ => vec![Input::Arrived(long(at as RequestId, now))],
--- a/lib/tests/traces/driver.rs
+++ b/lib/tests/traces/driver.rs
@@ -8,8 +8,8 @@
 use poplarvale_lib::load::Policy;
 use poplarvale_lib::routing;
 use poplarvale_lib::{
-    Accepted, Code, Command, Customer, Ending, Input, Known, Lists, NotSent, Order, Outcome, Plan,
-    Ran, Service, ServiceKind, Setup, World, issuer, joined,
+    Accepted, Code, Command, Customer, Ending, Input, ListedEndpoint, Lists, NotSent, Order,
+    Outcome, Plan, Ran, Service, ServiceKind, Setup, World, issuer, joined,
 };
 use serde::{Deserialize, Serialize};
 use testutils::fake_endpoints::{Behaviour, Done, FakeEndpoints, Result};
@@ -89,7 +89,7 @@
 impl Ended {
     /// Whether the whole answer came in time.
     pub fn good(&self) -> bool {
-        let whole = matches!(self.ending, Ending::Whole { status: 200 });
+        let whole = matches!(self.ending, Ending::Complete { status: 200 });
         whole && self.after <= Duration::from_millis(self.arrival.within)
     }
 
@@ -97,7 +97,7 @@
     pub fn code(&self) -> Option<Code> {
         match self.ending {
             Ending::Failed { code, .. } => Some(code),
-            Ending::Whole { .. } | Ending::Left => None,
+            Ending::Complete { .. } | Ending::CallerLeft => None,
         }
     }
 
@@ -133,7 +133,7 @@
     world.routing.policy = routing::Policy::LeastLoaded;
     let mut inputs = vec![Input::Lists(lists(scene, customers))];
     for (at, (name, _)) in scene.endpoints.iter().enumerate() {
-        inputs.push(Input::Endpoint(Known {
+        inputs.push(Input::Endpoint(ListedEndpoint {
             id: name.as_str().into(),
             service: "chat".into(),
             zone: "a".into(),
@@ -299,7 +299,7 @@
         let at = self.sendings.iter().position(|(id, _)| *id == done.id)?;
         let (attempt, request) = self.sendings.swap_remove(at);
         let outcome = match done.result {
-            Result::Whole => Outcome::Whole { status: 200 },
+            Result::Whole => Outcome::Complete { status: 200 },
             Result::Broken => Outcome::Broken { code: Code::Broken },
             Result::Refused => Outcome::Unsent(NotSent),
         };
@@ -334,7 +334,7 @@
         let again = match &ending {
             Ending::Failed {
                 ran: Ran::No,
-                again,
+                retry_at: again,
                 ..
             } => again.filter(|_| self.returns[number] > 0),
             _ => None,
--- a/lib/testutils/src/replay.rs
+++ b/lib/testutils/src/replay.rs
@@ -9,8 +9,8 @@
 use compact_str::{CompactString, format_compact};
 use poplarvale_lib::routing::{CacheEvent, Event, Policy, Report};
 use poplarvale_lib::{
-    Accepted, Code, Command, Customer, Ending, Input, Known, Lists, Order, Outcome, Plan, Send,
-    Service, ServiceKind, Setup, World, issuer,
+    Accepted, Code, Command, Customer, Ending, Input, ListedEndpoint, Lists, Order, Outcome, Plan,
+    Send, Service, ServiceKind, Setup, World, issuer,
 };
 
 use crate::fake_engines::{Engine, Job, Speed};
@@ -332,7 +332,7 @@
             for step in self.stands[at].engine.step(STEP) {
                 self.pass(step.attempt, step.delivered);
                 if step.done {
-                    self.end(step.attempt, Outcome::Whole { status: 200 });
+                    self.end(step.attempt, Outcome::Complete { status: 200 });
                 }
             }
             let epoch = self.stands[at].epoch;
@@ -501,7 +501,7 @@
             return;
         };
         let answer = self.arrivals[caller.arrival].answer;
-        if matches!(ending, Ending::Whole { .. }) {
+        if matches!(ending, Ending::Complete { .. }) {
             self.out.whole += 1;
             self.out.torn += usize::from(caller.torn || caller.passed != answer);
         } else {
@@ -543,8 +543,8 @@
     Some(&mut callers[at].1)
 }
 
-fn known(stand: &Stand) -> Known {
-    Known {
+fn known(stand: &Stand) -> ListedEndpoint {
+    ListedEndpoint {
         id: stand.id.clone(),
         service: "pool".into(),
         zone: format_compact!("z{}", stand.zone),
