--- a/daemon/src/core/messages.rs
+++ b/daemon/src/core/messages.rs
@@ -8,8 +8,8 @@
 use poplarvale_lib::moves;
 use poplarvale_lib::protos::operator::Status;
 use poplarvale_lib::{
-    Accepted, Code, CustomerId, EndpointId, Input, Lists, Mistake, RequestId, Revision, ServiceId,
-    VersionId, ZoneId,
+    Accepted, Code, CustomerId, EndpointId, Input, Lists, RequestId, Revision, ServiceId,
+    ValidationError, VersionId, ZoneId,
 };
 use serde_json::Value;
 
@@ -117,7 +117,7 @@
 pub enum PutError {
     /// The lists do not pass their checks.
     #[error("the lists do not pass their checks")]
-    Mistakes(Vec<Mistake>),
+    Mistakes(Vec<ValidationError>),
     /// Another edit came first.
     #[error("the lists are at revision {current} already")]
     Conflict {
--- a/daemon/src/operators/lists.rs
+++ b/daemon/src/operators/lists.rs
@@ -4,7 +4,7 @@
 use compact_str::format_compact;
 use poplarvale_lib::config::{Difference, Proposal, Verdict};
 use poplarvale_lib::protos::operator;
-use poplarvale_lib::{Accepted, Code, Mistake, Revision};
+use poplarvale_lib::{Accepted, Code, Revision, ValidationError};
 
 use super::Shared;
 use crate::config::Edit;
@@ -139,7 +139,7 @@
     text
 }
 
-fn lines(mistakes: &[Mistake]) -> String {
+fn lines(mistakes: &[ValidationError]) -> String {
     let lines: Vec<String> = mistakes.iter().map(ToString::to_string).collect();
     lines.join("\n")
 }
--- a/lib/src/config.rs
+++ b/lib/src/config.rs
@@ -25,7 +25,7 @@
 use compact_str::CompactString;
 
 use crate::ids::{Incarnation, Revision, ZoneId};
-use crate::lists::{Accepted, Lists, Mistake};
+use crate::lists::{Accepted, Lists, ValidationError};
 use crate::store::{Failure, Held, Snapshot, Write, Written};
 
 pub use changes::{Changes, Difference, Passage};
@@ -72,7 +72,7 @@
         difference: Option<Difference>,
     },
     /// The lists have mistakes.
-    Refused(Vec<Mistake>),
+    Refused(Vec<ValidationError>),
     /// The service could not be reached; provably not accepted.
     NotDone,
     /// The service could not be asked again; it may be accepted.
--- a/lib/src/config/head.rs
+++ b/lib/src/config/head.rs
@@ -13,7 +13,7 @@
 use super::changes::{Changes, Passage};
 use super::{EditId, Proposal};
 use crate::ids::Revision;
-use crate::lists::{Accepted, Customer, Lists, Mistake, Plan};
+use crate::lists::{Accepted, Customer, Lists, Plan, ValidationError};
 use crate::protos::platform as wire;
 use crate::store::{Condition, Held, MOST_VALUE, Put, Snapshot, Write};
 
@@ -128,7 +128,7 @@
 }
 
 /// Lists that are too large for the service.
-pub(crate) fn check_size(lists: &Lists) -> Vec<Mistake> {
+pub(crate) fn check_size(lists: &Lists) -> Vec<ValidationError> {
     let sizes = [
         ("customers", json(&lists.customers).len()),
         ("plans", json(&lists.plans).len()),
@@ -137,7 +137,7 @@
     large
         .map(|(list, size)| {
             let allowed = format_compact!("at most {MOST_VALUE} bytes as JSON");
-            Mistake::new(list, format_compact!("{size} bytes"), allowed)
+            ValidationError::new(list, format_compact!("{size} bytes"), allowed)
         })
         .collect()
 }
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -36,7 +36,7 @@
 pub use endpoint::Endpoint;
 pub use ids::*;
 pub use input::{Input, ListedEndpoint, Outcome};
-pub use lists::{Accepted, Customer, Lists, MOST_PRIORITY, MOST_ROWS, Mistake, Plan, is_id};
+pub use lists::{Accepted, Customer, Lists, MAX_PRIORITY, MAX_ROWS, Plan, ValidationError, is_id};
 pub use request::{
     Attempt, Ending, Idempotent, NonIdempotent, NotSent, Order, Request, Running, Waiting,
 };
--- a/lib/src/lists.rs
+++ b/lib/src/lists.rs
@@ -10,9 +10,9 @@
 use crate::table::{Row, Table};
 
 /// Maximum number of rows in a list; larger lists would exceed the value size of the store.
-pub const MOST_ROWS: usize = 4096;
+pub const MAX_ROWS: usize = 4096;
 /// Highest priority a plan can have.
-pub const MOST_PRIORITY: u8 = 3;
+pub const MAX_PRIORITY: u8 = 3;
 
 /// A customer and the plan it is on.
 #[proc_macros::setting]
@@ -30,7 +30,7 @@
 pub struct Plan {
     /// Id of the plan.
     pub id: PlanId,
-    /// Priority from 0 to [`MOST_PRIORITY`]; higher ones are served first.
+    /// Priority from 0 to [`MAX_PRIORITY`]; higher ones are served first.
     pub priority: u8,
     /// Requests per second for each customer.
     pub requests: f64,
@@ -78,7 +78,7 @@
 /// A validation error in lists or settings: the field, the value found and what is allowed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: found {found}, allowed is {allowed}")]
-pub struct Mistake {
+pub struct ValidationError {
     /// Path of the field.
     pub field: CompactString,
     /// Value found there.
@@ -87,7 +87,7 @@
     pub allowed: CompactString,
 }
 
-impl Mistake {
+impl ValidationError {
     /// Validation error of `field`.
     pub fn new(
         field: impl Into<CompactString>,
@@ -104,45 +104,49 @@
 
 impl Lists {
     /// Returns all validation errors; lists without any may be accepted.
-    pub fn check(&self) -> Vec<Mistake> {
-        let mut mistakes = Vec::new();
-        check_count("customers", self.customers.len(), &mut mistakes);
-        check_count("plans", self.plans.len(), &mut mistakes);
+    pub fn check(&self) -> Vec<ValidationError> {
+        let mut errors = Vec::new();
+        check_count("customers", self.customers.len(), &mut errors);
+        check_count("plans", self.plans.len(), &mut errors);
         let plans: Table<Plan> = self.plans.iter().cloned().collect();
-        check_repeats("plans", self.plans.iter().map(|p| &p.id), &mut mistakes);
-        check_repeats(
+        check_duplicates("plans", self.plans.iter().map(|p| &p.id), &mut errors);
+        check_duplicates(
             "customers",
             self.customers.iter().map(|c| &c.id),
-            &mut mistakes,
+            &mut errors,
         );
         for (index, plan) in self.plans.iter().enumerate() {
-            check_plan(index, plan, &mut mistakes);
+            check_plan(index, plan, &mut errors);
         }
         for (index, customer) in self.customers.iter().enumerate() {
-            check_customer(index, customer, &plans, &mut mistakes);
+            check_customer(index, customer, &plans, &mut errors);
         }
-        check_digests(&self.customers, &mut mistakes);
-        mistakes
+        check_digests(&self.customers, &mut errors);
+        errors
     }
 }
 
-fn check_count(list: &str, count: usize, mistakes: &mut Vec<Mistake>) {
-    if count > MOST_ROWS {
-        let allowed = format_compact!("at most {MOST_ROWS} rows");
-        mistakes.push(Mistake::new(list, format_compact!("{count} rows"), allowed));
+fn check_count(list: &str, count: usize, errors: &mut Vec<ValidationError>) {
+    if count > MAX_ROWS {
+        let allowed = format_compact!("at most {MAX_ROWS} rows");
+        errors.push(ValidationError::new(
+            list,
+            format_compact!("{count} rows"),
+            allowed,
+        ));
     }
 }
 
-fn check_repeats<'a>(
+fn check_duplicates<'a>(
     list: &str,
     ids: impl Iterator<Item = &'a CompactString>,
-    mistakes: &mut Vec<Mistake>,
+    errors: &mut Vec<ValidationError>,
 ) {
     let mut sorted: Vec<_> = ids.collect();
     sorted.sort();
     for pair in sorted.windows(2).filter(|pair| pair[0] == pair[1]) {
         let found = format_compact!("{:?} twice", pair[0]);
-        mistakes.push(Mistake::new(
+        errors.push(ValidationError::new(
             format_compact!("{list}.id"),
             found,
             "each id once",
@@ -150,12 +154,12 @@
     }
 }
 
-fn check_plan(index: usize, plan: &Plan, mistakes: &mut Vec<Mistake>) {
-    check_id(&format_compact!("plans[{index}].id"), &plan.id, mistakes);
-    if plan.priority > MOST_PRIORITY {
+fn check_plan(index: usize, plan: &Plan, errors: &mut Vec<ValidationError>) {
+    check_id(&format_compact!("plans[{index}].id"), &plan.id, errors);
+    if plan.priority > MAX_PRIORITY {
         let field = format_compact!("plans[{index}].priority");
-        let allowed = format_compact!("0 to {MOST_PRIORITY}");
-        mistakes.push(Mistake::new(
+        let allowed = format_compact!("0 to {MAX_PRIORITY}");
+        errors.push(ValidationError::new(
             field,
             format_compact!("{}", plan.priority),
             allowed,
@@ -165,7 +169,7 @@
         if !(rate.is_finite() && rate > 0.0 && rate <= 1e9) {
             let field = format_compact!("plans[{index}].{name}");
             let found = format_compact!("{rate}");
-            mistakes.push(Mistake::new(
+            errors.push(ValidationError::new(
                 field,
                 found,
                 "more than 0, at most 1e9 per second",
@@ -174,7 +178,7 @@
     }
     if plan.running == 0 {
         let field = format_compact!("plans[{index}].running");
-        mistakes.push(Mistake::new(field, "0", "1 or more"));
+        errors.push(ValidationError::new(field, "0", "1 or more"));
     }
 }
 
@@ -182,17 +186,17 @@
     index: usize,
     customer: &Customer,
     plans: &Table<Plan>,
-    mistakes: &mut Vec<Mistake>,
+    errors: &mut Vec<ValidationError>,
 ) {
     check_id(
         &format_compact!("customers[{index}].id"),
         &customer.id,
-        mistakes,
+        errors,
     );
     if !plans.contains(&customer.plan) {
         let field = format_compact!("customers[{index}].plan");
         let found = format_compact!("{:?}", customer.plan);
-        mistakes.push(Mistake::new(
+        errors.push(ValidationError::new(
             field,
             found,
             "the id of a plan in the list of plans",
@@ -205,7 +209,7 @@
         if digest.len() != 64 || !hex {
             let field = format_compact!("customers[{index}].digests[{n}]");
             let found = format_compact!("{digest:?}");
-            mistakes.push(Mistake::new(
+            errors.push(ValidationError::new(
                 field,
                 found,
                 "64 lower-case hexadecimal digits",
@@ -216,7 +220,7 @@
 
 /// An API key must belong to one customer only; otherwise customers could read each other's
 /// answers.
-fn check_digests(customers: &[Customer], mistakes: &mut Vec<Mistake>) {
+fn check_digests(customers: &[Customer], errors: &mut Vec<ValidationError>) {
     let mut all: Vec<_> = customers
         .iter()
         .flat_map(|c| c.digests.iter().map(move |d| (d, &c.id)))
@@ -224,14 +228,22 @@
     all.sort();
     for pair in all.windows(2).filter(|pair| pair[0].0 == pair[1].0) {
         let found = format_compact!("one digest at {:?} and {:?}", pair[0].1, pair[1].1);
-        mistakes.push(Mistake::new("customers.digests", found, "each digest once"));
+        errors.push(ValidationError::new(
+            "customers.digests",
+            found,
+            "each digest once",
+        ));
     }
 }
 
-fn check_id(field: &str, id: &str, mistakes: &mut Vec<Mistake>) {
+fn check_id(field: &str, id: &str, errors: &mut Vec<ValidationError>) {
     if !is_id(id) {
         let allowed = "1 to 64 of a-z, A-Z, 0-9, '-', '_' and '.'";
-        mistakes.push(Mistake::new(field, format_compact!("{id:?}"), allowed));
+        errors.push(ValidationError::new(
+            field,
+            format_compact!("{id:?}"),
+            allowed,
+        ));
     }
 }
 
--- a/lib/src/load/fair_queue.rs
+++ b/lib/src/load/fair_queue.rs
@@ -19,7 +19,7 @@
 use std::time::Instant;
 
 use crate::ids::{CustomerId, RequestId, ServiceId};
-use crate::lists::MOST_PRIORITY;
+use crate::lists::MAX_PRIORITY;
 use crate::table::Row;
 
 /// Work of a priority relative to the next lower one while both wait. Eight gives
@@ -197,7 +197,7 @@
     }
 }
 
-const CLASS_COUNT: usize = MOST_PRIORITY as usize + 1;
+const CLASS_COUNT: usize = MAX_PRIORITY as usize + 1;
 
 /// Waiting requests of one service.
 #[proc_macros::row]
@@ -242,7 +242,7 @@
     /// Adds a request.
     pub fn push(&mut self, priority: u8, customer: &CustomerId, entry: Entry) {
         let virtual_time = self.virtual_time;
-        let class = &mut self.classes[usize::from(priority.min(MOST_PRIORITY))];
+        let class = &mut self.classes[usize::from(priority.min(MAX_PRIORITY))];
         if class.flows.is_empty() {
             // A priority that was idle gets no credit for that time.
             class.virtual_time = class.virtual_time.max(virtual_time);
@@ -320,7 +320,7 @@
     /// customer's own work that is due sooner, as much of each other customer of
     /// the priority, and of each other priority what its weight earns meanwhile.
     pub fn work_ahead(&self, priority: u8, customer: &CustomerId, entry: &Entry) -> f64 {
-        let priority = usize::from(priority.min(MOST_PRIORITY));
+        let priority = usize::from(priority.min(MAX_PRIORITY));
         let class = &self.classes[priority];
         let own = class
             .position(customer)
--- a/lib/src/settings.rs
+++ b/lib/src/settings.rs
@@ -11,7 +11,7 @@
 
 use crate::code::Code;
 use crate::ids::{EndpointId, ModelId, RegionId, ServiceId, VersionId, ZoneId};
-use crate::lists::{Mistake, is_id};
+use crate::lists::{ValidationError, is_id};
 
 /// Configuration that a daemon reads at startup.
 #[proc_macros::setting]
@@ -227,10 +227,10 @@
         cause: CompactString,
     },
     /// Fields with values that are not allowed.
-    #[error("{}", mistakes.iter().map(|m| format!("{}: {m}", Code::BadSetting.number())).collect::<Vec<_>>().join("\n"))]
-    Mistakes {
+    #[error("{}", errors.iter().map(|error| format!("{}: {error}", Code::BadSetting.number())).collect::<Vec<_>>().join("\n"))]
+    Invalid {
         /// All validation errors.
-        mistakes: Vec<Mistake>,
+        errors: Vec<ValidationError>,
     },
 }
 
@@ -246,11 +246,11 @@
                 field: format_compact!("{}", error.path()),
                 cause: format_compact!("{}", error.inner()),
             })?;
-        let mistakes = settings.check();
-        if mistakes.is_empty() {
+        let errors = settings.check();
+        if errors.is_empty() {
             Ok(settings)
         } else {
-            Err(SettingsError::Mistakes { mistakes })
+            Err(SettingsError::Invalid { errors })
         }
     }
 
@@ -267,19 +267,19 @@
         }
     }
 
-    fn check(&self) -> Vec<Mistake> {
-        let mut mistakes = Vec::new();
-        check_id("zone", &self.zone, &mut mistakes);
-        check_id("region", &self.region, &mut mistakes);
-        self.check_addresses(&mut mistakes);
-        self.check_source(&mut mistakes);
-        self.check_services(&mut mistakes);
-        self.limits.check(&mut mistakes);
-        check_level(&self.logs.level, &mut mistakes);
-        mistakes
+    fn check(&self) -> Vec<ValidationError> {
+        let mut errors = Vec::new();
+        check_id("zone", &self.zone, &mut errors);
+        check_id("region", &self.region, &mut errors);
+        self.check_addresses(&mut errors);
+        self.check_source(&mut errors);
+        self.check_services(&mut errors);
+        self.limits.check(&mut errors);
+        check_level(&self.logs.level, &mut errors);
+        errors
     }
 
-    fn check_addresses(&self, mistakes: &mut Vec<Mistake>) {
+    fn check_addresses(&self, errors: &mut Vec<ValidationError>) {
         let fields = [
             ("callers", self.callers),
             ("operators", self.operators),
@@ -289,12 +289,12 @@
             let is_duplicate = fields[..at].iter().any(|(_, a)| a == address);
             if is_duplicate && address.port() != 0 {
                 let found = format_compact!("{address}");
-                mistakes.push(Mistake::new(*field, found, "an address of its own"));
+                errors.push(ValidationError::new(*field, found, "an address of its own"));
             }
         }
     }
 
-    fn check_source(&self, mistakes: &mut Vec<Mistake>) {
+    fn check_source(&self, errors: &mut Vec<ValidationError>) {
         if self.platform.is_some() == self.lists.is_some() {
             let found = if self.lists.is_some() {
                 "both"
@@ -302,21 +302,21 @@
                 "neither"
             };
             let allowed = "either platform or lists, not both";
-            mistakes.push(Mistake::new("platform", found, allowed));
+            errors.push(ValidationError::new("platform", found, allowed));
         }
     }
 
-    fn check_services(&self, mistakes: &mut Vec<Mistake>) {
+    fn check_services(&self, errors: &mut Vec<ValidationError>) {
         if self.services.is_empty() {
-            mistakes.push(Mistake::new("services", "none", "at least one"));
+            errors.push(ValidationError::new("services", "none", "at least one"));
         }
         let mut ids: Vec<&EndpointId> = Vec::new();
         for (at, service) in self.services.iter().enumerate() {
             let field = format_compact!("services[{at}]");
-            service.check(&field, mistakes);
+            service.check(&field, errors);
             if self.services[..at].iter().any(|s| s.id == service.id) {
                 let found = format_compact!("{:?} twice", service.id);
-                mistakes.push(Mistake::new(
+                errors.push(ValidationError::new(
                     format_compact!("{field}.id"),
                     found,
                     "each id once",
@@ -327,26 +327,30 @@
         ids.sort();
         for pair in ids.windows(2).filter(|pair| pair[0] == pair[1]) {
             let found = format_compact!("{:?} twice", pair[0]);
-            mistakes.push(Mistake::new("services.endpoints.id", found, "each id once"));
+            errors.push(ValidationError::new(
+                "services.endpoints.id",
+                found,
+                "each id once",
+            ));
         }
     }
 }
 
 impl Service {
-    fn check(&self, field: &str, mistakes: &mut Vec<Mistake>) {
-        check_id(&format_compact!("{field}.id"), &self.id, mistakes);
+    fn check(&self, field: &str, errors: &mut Vec<ValidationError>) {
+        check_id(&format_compact!("{field}.id"), &self.id, errors);
         check_duration(
             &format_compact!("{field}.deadline_ms"),
             self.deadline_ms,
-            mistakes,
+            errors,
         );
         if let Some(version) = &self.version {
-            check_id(&format_compact!("{field}.version"), version, mistakes);
+            check_id(&format_compact!("{field}.version"), version, errors);
         }
         match self.kind {
             ServiceKind::Model if self.models.is_empty() => {
                 let field = format_compact!("{field}.models");
-                mistakes.push(Mistake::new(
+                errors.push(ValidationError::new(
                     field,
                     "none",
                     "at least one for a model service",
@@ -354,7 +358,7 @@
             }
             ServiceKind::Plain if self.routes.is_empty() => {
                 let field = format_compact!("{field}.routes");
-                mistakes.push(Mistake::new(
+                errors.push(ValidationError::new(
                     field,
                     "none",
                     "at least one for a plain service",
@@ -363,16 +367,16 @@
             ServiceKind::Model | ServiceKind::Plain => {}
         }
         for (at, route) in self.routes.iter().enumerate() {
-            route.check(&format_compact!("{field}.routes[{at}]"), mistakes);
+            route.check(&format_compact!("{field}.routes[{at}]"), errors);
         }
         for (at, endpoint) in self.endpoints.iter().enumerate() {
             let field = format_compact!("{field}.endpoints[{at}]");
-            check_id(&format_compact!("{field}.id"), &endpoint.id, mistakes);
-            check_id(&format_compact!("{field}.zone"), &endpoint.zone, mistakes);
+            check_id(&format_compact!("{field}.id"), &endpoint.id, errors);
+            check_id(&format_compact!("{field}.zone"), &endpoint.zone, errors);
             check_id(
                 &format_compact!("{field}.version"),
                 &endpoint.version,
-                mistakes,
+                errors,
             );
         }
     }
@@ -381,11 +385,11 @@
 impl Route {
     const METHODS: [&str; 5] = ["GET", "POST", "PUT", "PATCH", "DELETE"];
 
-    fn check(&self, field: &str, mistakes: &mut Vec<Mistake>) {
+    fn check(&self, field: &str, errors: &mut Vec<ValidationError>) {
         if !Self::METHODS.contains(&self.method.as_str()) {
             let found = format_compact!("{:?}", self.method);
             let allowed = Self::METHODS.join(", ");
-            mistakes.push(Mistake::new(
+            errors.push(ValidationError::new(
                 format_compact!("{field}.method"),
                 found,
                 allowed,
@@ -394,7 +398,7 @@
         if !self.path.starts_with('/') {
             let found = format_compact!("{:?}", self.path);
             let allowed = "a path that begins with '/'";
-            mistakes.push(Mistake::new(
+            errors.push(ValidationError::new(
                 format_compact!("{field}.path"),
                 found,
                 allowed,
@@ -403,7 +407,7 @@
         check_duration(
             &format_compact!("{field}.deadline_ms"),
             self.deadline_ms,
-            mistakes,
+            errors,
         );
     }
 
@@ -418,7 +422,7 @@
 }
 
 impl Limits {
-    fn check(&self, mistakes: &mut Vec<Mistake>) {
+    fn check(&self, errors: &mut Vec<ValidationError>) {
         let fields = [
             ("body_bytes", self.body_bytes, 1024, 64 << 20),
             ("answer_bytes", self.answer_bytes, 1024, 64 << 20),
@@ -435,22 +439,30 @@
             if !(min..=max).contains(&value) {
                 let field = format_compact!("limits.{name}");
                 let allowed = format_compact!("{min} to {max}");
-                mistakes.push(Mistake::new(field, format_compact!("{value}"), allowed));
+                errors.push(ValidationError::new(
+                    field,
+                    format_compact!("{value}"),
+                    allowed,
+                ));
             }
         }
     }
 }
 
-fn check_id(field: &str, name: &str, mistakes: &mut Vec<Mistake>) {
+fn check_id(field: &str, name: &str, errors: &mut Vec<ValidationError>) {
     if !is_id(name) {
         let allowed = "1 to 64 of a-z, A-Z, 0-9, '-', '_' and '.'";
-        mistakes.push(Mistake::new(field, format_compact!("{name:?}"), allowed));
+        errors.push(ValidationError::new(
+            field,
+            format_compact!("{name:?}"),
+            allowed,
+        ));
     }
 }
 
-fn check_duration(field: &str, ms: u64, mistakes: &mut Vec<Mistake>) {
+fn check_duration(field: &str, ms: u64, errors: &mut Vec<ValidationError>) {
     if !(10..=3_600_000).contains(&ms) {
-        mistakes.push(Mistake::new(
+        errors.push(ValidationError::new(
             field,
             format_compact!("{ms}"),
             "10 to 3600000",
@@ -458,10 +470,10 @@
     }
 }
 
-fn check_level(level: &str, mistakes: &mut Vec<Mistake>) {
+fn check_level(level: &str, errors: &mut Vec<ValidationError>) {
     const LEVELS: [&str; 5] = ["error", "warn", "info", "debug", "trace"];
     if !LEVELS.contains(&level) {
         let found = format_compact!("{level:?}");
-        mistakes.push(Mistake::new("logs.level", found, LEVELS.join(", ")));
+        errors.push(ValidationError::new("logs.level", found, LEVELS.join(", ")));
     }
 }
