--- a/daemon/src/moves.rs
+++ b/daemon/src/moves.rs
@@ -17,7 +17,7 @@
 };
 use poplarvale_lib::gossip::{Change, Key, Kind, Peer};
 use poplarvale_lib::moves::evidence::Row;
-use poplarvale_lib::moves::{Action, Event, Reach, Record, Source, Stored, Verdict, Watch};
+use poplarvale_lib::moves::{Action, ClusterView, Event, Reach, Record, Source, Stored, Verdict};
 use poplarvale_lib::protos::moves::{BadVersion, EvidenceRow, NewsRow, RecordRow, VersionMove};
 use poplarvale_lib::store::{Condition, Failure, Held, Put as StorePut, Snapshot, Store as _};
 use poplarvale_lib::store::{Write, Written};
@@ -125,7 +125,7 @@
 
     fn tell_time(&self, now: Instant) {
         let live = self.live.len().max(1) as u32;
-        self.report(Input::Watch(Watch {
+        self.report(Input::ClusterView(ClusterView {
             at: now,
             wall: wall(),
             reach: Reach { live, heard: live },
--- a/lib/src/ids.rs
+++ b/lib/src/ids.rs
@@ -43,8 +43,8 @@
 const ERA_BITS: u32 = 40;
 
 /// Combines an era with a revision number that the service issued in it.
-pub fn revision_in(era: Era, bare: u64) -> Revision {
-    (u64::from(era) << ERA_BITS) | bare
+pub fn revision_in(era: Era, number: u64) -> Revision {
+    (u64::from(era) << ERA_BITS) | number
 }
 
 /// Era of a revision.
@@ -53,7 +53,7 @@
 }
 
 /// The revision number as the service issued it, without the era.
-pub fn bare(revision: Revision) -> u64 {
+pub fn without_era(revision: Revision) -> u64 {
     revision & ((1 << ERA_BITS) - 1)
 }
 
--- a/lib/src/input.rs
+++ b/lib/src/input.rs
@@ -67,7 +67,7 @@
         event: moves::Event,
     },
     /// Wall-clock time and reachable daemons; reported every second.
-    Watch(moves::Watch),
+    ClusterView(moves::ClusterView),
     /// The daemon is shutting down and admits no more requests.
     Drain,
 }
--- a/lib/src/moves.rs
+++ b/lib/src/moves.rs
@@ -17,7 +17,7 @@
 pub mod status;
 pub mod verdict;
 
-pub use crate::systems::moving::{Chosen, Filter, Watch};
+pub use crate::systems::versions::{Chosen, ClusterView, Filter};
 pub use codec::RecordError;
 pub use controller::{
     Action, Controller, Event, FRESHNESS_TTL, HoldReason, PUBLISH_INTERVAL, Pick, Reach, Source,
--- a/lib/src/systems.rs
+++ b/lib/src/systems.rs
@@ -4,11 +4,11 @@
 pub(crate) mod admit;
 pub mod allowance;
 pub(crate) mod choose;
+pub(crate) mod dispatch;
 pub(crate) mod expire;
 pub(crate) mod health;
 pub(crate) mod intake;
 pub(crate) mod leaving;
-pub mod moving;
 pub(crate) mod queue;
 pub(crate) mod retry;
-pub(crate) mod route;
+pub mod versions;
--- a/lib/src/systems/choose.rs
+++ b/lib/src/systems/choose.rs
@@ -11,7 +11,7 @@
 
 /// Chooses an endpoint by the configured policy; none if no endpoint accepts the request.
 pub(crate) fn run(world: &mut World, now: Instant, waiting: &Waiting) -> Option<EndpointId> {
-    let filter = &world.open_to(now, waiting);
+    let filter = &world.filter_for(now, waiting);
     match world.routing.policy {
         Policy::Cost => {
             let ask = Ask {
--- a/lib/src/systems/expire.rs
+++ b/lib/src/systems/expire.rs
@@ -10,7 +10,7 @@
 use crate::ids::RequestId;
 use crate::request::{Ending, Request};
 use crate::systems::intake::{finish, release};
-use crate::systems::{health, leaving, moving};
+use crate::systems::{health, leaving, versions};
 use crate::world::World;
 
 /// Ends all requests past their deadline and cancels those that are running.
@@ -30,7 +30,7 @@
     let Some(request) = world.requests.get(&id).cloned() else {
         return;
     };
-    moving::record_overdue(world, now, &request);
+    versions::record_overdue(world, now, &request);
     let (code, ran) = match &request {
         Request::Waiting(waiting) => (Code::Expired, waiting.ran),
         Request::Idempotent(_) | Request::NonIdempotent(_) => (Code::Overdue, Ran::Unknown),
--- a/lib/src/systems/intake.rs
+++ b/lib/src/systems/intake.rs
@@ -10,7 +10,7 @@
 use crate::keys::Keys;
 use crate::lists::Accepted;
 use crate::request::{Ending, Order, Request, Running};
-use crate::systems::{allowance, health, leaving, moving, retry};
+use crate::systems::{allowance, health, leaving, retry, versions};
 use crate::world::World;
 
 /// Applies all inputs; returns the requests that arrived, for admission.
@@ -45,8 +45,8 @@
             Input::PeerSeen(incarnation) => allowance::record_peer(world, now, incarnation),
             Input::PeerEnded(incarnation) => world.load.shares.remove_peer(incarnation),
             Input::Share(row) => allowance::merge_share(world, now, row),
-            Input::Move { service, event } => moving::apply_event(world, now, &service, event),
-            Input::Watch(watch) => world.watch = Some(watch),
+            Input::Move { service, event } => versions::apply_event(world, now, &service, event),
+            Input::ClusterView(cluster) => world.cluster = Some(cluster),
             Input::Drain => world.draining = true,
         }
     }
@@ -140,7 +140,7 @@
         if !matches!(outcome, Outcome::Unsent(_)) {
             leaving::record_duration(world, now, &request);
         }
-        moving::record_outcome(world, now, &request, &outcome);
+        versions::record_outcome(world, now, &request, &outcome);
     }
     match (request, outcome) {
         (request, Outcome::Complete { status }) => {
--- a/lib/src/systems/leaving.rs
+++ b/lib/src/systems/leaving.rs
@@ -177,7 +177,7 @@
 fn pick_other(world: &mut World, now: Instant, running: &Running<Idempotent>) -> Option<Pick> {
     let waiting = running.clone().retry();
     let ask = Ask {
-        filter: &world.open_to(now, &waiting),
+        filter: &world.filter_for(now, &waiting),
         waiting: &waiting,
         most: world.setup.running,
         now,
--- a/lib/src/systems/queue.rs
+++ b/lib/src/systems/queue.rs
@@ -98,7 +98,7 @@
         waiting,
         most: world.setup.running,
         now,
-        filter: &world.open_to(now, waiting),
+        filter: &world.filter_for(now, waiting),
     };
     is_open(&world.routing, &world.endpoints, &ask)
 }
--- a/lib/src/systems/moving.rs
+++ b/lib/src/systems/versions.rs
@@ -32,7 +32,7 @@
 
 /// Wall-clock time and the daemons in reach, as last reported by the process around the core.
 #[proc_macros::row]
-pub struct Watch {
+pub struct ClusterView {
     /// When they were reported, on the monotonic clock.
     pub at: Instant,
     /// Wall-clock time then, in milliseconds since 1970.
@@ -41,7 +41,7 @@
     pub reach: Reach,
 }
 
-impl Watch {
+impl ClusterView {
     fn time(&self, now: Instant) -> Time {
         let gone = now.saturating_duration_since(self.at);
         Time {
@@ -53,11 +53,11 @@
 
 /// Applies an event of a service's version move.
 pub(crate) fn apply_event(world: &mut World, now: Instant, service: &ServiceId, event: Event) {
-    let Some(watch) = &world.watch else {
+    let Some(cluster) = &world.cluster else {
         return;
     };
-    let time = watch.time(now);
-    let reach = watch.reach;
+    let time = cluster.time(now);
+    let reach = cluster.reach;
     if !world.moves.contains(service) {
         let controller = Controller::new(service.clone(), world.setup.incarnation);
         world.moves.insert(controller);
@@ -96,10 +96,10 @@
 
 /// Runs every move controller and collects its actions.
 pub(crate) fn run(world: &mut World, now: Instant) {
-    let Some(watch) = &world.watch else {
+    let Some(cluster) = &world.cluster else {
         return;
     };
-    let (time, reach) = (watch.time(now), watch.reach);
+    let (time, reach) = (cluster.time(now), cluster.reach);
     let endpoints = &world.endpoints;
     for controller in &mut world.moves {
         let to = controller.versions().map(|(_, to)| to.clone());
@@ -147,7 +147,7 @@
     ///
     /// A request that failed once goes to the old version, so that a faulty new version
     /// cannot fail it twice.
-    pub fn open_to(&self, now: Instant, waiting: &Waiting) -> Filter {
+    pub fn filter_for(&self, now: Instant, waiting: &Waiting) -> Filter {
         let order = &waiting.order;
         let controller = self.moves.get(&order.service);
         let Some((controller, (from, to))) = controller.and_then(|c| Some((c, c.versions()?)))
--- a/lib/src/world.rs
+++ b/lib/src/world.rs
@@ -14,12 +14,12 @@
 use crate::lists::{Customer, Plan};
 use crate::load::Load;
 use crate::load::shares::ShareRow;
-use crate::moves::{Chosen, Controller, Watch};
+use crate::moves::{Chosen, ClusterView, Controller};
 use crate::request::Request;
 use crate::routing::View;
 use crate::settings::Service;
 use crate::systems::allowance::{self, Allowance};
-use crate::systems::{admit, expire, health, intake, leaving, moving, queue, route};
+use crate::systems::{admit, dispatch, expire, health, intake, leaving, queue, versions};
 use crate::table::Table;
 
 /// Identity of this daemon and its limits.
@@ -67,7 +67,7 @@
     /// Waiting requests that are assigned to the new version of a move.
     pub chosen: Table<Chosen>,
     /// Wall-clock time and reachable daemons, as last reported; without it no move advances.
-    pub watch: Option<Watch>,
+    pub cluster: Option<ClusterView>,
     /// Whether this daemon is shutting down.
     pub draining: bool,
     pub(crate) rng: fastrand::Rng,
@@ -92,7 +92,7 @@
             load: Load::default(),
             moves: Table::new(),
             chosen: Table::new(),
-            watch: None,
+            cluster: None,
             draining: false,
             rng: fastrand::Rng::with_seed(seed),
             commands: Vec::new(),
@@ -108,10 +108,10 @@
         allowance::update_claims(self, now);
         let ids: Vec<_> = arrived.iter().map(|order| order.id).collect();
         admit::run(self, now, arrived);
-        moving::run(self, now);
-        moving::assign(self, now, &ids);
+        versions::run(self, now);
+        versions::assign(self, now, &ids);
         leaving::run(self, now);
-        route::run(self, now);
+        dispatch::run(self, now);
         queue::record_sends(self, now);
         std::mem::take(&mut self.commands)
     }
--- a/lib/tests/test_moves.rs
+++ b/lib/tests/test_moves.rs
@@ -288,7 +288,7 @@
     use std::time::{Duration, Instant};
 
     use poplarvale_lib::moves::{
-        Event, FULL_SHARE, Reach, Record, Source, Stored, Verdict, Watch, stages,
+        ClusterView, Event, FULL_SHARE, Reach, Record, Source, Stored, Verdict, stages,
     };
     use poplarvale_lib::{
         Accepted, Code, Command, Customer, Endpoint, Input, ListedEndpoint, Lists, Order, Outcome,
@@ -320,7 +320,7 @@
                 count: 0,
                 unserved: 0,
             };
-            let watch = Watch {
+            let cluster = ClusterView {
                 at: harness.now,
                 wall: WALL,
                 reach: Reach { live: 1, heard: 1 },
@@ -331,7 +331,7 @@
             };
             let mut inputs = vec![
                 Input::Lists(lists()),
-                Input::Watch(watch),
+                Input::ClusterView(cluster),
                 event(Event::Record(stored)),
             ];
             inputs.extend((0..10).map(|n| known(n, "v1")));
@@ -369,7 +369,7 @@
             let order = self.order();
             let id = order.id;
             let commands = self.tick(vec![Input::Arrived(order.clone())]);
-            let filter = self.world.open_to(self.now, &Waiting::new(order));
+            let filter = self.world.filter_for(self.now, &Waiting::new(order));
             let open = self.world.endpoints.iter().filter(|e| filter.allows(e));
             let open: Vec<_> = open.collect();
             self.unserved += u32::from(open.is_empty());
@@ -505,7 +505,7 @@
         let gone = (0..10).map(|n| Input::Gone(format!("e{n}").into()));
         harness.tick(gone.chain([known(30, "v3")]).collect());
         let waiting = Waiting::new(harness.order());
-        let filter = harness.world.open_to(harness.now, &waiting);
+        let filter = harness.world.filter_for(harness.now, &waiting);
         let open = harness.world.endpoints.iter().filter(|e| filter.allows(e));
         let open: Vec<_> = open.map(|e| e.id.as_str()).collect();
         assert_eq!(open, ["e30"]);
