--- a/lib/benches/decisions.rs
+++ b/lib/benches/decisions.rs
@@ -111,7 +111,7 @@
             let begin = Instant::now();
             let moved = sends(world.tick(start, inputs)).count();
             let first = begin.elapsed();
-            println!("wave/{name}/{requests}: {moved} streams sent on, first tick {first:?}");
+            println!("wave/{name}/{requests}: {moved} streams moved, first tick {first:?}");
             group.bench_function(format!("next tick, {name}/{requests}"), |b| {
                 b.iter(|| black_box(world.tick(start, Vec::new())));
             });
--- a/lib/benches/load.rs
+++ b/lib/benches/load.rs
@@ -70,7 +70,7 @@
     let failed = |e: &Ended| e.code().is_some();
     let at_once = |e: &Ended| failed(e) && e.after < Duration::from_millis(50);
     println!(
-        "  sendings {:.2}  failed at once {:4.1}% later {:4.1}%",
+        "  attempts {:.2}  failed at once {:4.1}% later {:4.1}%",
         f64::from(sends) / ended.len() as f64,
         100.0 * share(ended, at_once),
         100.0 * share(ended, |e| failed(e) && !at_once(e))
@@ -150,24 +150,21 @@
 }
 
 /// Callers that retry up to three times at the time given in the rejection.
-fn returns() {
+fn retries() {
     let traces = [
         ("burst", generate::burst(), 22),
         ("saturation 2x", generate::mixed(2.0, 60.0), 28),
     ];
     for (title, streams, seed) in traces {
         let trace = generate::trace(&streams, seed);
-        println!(
-            "{title}, callers come back when told ({} callers)",
-            trace.len()
-        );
+        println!("{title}, callers retry when told ({} callers)", trace.len());
         for (name, policy) in [("plain", Policy::plain()), ("all", Policy::default())] {
             let mut scene = scene(policy, Instant::now());
             scene.returns = 3;
             let ended = driver::replay(&scene, &trace);
             let last: Vec<Ended> = ended.iter().filter(|e| !e.back).cloned().collect();
             println!(
-                "  {name:<6} answered in time in the end {:5.1}%, arrivals a caller {:.2}",
+                "  {name:<6} finally answered in time {:5.1}%, arrivals per caller {:.2}",
                 100.0 * share(&last, Ended::good),
                 ended.len() as f64 / trace.len() as f64
             );
@@ -208,7 +205,7 @@
 }
 
 /// Some of four endpoints fail a share of their requests.
-fn breaking(scene: &mut Scene, count: usize, share: f64) {
+fn failing(scene: &mut Scene, count: usize, share: f64) {
     scene.endpoints = endpoints(4);
     for (_, behaviour) in &mut scene.endpoints[..count] {
         behaviour.breaks = share;
@@ -217,7 +214,7 @@
 
 /// Cost of updating claims, up to the size of a large fleet.
 fn claims() {
-    println!("claiming anew for 20 busy customers, microseconds (median of 200)");
+    println!("updating the claims of 20 active customers, microseconds (median of 200)");
     for daemons in [8, 40, 400] {
         let origin = Instant::now();
         let mut table = ShareTable::default();
@@ -260,7 +257,7 @@
 /// Eight daemons share a limit of 100 requests per second. Prints how much of a skewed demand
 /// of 80 requests per second fits into their shares, compared with an even split.
 fn shares() {
-    println!("shares of 100 requests/s among 8 daemons, 80/s asked for");
+    println!("shares of 100 requests/s among 8 daemons, 80/s demanded");
     for hot in [8, 4, 2, 1] {
         let mut fleet = Fleet::new(8, LIMIT, MAX_TRANSIT, 31);
         let ask = |at: usize| if at < hot { 80.0 / hot as f64 } else { 0.0 };
@@ -292,7 +289,7 @@
 /// Usage above the limit, while connected and while some daemons are partitioned for a minute,
 /// compared with the whole plan at each daemon.
 fn overshoot() {
-    println!("most that 8 daemons give out, in parts of the limit (whole plan at each: 8.00)");
+    println!("peak use of 8 daemons as a multiple of the limit (whole plan at each: 8.00)");
     for cut in [0, 1, 2, 3, 4] {
         let mut most = [0.0_f64; 3];
         let mut held = 0.0_f64;
@@ -319,7 +316,7 @@
         let bound = 1.0 + held / 100.0;
         let [before, during, after] = most;
         println!(
-            "  {cut} cut off: before {before:.2}, during {during:.2} (bound {bound:.2}), \
+            "  {cut} partitioned: before {before:.2}, during {during:.2} (bound {bound:.2}), \
              after {after:.2}"
         );
     }
@@ -401,10 +398,10 @@
 
 fn write() {
     for (name, trace) in generate::committed() {
-        let line = |a| serde_json::to_string(a).expect("an arrival is JSON") + "\n";
+        let line = |a| serde_json::to_string(a).expect("an arrival serializes to JSON") + "\n";
         let text: String = trace.iter().map(line).collect();
         let path = format!("{}/tests/traces/{name}.jsonl", env!("CARGO_MANIFEST_DIR"));
-        std::fs::write(path, text).expect("the folder of traces is there");
+        std::fs::write(path, text).expect("the directory of traces exists");
     }
 }
 
@@ -418,24 +415,39 @@
     let burst = generate::trace(&generate::burst(), 22);
     compare("burst", &burst, 30.0, |_| {});
     let long = generate::trace(&generate::long(), 23);
-    compare("long work among short", &long, 40.0, |_| {});
+    compare("long requests among short ones", &long, 40.0, |_| {});
     let mixed = generate::trace(&generate::mixed(1.4, 40.0), 25);
     compare("one of four endpoints slow", &mixed, 40.0, slow);
     let mixed = generate::trace(&generate::mixed(1.4, 40.0), 27);
-    compare("two of four endpoints break most", &mixed, 40.0, |scene| {
-        breaking(scene, 2, 0.8);
-    });
-    compare("all endpoints break half", &mixed, 40.0, |scene| {
-        breaking(scene, 4, 0.5);
-    });
+    compare(
+        "two of four endpoints fail most requests",
+        &mixed,
+        40.0,
+        |scene| {
+            failing(scene, 2, 0.8);
+        },
+    );
+    compare(
+        "all endpoints fail half of the requests",
+        &mixed,
+        40.0,
+        |scene| {
+            failing(scene, 4, 0.5);
+        },
+    );
     let mixed = generate::trace(&generate::mixed(1.5, 60.0), 28);
-    compare("endpoints break past 14 at once", &mixed, 60.0, |scene| {
-        for (_, behaviour) in &mut scene.endpoints {
-            behaviour.crowd = Some(14);
-        }
-    });
+    compare(
+        "endpoints fail above 14 concurrent requests",
+        &mixed,
+        60.0,
+        |scene| {
+            for (_, behaviour) in &mut scene.endpoints {
+                behaviour.crowd = Some(14);
+            }
+        },
+    );
     daemons();
-    returns();
+    retries();
     cost();
     claims();
     shares();
--- a/lib/src/systems/health.rs
+++ b/lib/src/systems/health.rs
@@ -83,6 +83,7 @@
     }
 }
 
+/// Plain policy: ejects after [`EJECT_AFTER`] consecutive failures.
 fn record_plain(world: &mut World, now: Instant, endpoint: &EndpointId, ok: bool) {
     let Some(endpoint) = world.endpoints.get_mut(endpoint) else {
         return;
@@ -98,6 +99,8 @@
     }
 }
 
+/// Updates the concurrency limit of the endpoint and measures the time per unit of work of a
+/// successful attempt.
 fn measure(world: &mut World, now: Instant, request: &Request, ok: bool) -> Option<Sample> {
     let load = &mut world.load;
     let sent = load.in_flight.remove(&request.attempt()?)?;
@@ -110,6 +113,8 @@
     load.record_completion(now, &sent)
 }
 
+/// Adaptive policy: ejects an endpoint that fails much more often than the others of its service,
+/// or that is still slow while probed.
 fn record_adaptive(
     world: &mut World,
     now: Instant,
@@ -228,6 +233,7 @@
     late
 }
 
+/// Whether an endpoint is slow by its measured unit time or by its late requests.
 fn is_slow(world: &World, endpoint: &Endpoint, typical: f64, late: &[&EndpointId]) -> bool {
     let Some(stats) = world.load.endpoint_stats.get(&endpoint.id) else {
         return false;
--- a/lib/src/systems/versions.rs
+++ b/lib/src/systems/versions.rs
@@ -30,23 +30,23 @@
     }
 }
 
-/// Wall-clock time and the daemons in reach, as last reported by the process around the core.
+/// Wall-clock time and the numbers of live and reachable daemons, as last reported to the core.
 #[proc_macros::row]
 pub struct ClusterView {
     /// When they were reported, on the monotonic clock.
     pub at: Instant,
     /// Wall-clock time then, in milliseconds since 1970.
     pub wall: u64,
-    /// Live daemons.
+    /// Counts of live and of recently heard daemons.
     pub reach: Reach,
 }
 
 impl ClusterView {
     fn time(&self, now: Instant) -> Time {
-        let gone = now.saturating_duration_since(self.at);
+        let elapsed = now.saturating_duration_since(self.at);
         Time {
             now,
-            wall: self.wall + gone.as_millis() as u64,
+            wall: self.wall + elapsed.as_millis() as u64,
         }
     }
 }
@@ -232,8 +232,8 @@
 ///
 /// A failed connection counts neither as success nor as failure. Its request goes to
 /// another endpoint, and when a host is lost every daemon sees a few failed connections
-/// until the list of hosts is updated; when these were counted, good versions were rolled
-/// back. A version that accepts no connections shows by the requests missing from its counts.
+/// until the list of hosts is updated; counting them rolled back good versions. A version
+/// that accepts no connections shows by the requests missing from its counts.
 pub(crate) fn record_outcome(
     world: &mut World,
     now: Instant,
@@ -252,6 +252,7 @@
     record(world, now, request, false);
 }
 
+/// Adds a request to the comparison of the old and new version, if it counts for it.
 fn record(world: &mut World, now: Instant, request: &Request, ok: bool) {
     let (order, version, endpoint, latency) = match request {
         Request::Waiting(_) => return,
