--- a/daemon/src/relay/attempt.rs
+++ b/daemon/src/relay/attempt.rs
@@ -8,9 +8,9 @@
 use poplarvale_lib::EndpointId;
 use poplarvale_lib::http1::{Request, Response};
 use poplarvale_lib::relay::catalog::{CatalogVersion, Route, Service, Team};
-use poplarvale_lib::relay::crash::SETTLED;
+use poplarvale_lib::relay::crash::SAFE_AFTER;
 use poplarvale_lib::relay::endpoint_table::{Endpoint, EndpointState};
-use poplarvale_lib::relay::limit::Said;
+use poplarvale_lib::relay::limit::AnnouncedLimit;
 use poplarvale_lib::relay::listing::Listing;
 use poplarvale_lib::relay::request::RequestHead;
 use poplarvale_lib::relay::rollout::Versions;
@@ -84,7 +84,7 @@
     fn drop(&mut self) {
         if let Some(row) = self.state.endpoints.borrow_mut().get_mut(&self.endpoint) {
             row.remove_request(self.number);
-            row.evidence.nothing();
+            row.evidence.record_inconclusive();
         }
     }
 }
@@ -139,9 +139,9 @@
         finish(state, address, wire, &answer).await;
         return Ended::NotRun;
     }
-    let is_stream = job.route.repeat.is_stream() && answer.head.status == OK;
+    let is_stream = job.route.retry_policy.is_stream() && answer.head.status == OK;
     let mut first = None;
-    passed.events.restart();
+    passed.events.drop_partial();
     let events = passed.events.count();
     let ended = if is_stream && answer.said.sealed {
         let number = booked.number;
@@ -158,7 +158,12 @@
         match pass_on(&mut wire, &answer, passed, write, &mut patience, began).await {
             StreamEnd::Whole => {
                 let events = passed.events.count().saturating_sub(events + 1) as u32;
-                let tokens = events * job.service.engine.as_ref().map_or(0, |row| row.stride);
+                let tokens = events
+                    * job
+                        .service
+                        .engine
+                        .as_ref()
+                        .map_or(0, |row| row.event_tokens);
                 let mut table = state.endpoints.borrow_mut();
                 table.record_stream(&choice.id, number, tokens, Std::now());
                 Ended::Streamed
@@ -182,13 +187,13 @@
         Ended::Broken(fault) => failed(&booked, job, &endpoint, *fault, kept, first),
         Ended::Whole(head, _) if head.status >= FAILED => {
             booked.note(|row| {
-                row.evidence.bad(Std::now());
+                row.evidence.record_failure(Std::now());
             });
             keep(state, address, wire, &answer);
         }
         _ => {
             state.measure(|metrics| metrics.sent("answered"));
-            booked.note(|row| row.evidence.good());
+            booked.note(|row| row.evidence.record_success());
             keep(state, address, wire, &answer);
         }
     }
@@ -208,7 +213,7 @@
             return;
         }
     };
-    let said = Said { rate, heard: now };
+    let said = AnnouncedLimit { rate, at: now };
     if state
         .endpoints
         .borrow_mut()
@@ -223,7 +228,7 @@
 fn is_after_limit(state: &State, endpoint: &Listing, sent: Std) -> bool {
     let table = state.endpoints.borrow();
     let limit = table.get(&endpoint.id).and_then(|row| row.limit.as_ref());
-    limit.is_some_and(|limit| sent > limit.heard())
+    limit.is_some_and(|limit| sent > limit.announced_at())
 }
 
 /// A connection to the chosen endpoint, and whether it was used before; `None` if
@@ -239,7 +244,7 @@
         Err(error) => {
             let mut table = state.endpoints.borrow_mut();
             let row = table.get_mut(&choice.id);
-            let out = row.is_some_and(|row| row.evidence.unreached(Std::now()));
+            let out = row.is_some_and(|row| row.evidence.record_connect_failure(Std::now()));
             state.measure(|metrics| metrics.sent("not connected"));
             log::info!(
                 request = job.head.id.as_str(), endpoint = choice.id.as_str(), left_out = out;
@@ -253,7 +258,7 @@
 /// Whether an endpoint may have ended because of a request that broke off there; `first` is
 /// when the first event of its stream came.
 fn may_have_ended(state: &State, endpoint: &Listing, fault: Fault, first: Option<Std>) -> bool {
-    let is_settled = first.is_some_and(|first| first.elapsed() >= SETTLED);
+    let is_settled = first.is_some_and(|first| first.elapsed() >= SAFE_AFTER);
     let table = state.endpoints.borrow();
     let row = table.get(&endpoint.id);
     // One that leaves ends in any case.
@@ -342,7 +347,7 @@
     let (service, route) = (&job.service.name, &job.route.name);
     let sample = Sample { good, took };
     let mut rollouts = state.rollouts.borrow_mut();
-    if rollouts.note(service, route, version, sample, state.true_ms()) {
+    if rollouts.record(service, route, version, sample, state.true_ms()) {
         log::warn!(
             request = job.head.id.as_str(), route = route.as_str(), good,
             took_ms = took.as_millis() as u64;
@@ -363,7 +368,7 @@
 ) {
     let state = &booked.state;
     let mut out = false;
-    booked.note(|row| out = row.evidence.bad(Std::now()));
+    booked.note(|row| out = row.evidence.record_failure(Std::now()));
     state.measure(|metrics| metrics.sent("failed"));
     log::info!(
         request = job.head.id.as_str(), endpoint = endpoint.id.as_str(), kept, left_out = out,
@@ -387,7 +392,7 @@
 }
 
 fn keep(state: &Rc<State>, address: SocketAddr, wire: Wire, answer: &Answer) {
-    if answer.head.keep && answer.sent && wire.buffer.is_empty() {
+    if answer.head.keep_alive && answer.sent && wire.buffer.is_empty() {
         state.upstreams.put(address, wire, answer.said.idle);
     }
 }
--- a/daemon/src/relay/dispatch.rs
+++ b/daemon/src/relay/dispatch.rs
@@ -56,7 +56,10 @@
     keep: bool,
 ) -> After {
     let now = Std::now();
-    state.budget.borrow_mut().request(&job.service.name, now);
+    state
+        .budget
+        .borrow_mut()
+        .record_request(&job.service.name, now);
     let mut course = Course {
         passed: Passed::nothing(job.head.resume, keep),
         keep,
@@ -108,7 +111,7 @@
         write: &mut WriteHalf<'_>,
     ) -> Ended {
         self.avoid.push(choice.id.clone());
-        let more = job.route.repeat.may_repeat()
+        let more = job.route.retry_policy.allows_retry()
             && self.runs + 1 < job.route.attempts
             && self.sends + 1 < MOST_SENDS;
         let (avoid, reserved) = (&self.avoid, &mut self.reserved);
@@ -132,7 +135,7 @@
         if !matches!(ended, Ended::NotSent) {
             self.sends += 1;
         }
-        let repeats = job.route.repeat.may_repeat();
+        let repeats = job.route.retry_policy.allows_retry();
         match ended {
             Ended::Streamed => {
                 told(state, job, &choice.id, 200, self.sends);
@@ -212,7 +215,7 @@
     // most of what they share for itself.
     let daemons = state.peers.borrow().rows().len() + 1;
     let mut budget = state.budget.borrow_mut();
-    budget.repeat(&job.service.name, daemons, now)
+    budget.try_retry(&job.service.name, daemons, now)
 }
 
 /// What a request may wait for. One that an endpoint has begun is sent on in any case:
@@ -241,7 +244,7 @@
         now: Std::now(),
     };
     let chosen = choose(&table, &wanted);
-    match job.versions.otherwise() {
+    match job.versions.fallback() {
         Some(versions) if chosen.is_err() => choose(
             &table,
             &Criteria {
@@ -258,7 +261,7 @@
     let first = (wait * 3).max(job.route.target * 3 / 2).max(LEAST_SILENCE);
     Patience {
         first: Instant::now() + first,
-        pause: job.route.pause.unwrap_or(job.route.target) * 3,
+        pause: job.route.pause_target.unwrap_or(job.route.target) * 3,
         deadline: job.deadline,
         moves,
     }
@@ -269,7 +272,7 @@
 fn told(state: &State, job: &Job<'_>, endpoint: &str, status: u16, sends: u32) {
     let took = job.arrived.elapsed();
     state.measure(|metrics| metrics.ended(&job.route.name, 0, took));
-    let late = !job.route.repeat.is_stream() && took > job.route.target;
+    let late = !job.route.retry_policy.is_stream() && took > job.route.target;
     if status < FAILED && !late && !state.sampler.lets(Std::now()) {
         return;
     }
--- a/daemon/src/relay/peers.rs
+++ b/daemon/src/relay/peers.rs
@@ -7,14 +7,14 @@
 use compact_str::CompactString;
 use poplarvale_lib::ZoneHash;
 use poplarvale_lib::protos::relay::{Digest, UsageRecord, digest};
-use poplarvale_lib::relay::contact::Span;
+use poplarvale_lib::relay::connectivity::ReachableSpan;
 use poplarvale_lib::relay::demand::Work;
-use poplarvale_lib::relay::digest::{Peer, Place, Turn, Turns};
+use poplarvale_lib::relay::digest::{DueDigests, Location, Peer, Schedule};
 use poplarvale_lib::relay::endpoint_table::{Load, Reporter};
-use poplarvale_lib::relay::limit::{Said, Sharers};
-use poplarvale_lib::relay::quota::{Told, Use, ZoneSummary, ZoneUse};
-use poplarvale_lib::relay::rollout::evidence::{Key, Side, Sides};
-use poplarvale_lib::relay::rollout::{Order, Outcome, Word};
+use poplarvale_lib::relay::limit::{AnnouncedLimit, Sharers};
+use poplarvale_lib::relay::quota::{PeerReport, TeamRates, TeamUse, ZoneSummary};
+use poplarvale_lib::relay::rollout::evidence::{Comparison, Key, VersionCounts};
+use poplarvale_lib::relay::rollout::{MoveReport, Order, Outcome};
 use poplarvale_lib::relay::usage::{Report, Usage, WindowId};
 use prost::Message as _;
 use tokio::net::UdpSocket;
@@ -46,19 +46,19 @@
 
 /// Sends digests until the process ends.
 pub(crate) async fn send(state: Rc<State>, socket: Rc<UdpSocket>) {
-    let mut turns = Turns::new(state.started);
+    let mut turns = Schedule::new(state.started);
     let mut urgent = false;
     loop {
         let now = Instant::now();
         state.peers.borrow_mut().expire(now);
         share_limits(&state, now);
-        let rounds = state.peers.borrow().rounds();
+        let rounds = state.peers.borrow().remote_every();
         urgent |= !state.left.borrow().is_empty();
         tell(&state, &socket, turns.next(rounds, urgent, now));
         if rounds > 1 && state.peers.borrow().is_watcher(now) {
             tell_zone(&state, &socket, now);
         }
-        let period = state.peers.borrow().near_period();
+        let period = state.peers.borrow().local_period();
         tokio::select! {
             () = tokio::time::sleep(period) => urgent = false,
             () = state.news.notified() => urgent = true,
@@ -70,8 +70,8 @@
 fn share_limits(state: &State, now: Instant) {
     let peers = state.peers.borrow();
     let sharers = Sharers {
-        me: peers.me(),
-        others: peers.lately(now),
+        me: peers.own_address(),
+        others: peers.recent_addresses(now),
     };
     state.endpoints.borrow_mut().set_sharers(sharers, now);
 }
@@ -79,50 +79,50 @@
 /// Sends the last digest of a daemon that ends. What it counted since the last whole one
 /// would be lost with it, and teams charged for less than they used.
 pub(crate) fn tell_last(state: &State, socket: &UdpSocket) {
-    let turn = Turn {
-        near: true,
-        far: Some(true),
+    let turn = DueDigests {
+        local: true,
+        remote: Some(true),
     };
     tell(state, socket, turn);
 }
 
 /// Sends a digest to the daemons of this zone, to those that were never heard, and at some
 /// turns to those of other zones.
-fn tell(state: &State, socket: &UdpSocket, turn: Turn) {
+fn tell(state: &State, socket: &UdpSocket, turn: DueDigests) {
     let now = Instant::now();
     let sequence = state.next_digest();
     let left = std::mem::take(&mut *state.left.borrow_mut());
     let peers = state.peers.borrow();
-    if let Some(whole) = turn.far {
+    if let Some(whole) = turn.remote {
         let bytes = digest(state, sequence, whole, &left, now).encode_to_vec();
-        let far = peers.rows().iter().filter(|peer| peers.is_far(peer));
+        let far = peers.rows().iter().filter(|peer| peers.is_remote(peer));
         far.for_each(|peer| send_to(state, socket, peer, &bytes));
     }
-    let mut digest = digest(state, sequence, turn.near, &left, now);
+    let mut digest = digest(state, sequence, turn.local, &left, now);
     if peers.is_watcher(now) {
         let check = state.endpoints.borrow().checksum();
-        let news = state.follow.borrow().tell(check, now);
+        let news = state.follow.borrow().feed(check, now);
         digest.news = news.map(news::tell);
     }
     let bytes = digest.encode_to_vec();
-    let near = peers.rows().iter().filter(|peer| !peers.is_far(peer));
+    let near = peers.rows().iter().filter(|peer| !peers.is_remote(peer));
     near.for_each(|peer| send_to(state, socket, peer, &bytes));
 }
 
 /// Tells the other zones what this one does as a whole.
 fn tell_zone(state: &State, socket: &UdpSocket, now: Instant) {
     let peers = state.peers.borrow();
-    let place = peers.place();
-    let summary = state.quota.borrow().tell_zone(place.zone, now);
-    let teams = summary.uses.into_iter().map(|row| digest::TeamUse {
+    let place = peers.own_location();
+    let summary = state.quota.borrow().zone_summary(place.zone, now);
+    let teams = summary.teams.into_iter().map(|row| digest::TeamUse {
         team: row.team,
         rate: row.rate as u32,
-        asked: row.asked as u32,
+        asked: row.demand as u32,
         ..digest::TeamUse::default()
     });
     let endpoints = state.endpoints.borrow().zone_load(place.zone);
     let zone_use = digest::ZoneUse {
-        silent: summary.silent,
+        silent: summary.unresponsive,
         teams: teams.collect(),
         endpoints: endpoints.into_iter().map(tell_use).collect(),
     };
@@ -131,12 +131,12 @@
         incarnation: state.incarnation,
         sequence: state.next_digest(),
         zone: place.zone,
-        memory: place.memory,
+        memory: place.memory_mb,
         zone_use: Some(zone_use),
         ..Digest::default()
     };
     let bytes = digest.encode_to_vec();
-    let far = peers.heard_lately(now).filter(|peer| peers.is_far(peer));
+    let far = peers.recent(now).filter(|peer| peers.is_remote(peer));
     far.for_each(|peer| send_to(state, socket, peer, &bytes));
 }
 
@@ -165,12 +165,12 @@
 
 fn digest(state: &State, sequence: u64, whole: bool, left: &[u32], now: Instant) -> Digest {
     let quota = state.quota.borrow();
-    let teams = quota.tell(now).into_iter().map(|row| digest::TeamUse {
+    let teams = quota.team_uses(now).into_iter().map(|row| digest::TeamUse {
         team: row.team,
         units: row.units as u32,
         rate: row.rate as u32,
         total: row.total,
-        asked: row.asked as u32,
+        asked: row.demand as u32,
     });
     let table = state.endpoints.borrow();
     let busy = table.rows().iter().filter(|row| !row.in_flight.is_empty());
@@ -183,7 +183,7 @@
         number,
         counts: counts.iter().map(count).collect(),
     });
-    let demand = state.demand.borrow().tell(now);
+    let demand = state.demand.borrow().local_rates(now);
     let services = demand
         .into_iter()
         .map(|(service, work)| digest::ServiceWork {
@@ -192,18 +192,18 @@
             write: work.write as u32,
         });
     let others = if whole {
-        state.peers.borrow().lately(now)
+        state.peers.borrow().recent_addresses(now)
     } else {
         Vec::new()
     };
-    let place = state.peers.borrow().place();
+    let place = state.peers.borrow().own_location();
     let crashes = state.crashes.borrow();
     Digest {
         name: state.settings.name.to_string(),
         incarnation: state.incarnation,
         sequence,
         zone: place.zone,
-        memory: place.memory,
+        memory: place.memory_mb,
         news: None,
         zone_use: None,
         wall_ms: State::wall(),
@@ -219,14 +219,14 @@
         services: services.collect(),
         left: left.to_vec(),
         uptime_ms: state.started.elapsed().as_millis() as u64,
-        moves: state.rollouts.borrow().tell().map(tell_move).collect(),
+        moves: state.rollouts.borrow().reports().map(tell_move).collect(),
         crashes: crashes
-            .tell(whole, now)
+            .report(whole, now)
             .into_iter()
             .map(crash::tell)
             .collect(),
-        cleared: crashes.tell_cleared(now),
-        fixed: usage.tell_fixed(now).map(|report| UsageRecord {
+        cleared: crashes.report_cleared(now),
+        fixed: usage.advertised(now).map(|report| UsageRecord {
             number: report.window,
             counts: report.counts.to_string(),
         }),
@@ -243,8 +243,8 @@
     }
 }
 
-fn tell_limit((endpoint, said): (u32, Said), now: Instant) -> digest::EndpointLimit {
-    let age = now.saturating_duration_since(said.heard).as_millis();
+fn tell_limit((endpoint, said): (u32, AnnouncedLimit), now: Instant) -> digest::EndpointLimit {
+    let age = now.saturating_duration_since(said.at).as_millis();
     digest::EndpointLimit {
         endpoint,
         rate: said.rate.map(|rate| rate as f32),
@@ -262,7 +262,7 @@
         log::warn!("limit: what {name} tells of an endpoint is no rate.");
         return;
     }
-    let said = Said { rate, heard };
+    let said = AnnouncedLimit { rate, at: heard };
     if state
         .endpoints
         .borrow_mut()
@@ -272,19 +272,19 @@
     }
 }
 
-fn tell_contact(span: Span, now: Instant) -> digest::Contact {
+fn tell_contact(span: ReachableSpan, now: Instant) -> digest::Contact {
     let age = |at: Instant| now.saturating_duration_since(at).as_millis();
     let age = |at| u32::try_from(age(at)).unwrap_or(u32::MAX);
     digest::Contact {
         since_ms: age(span.since),
-        heard_ms: age(span.heard),
+        heard_ms: age(span.last_answer),
     }
 }
 
 /// Ends doubt about endpoints, or shortens it, if another daemon had the store while
 /// this one did not.
-fn end_doubt(state: &State, name: &str, span: Span, now: Instant) {
-    let Some(since) = state.contact.get().well_since(span) else {
+fn end_doubt(state: &State, name: &str, span: ReachableSpan, now: Instant) {
+    let Some(since) = state.contact.get().available_since(span) else {
         return;
     };
     let well = now.saturating_duration_since(since);
@@ -301,21 +301,21 @@
 }
 
 /// By this daemon's clock; `None` for what was before its host started.
-fn hear_contact(told: digest::Contact, now: Instant) -> Option<Span> {
+fn hear_contact(told: digest::Contact, now: Instant) -> Option<ReachableSpan> {
     let at = |age: u32| now.checked_sub(Duration::from_millis(age.into()));
-    Some(Span {
+    Some(ReachableSpan {
         since: at(told.since_ms)?,
-        heard: at(told.heard_ms)?,
+        last_answer: at(told.heard_ms)?,
     })
 }
 
-fn tell_move(word: Word) -> digest::Move {
-    let side = |side: Side| digest::Side {
-        all: side.all,
-        bad: side.bad,
-        time: side.time as f32,
+fn tell_move(word: MoveReport) -> digest::Move {
+    let side = |side: VersionCounts| digest::Side {
+        all: side.requests,
+        bad: side.failures,
+        time: side.time_s as f32,
     };
-    let seen = |((route, slot), sides): (Key, Sides)| digest::Seen {
+    let seen = |((route, slot), sides): (Key, Comparison)| digest::Seen {
         route,
         slot,
         old: Some(side(sides.old)),
@@ -333,16 +333,16 @@
         begin_ms: word.begin,
         finish_ms: word.finish,
         outcome: outcome.into(),
-        seen: word.sides.into_iter().map(seen).collect(),
+        seen: word.comparisons.into_iter().map(seen).collect(),
     }
 }
 
-fn hear_move(told: digest::Move) -> Word {
+fn hear_move(told: digest::Move) -> MoveReport {
     let side = |side: Option<digest::Side>| {
-        side.map_or(Side::default(), |side| Side {
-            all: side.all,
-            bad: side.bad,
-            time: f64::from(side.time),
+        side.map_or(VersionCounts::default(), |side| VersionCounts {
+            requests: side.all,
+            failures: side.bad,
+            time_s: f64::from(side.time),
         })
     };
     let outcome = match told.outcome() {
@@ -351,13 +351,13 @@
         digest::Outcome::RolledBack => Outcome::RolledBack,
     };
     let seen = |seen: digest::Seen| {
-        let sides = Sides {
+        let sides = Comparison {
             old: side(seen.old),
             new: side(seen.new),
         };
         ((seen.route, seen.slot), sides)
     };
-    Word {
+    MoveReport {
         order: Order {
             service: told.service.into(),
             target: told.target.into(),
@@ -366,7 +366,7 @@
         begin: told.begin_ms,
         finish: told.finish_ms,
         outcome,
-        sides: told.seen.into_iter().map(seen).collect(),
+        comparisons: told.seen.into_iter().map(seen).collect(),
     }
 }
 
@@ -378,21 +378,21 @@
     silent: Duration,
     now: Instant,
 ) {
-    let row = |row: &digest::TeamUse| ZoneUse {
+    let row = |row: &digest::TeamUse| TeamRates {
         team: row.team,
         rate: f64::from(row.rate),
-        asked: f64::from(row.asked),
+        demand: f64::from(row.asked),
     };
-    let mut uses: Vec<ZoneUse> = told.teams.iter().map(row).collect();
+    let mut uses: Vec<TeamRates> = told.teams.iter().map(row).collect();
     uses.sort_by_key(|row| row.team);
     let summary = ZoneSummary {
-        silent: told.silent,
-        uses,
+        unresponsive: told.silent,
+        teams: uses,
     };
     state
         .quota
         .borrow_mut()
-        .hear_zone(zone, summary, silent, now);
+        .merge_zone(zone, summary, silent, now);
     let uses = told.endpoints.iter().map(hear_use).collect();
     let mut table = state.endpoints.borrow_mut();
     table.apply_report(Reporter::Zone(zone), uses, now);
@@ -408,7 +408,7 @@
         );
         return;
     }
-    usage.hear_fixed(Report {
+    usage.merge_finalized(Report {
         window: told.number,
         counts: told.counts.into(),
     });
@@ -427,27 +427,27 @@
     let contact = digest.contact.and_then(|told| hear_contact(told, now));
     {
         let mut peers = state.peers.borrow_mut();
-        if !peers.hear(from, &name, digest.incarnation, digest.sequence, now) {
+        if !peers.record_digest(from, &name, digest.incarnation, digest.sequence, now) {
             return;
         }
         if let Some(told) = digest.zone_use {
-            let silent = peers.near_silent();
+            let silent = peers.local_timeout();
             drop(peers);
             return hear_zone(state, digest.zone, &told, silent, now);
         }
-        let place = Place {
+        let place = Location {
             zone: digest.zone,
-            memory: digest.memory,
+            memory_mb: digest.memory,
         };
-        peers.tell(from, place, contact);
+        peers.update(from, place, contact);
         for peer in digest.peers {
-            peers.learn(Ipv4Addr::from(peer), now);
+            peers.add(Ipv4Addr::from(peer), now);
         }
     }
     if let Some(span) = contact {
         end_doubt(state, &name, span, now);
     }
-    state.clock.borrow_mut().hear(&name, digest.wall_ms, now);
+    state.clock.borrow_mut().record(&name, digest.wall_ms, now);
     match digest.news.map(news::hear) {
         Some(Some(news)) => take_news(state, news, now),
         Some(None) => log::warn!("peers: news of {name} is not read."),
@@ -475,10 +475,10 @@
         };
         (row.service, work)
     });
-    state.demand.borrow_mut().hear(&name, work.collect(), now);
+    state.demand.borrow_mut().merge(&name, work.collect(), now);
     for told in digest.moves {
         let heard = hear_move(told);
-        if state.rollouts.borrow_mut().hear(&name, &heard) {
+        if state.rollouts.borrow_mut().merge(&name, &heard) {
             let order = &heard.order;
             log::info!(
                 "rollout: {} to version {} has ended, {name} tells.",
@@ -495,27 +495,27 @@
     for window in digest.windows {
         let row = |count: digest::Count| (CompactString::from(count.team), count.runs);
         let counts = window.counts.into_iter().map(row).collect();
-        usage.hear(window.number, (name.clone(), digest.incarnation), counts);
+        usage.merge(window.number, (name.clone(), digest.incarnation), counts);
     }
-    let row = |row: &digest::TeamUse| Use {
+    let row = |row: &digest::TeamUse| TeamUse {
         team: row.team,
         units: f64::from(row.units),
         total: row.total,
         rate: f64::from(row.rate),
-        asked: f64::from(row.asked),
+        demand: f64::from(row.asked),
     };
-    let mut uses: Vec<Use> = digest.teams.iter().map(row).collect();
+    let mut uses: Vec<TeamUse> = digest.teams.iter().map(row).collect();
     uses.sort_by_key(|row| row.team);
-    let told = Told {
+    let told = PeerReport {
         name,
         zone: digest.zone,
         incarnation: digest.incarnation,
-        heard: now,
+        received: now,
         started: now
             .checked_sub(Duration::from_millis(digest.uptime_ms))
             .unwrap_or(now),
         uses,
     };
-    let silent = state.peers.borrow().silent(told.zone);
-    state.quota.borrow_mut().hear(&told, silent);
+    let silent = state.peers.borrow().timeout(told.zone);
+    state.quota.borrow_mut().merge_report(&told, silent);
 }
--- a/lib/benches/routing.rs
+++ b/lib/benches/routing.rs
@@ -1,5 +1,5 @@
-//! Measures where work goes: ours against least loaded and round robin, on the
-//! same trace, quiet and with reclaims.
+//! Compares selection by cost with the least-loaded and round-robin baselines on
+//! the same traces, with and without reclaims.
 
 use poplarvale_lib::routing::Policy;
 use testutils::{Arrival, Reclaim, Scene, Speed, conversations, replay};
@@ -60,13 +60,14 @@
     table("hot late", &late, &both, &[]);
     table("reclaim", &SCENE, &plain, &wave);
     table("hot reclaim", &SCENE, &hot, &wave);
-    crowded();
-    lost();
+    overloaded();
+    lost_events();
 }
 
-/// More than four endpoints can do, through eight daemons that see the same room
-/// in reports of two seconds, late by two: what is answered in time must not fall.
-fn crowded() {
+/// More load than four endpoints can serve, through eight daemons that see the
+/// same headroom in reports sent every two seconds and two seconds late. The
+/// number of answers in time must not fall.
+fn overloaded() {
     let scene = Scene {
         endpoints: 1,
         every: 2.0,
@@ -79,9 +80,9 @@
     }
 }
 
-/// Tokens recomputed with one cache event in five lost against those with none
-/// lost, in small caches. Single seeds differ by a tenth, so there are many.
-fn lost() {
+/// Tokens recomputed with one cache event in five lost, compared with none lost,
+/// in small caches. Single seeds differ by a tenth, hence many seeds.
+fn lost_events() {
     let scene = Scene {
         zones: 3,
         endpoints: 4,
--- a/lib/src/relay/endpoint_table.rs
+++ b/lib/src/relay/endpoint_table.rs
@@ -13,13 +13,13 @@
 
 use compact_str::CompactString;
 
-use super::ended::Ended;
-use super::engine::{Pace, Speed};
-use super::evidence::Evidence;
-use super::limit::{Limit, Said, Sharers};
+use super::breaker::CircuitBreaker;
+use super::engine::{EngineSpeed, ServiceSpeed};
+use super::limit::{AnnouncedLimit, Limit, Sharers};
 use super::listing::Listing;
 use super::prefix_cache::PrefixCache;
-use super::quota::short;
+use super::quota::name_hash;
+use super::tombstones::Tombstones;
 use crate::{EndpointId, ServiceId, ZoneHash};
 
 /// How long an endpoint stays in use whose entry is missing after an outage of the
@@ -98,9 +98,9 @@
     /// Load from all other daemons.
     pub remote_load: Load,
     /// Learned speed.
-    pub speed: Speed,
+    pub speed: EngineSpeed,
     /// Evidence of failures.
-    pub evidence: Evidence,
+    pub evidence: CircuitBreaker,
     /// Prompt prefixes that it probably has in its KV cache.
     pub cache: PrefixCache,
     /// Until when it counts as full, after it reported to be so.
@@ -132,15 +132,15 @@
 pub struct EndpointTable {
     rows: Vec<Endpoint>,
     /// Learned speed of the engines of each service, sorted by service.
-    paces: Vec<(ServiceId, Pace)>,
+    paces: Vec<(ServiceId, ServiceSpeed)>,
     /// Speed of services for which none was learned yet.
-    default_pace: Pace,
+    default_pace: ServiceSpeed,
     /// Current load reports, sorted by reporter.
     reports: Vec<LoadReport>,
     /// Until when missing entries make their endpoints doubtful, after an outage.
     grace_until: Option<Instant>,
     /// Endpoints that left and have no row any more.
-    ended: Ended,
+    ended: Tombstones,
     /// Daemons that share the limits which endpoints state.
     sharers: Sharers,
 }
@@ -185,16 +185,17 @@
     }
 
     /// Learned speed of a service's engines.
-    pub fn pace(&self, service: &str) -> &Pace {
+    pub fn pace(&self, service: &str) -> &ServiceSpeed {
         match self.find_pace(service) {
             Ok(at) => &self.paces[at].1,
             Err(_) => &self.default_pace,
         }
     }
 
-    fn pace_mut(&mut self, service: &ServiceId) -> &mut Pace {
+    fn pace_mut(&mut self, service: &ServiceId) -> &mut ServiceSpeed {
         let at = self.find_pace(service).unwrap_or_else(|at| {
-            self.paces.insert(at, (service.clone(), Pace::default()));
+            self.paces
+                .insert(at, (service.clone(), ServiceSpeed::default()));
             at
         });
         &mut self.paces[at].1
@@ -268,7 +269,7 @@
             EndpointState::Ready
         };
         match self.find(&listing.id) {
-            Err(_) if self.ended.is_newer_than(&listing) => Changed::Nothing,
+            Err(_) if self.ended.is_outdated(&listing) => Changed::Nothing,
             Err(at) => {
                 let row = Endpoint::new(listing, state, &self.reports);
                 self.rows.insert(at, row);
@@ -374,7 +375,7 @@
         }
         let last = row.map(|row| &row.listing);
         let last = last.or_else(|| self.ended.last(&listing.id));
-        last.is_some_and(|last| listing.is_known_by(last))
+        last.is_some_and(|last| listing.is_redundant_to(last))
     }
 
     /// Applies a load report: load by hash of the endpoint's id. The report of a zone replaces
@@ -454,7 +455,7 @@
 
     /// Records the limit that an endpoint stated in an answer to this daemon; returns whether
     /// its rate differs from the one known before.
-    pub fn record_limit(&mut self, id: &str, said: Said) -> bool {
+    pub fn record_limit(&mut self, id: &str, said: AnnouncedLimit) -> bool {
         let Ok(at) = self.find(id) else {
             return false;
         };
@@ -464,11 +465,11 @@
 
     /// Merges an endpoint's limit that another daemon advertises; returns whether its rate
     /// differs from the one known before.
-    pub fn merge_limit(&mut self, endpoint: u32, said: Said) -> bool {
+    pub fn merge_limit(&mut self, endpoint: u32, said: AnnouncedLimit) -> bool {
         self.update_limit(endpoint, said, false)
     }
 
-    fn update_limit(&mut self, endpoint: u32, said: Said, is_own: bool) -> bool {
+    fn update_limit(&mut self, endpoint: u32, said: AnnouncedLimit, is_own: bool) -> bool {
         let mut rows = self.rows.iter_mut();
         let Some(row) = rows.find(|row| row.hash == endpoint) else {
             return false;
@@ -478,7 +479,7 @@
         if held.is_none() && said.rate.is_none() {
             return false;
         }
-        if let Some(limit) = Limit::hear(held, endpoint, said, is_own, &self.sharers) {
+        if let Some(limit) = Limit::merge(held, endpoint, said, is_own, &self.sharers) {
             row.limit = Some(limit);
         }
         before != row.limit.as_ref().and_then(Limit::rate)
@@ -486,8 +487,8 @@
 
     /// Limits that endpoints stated to this daemon and that it advertises to the others, by
     /// hash of the endpoint's id.
-    pub fn advertised_limits(&self, now: Instant) -> Vec<(u32, Said)> {
-        let advertised = |row: &Endpoint| Some((row.hash, row.limit.as_ref()?.tell(now)?));
+    pub fn advertised_limits(&self, now: Instant) -> Vec<(u32, AnnouncedLimit)> {
+        let advertised = |row: &Endpoint| Some((row.hash, row.limit.as_ref()?.report(now)?));
         self.rows.iter().filter_map(advertised).collect()
     }
 
@@ -498,7 +499,7 @@
         }
         for row in &mut self.rows {
             if let Some(limit) = &mut row.limit {
-                limit.divide(row.hash, &sharers, now);
+                limit.update_share(row.hash, &sharers, now);
             }
         }
         self.sharers = sharers;
@@ -544,12 +545,12 @@
     pub fn expire(&mut self, now: Instant) -> Vec<EndpointId> {
         let dropped = self.drop_doubtful(now);
         for row in &mut self.rows {
-            row.speed.fade();
+            row.speed.recover();
         }
         let is_over =
             |row: &Endpoint| row.state == EndpointState::Leaving && row.in_flight.is_empty();
         for row in self.rows.iter().filter(|row| is_over(row)) {
-            self.ended.note(row.listing.clone(), now);
+            self.ended.add(row.listing.clone(), now);
         }
         self.rows.retain(|row| !is_over(row));
         self.ended.expire(now);
@@ -600,15 +601,15 @@
 
 impl Endpoint {
     fn new(listing: Listing, state: EndpointState, reports: &[LoadReport]) -> Self {
-        let hash = short(&listing.id);
+        let hash = name_hash(&listing.id);
         Self {
             listing,
             hash,
             state,
             in_flight: Vec::new(),
             remote_load: reported_load(reports, hash),
-            speed: Speed::default(),
-            evidence: Evidence::default(),
+            speed: EngineSpeed::default(),
+            evidence: CircuitBreaker::default(),
             cache: PrefixCache::default(),
             full_until: None,
             limit: None,
@@ -617,7 +618,7 @@
 
     /// Whether it may get requests, whatever its load.
     pub fn is_usable(&self, now: Instant) -> bool {
-        self.state.is_in_use(now) && self.evidence.is_fit(now)
+        self.state.is_in_use(now) && self.evidence.allows_request(now)
     }
 
     /// Requests in progress, from all daemons.
@@ -649,7 +650,7 @@
 
     /// Records a request that is sent.
     pub fn add_request(&mut self, request: InFlight) {
-        self.evidence.sent();
+        self.evidence.record_sent();
         if let Some(limit) = &mut self.limit {
             limit.take(request.sent);
         }
--- a/lib/src/systems/dispatch.rs
+++ b/lib/src/systems/dispatch.rs
@@ -41,7 +41,7 @@
     let prompt = waiting.order.prompt.saturating_add(waiting.delivered);
     world
         .routing
-        .sent(now, &waiting.order.blocks, &row.id, prompt);
+        .record_prompt(now, &waiting.order.blocks, &row.id, prompt);
     let next = Attempt {
         id: attempt,
         endpoint,
--- a/lib/src/systems/intake.rs
+++ b/lib/src/systems/intake.rs
@@ -40,7 +40,7 @@
             Input::Gone(endpoint) => {
                 leaving::remove_endpoint(world, &endpoint);
             }
-            Input::Routing(event) => world.routing.take(now, event),
+            Input::Routing(event) => world.routing.apply(now, event),
             Input::FleetSize(count) => world.load.shares.set_expected(count),
             Input::PeerSeen(incarnation) => allowance::record_peer(world, now, incarnation),
             Input::PeerEnded(incarnation) => world.load.shares.remove_peer(incarnation),
@@ -69,7 +69,7 @@
     let old = world.endpoints.remove(&listed.id);
     let same = old.filter(|o| o.address == listed.address && o.version == listed.version);
     let endpoint = same.unwrap_or(Endpoint {
-        leaving: world.routing.notices.until(now, &listed.id),
+        leaving: world.routing.notices.gone_at(now, &listed.id),
         id: listed.id,
         service: listed.service,
         zone: listed.zone,
--- a/lib/src/systems/leaving.rs
+++ b/lib/src/systems/leaving.rs
@@ -13,13 +13,15 @@
 use crate::endpoint::Endpoint;
 use crate::ids::{EndpointId, RequestId};
 use crate::request::{Attempt, Idempotent, Request, Running};
-use crate::routing::{Ask, Carry, Pick, Policy, Stream, pick, plan, stays};
+use crate::routing::{
+    Criteria, Migration, Pick, Policy, Stream, ends_in_time, pick, plan_migration,
+};
 use crate::world::World;
 
 /// Records a notice that an endpoint is leaving. Of two notices the earlier time counts,
 /// so that new requests stop in time.
 pub(crate) fn add_notice(world: &mut World, now: Instant, endpoint: &EndpointId, until: Instant) {
-    world.routing.notices.note(now, endpoint, until);
+    world.routing.notices.record(now, endpoint, until);
     if let Some(endpoint) = world.endpoints.get_mut(endpoint) {
         let known = endpoint.leaving.unwrap_or(until);
         endpoint.leaving = Some(known.min(until));
@@ -56,8 +58,8 @@
     let duration = now.saturating_duration_since(sent);
     world
         .routing
-        .tails
-        .note(&order.service, &order.route, duration);
+        .latencies
+        .record(&order.service, &order.route, duration);
 }
 
 /// Moves streams away from the endpoints that are leaving.
@@ -89,7 +91,7 @@
         let Ok(at) = endpoints.binary_search_by(|e| e.id.cmp(&running.endpoint)) else {
             continue;
         };
-        if !stays(
+        if !ends_in_time(
             remaining_time(world, now, running),
             time_left(endpoints[at], now),
         ) {
@@ -117,9 +119,9 @@
         .filter_map(|(_, id)| stream(world, now, &endpoint, *id))
         .collect();
     let (export, queued) = exports(world, now, &endpoint.id);
-    let actions = plan(time_left(&endpoint, now), export, queued, &streams);
+    let actions = plan_migration(time_left(&endpoint, now), export, queued, &streams);
     for ((_, id), action) in overdue.iter().zip(actions) {
-        if action != Carry::Stay {
+        if action != Migration::Stay {
             move_stream(world, now, *id, action);
         }
     }
@@ -130,8 +132,8 @@
     let Some(seat) = world.routing.get(endpoint) else {
         return (0.0, 0.0);
     };
-    let rate = seat.load.last().export;
-    (rate, seat.exports.level(now, rate))
+    let rate = seat.load.last_report().export;
+    (rate, seat.export_backlog.level(now, rate))
 }
 
 fn stream(world: &mut World, now: Instant, from: &Endpoint, id: RequestId) -> Option<Stream> {
@@ -144,9 +146,9 @@
     let to = pick_other(world, now, &running);
     let cached = to.as_ref().map_or(0.0, |pick| pick.cached);
     Some(Stream {
-        rest,
-        cache,
-        again: (f64::from(cache) - cached).max(0.0) as u32,
+        remaining: rest,
+        cache_tokens: cache,
+        recompute: (f64::from(cache) - cached).max(0.0) as u32,
         movable: started && to.is_some_and(|to| takes_cache(world, from, &to.endpoint)),
     })
 }
@@ -158,11 +160,12 @@
         return Duration::ZERO;
     };
     if order.model.is_none() {
-        let tails = &world.routing.tails;
-        let until = tails.until(running.sent, &order.service, &order.route, order.deadline);
+        let latencies = &world.routing.latencies;
+        let until =
+            latencies.needed_until(running.sent, &order.service, &order.route, order.deadline);
         return until.saturating_duration_since(now);
     }
-    let report = seat.load.last();
+    let report = seat.load.last_report();
     let answer = f64::from(order.answer.saturating_sub(running.delivered));
     let prompt = match running.first {
         Some(_) => 0.0,
@@ -176,13 +179,13 @@
 
 fn pick_other(world: &mut World, now: Instant, running: &Running<Idempotent>) -> Option<Pick> {
     let waiting = running.clone().retry();
-    let ask = Ask {
+    let criteria = Criteria {
         filter: &world.filter_for(now, &waiting),
         waiting: &waiting,
-        most: world.setup.running,
+        max_running: world.setup.running,
         now,
     };
-    pick(&world.routing, &world.endpoints, &ask, &mut world.rng)
+    pick(&world.routing, &world.endpoints, &criteria, &mut world.rng)
 }
 
 /// Whether KV cache can be transferred from one endpoint to another: both support
@@ -191,7 +194,7 @@
 fn takes_cache(world: &World, from: &Endpoint, to: &EndpointId) -> bool {
     let can_export = |id| {
         let seat = world.routing.get(id);
-        seat.is_some_and(|seat| seat.load.last().export > 0.0)
+        seat.is_some_and(|seat| seat.load.last_report().export > 0.0)
     };
     let same = world
         .endpoints
@@ -202,7 +205,7 @@
 
 /// Moves a stream to another endpoint. While there is none it stays, since tokens that
 /// it still generates need not be computed elsewhere.
-fn move_stream(world: &mut World, now: Instant, id: RequestId, action: Carry) {
+fn move_stream(world: &mut World, now: Instant, id: RequestId, action: Migration) {
     let Some(Request::Idempotent(running)) = world.requests.get(&id).cloned() else {
         return;
     };
@@ -218,9 +221,9 @@
     };
     // A stream moved earlier in this tick may have used the capacity that the plan assumed.
     let size = running.order.prompt.saturating_add(running.delivered);
-    let moves = action == Carry::Move && takes_cache(world, &from, &row.id);
+    let moves = action == Migration::Move && takes_cache(world, &from, &row.id);
     if moves {
-        world.routing.exported(now, &from.id, size);
+        world.routing.record_export(now, &from.id, size);
     } else {
         world.commands.push(Command::Cancel(running.attempt));
     }
@@ -243,7 +246,7 @@
     let prompt = if moves { 0 } else { size };
     world
         .routing
-        .sent(now, &running.order.blocks, &row.id, prompt);
+        .record_prompt(now, &running.order.blocks, &row.id, prompt);
     shift_running(world, &from.id, &row.id);
     let continued = running.move_to(next);
     world.requests.insert(Request::Idempotent(continued));
