--- a/daemon/src/attempt.rs
+++ b/daemon/src/attempt.rs
@@ -76,7 +76,7 @@
             plain::run(&job, &send, call).await
         }
     };
-    if let Outcome::Broken { code } = &outcome {
+    if let Outcome::Failed { code } = &outcome {
         let id = hex(send.attempt);
         log::info!("attempt: {id} broke at {}: {}", send.endpoint, code.title());
     }
@@ -98,7 +98,7 @@
         {
             Outcome::Unsent(NotSent)
         }
-        _ => Outcome::Broken { code: Code::Broken },
+        _ => Outcome::Failed { code: Code::Broken },
     }
 }
 
@@ -108,5 +108,5 @@
         PieceError::Gap => Code::Broken,
         PieceError::Large => Code::LargeAnswer,
     };
-    Outcome::Broken { code }
+    Outcome::Failed { code }
 }
--- a/daemon/src/attempt/model.rs
+++ b/daemon/src/attempt/model.rs
@@ -46,12 +46,12 @@
         Err(error) => return failed(&error),
     };
     if !response.status().is_success() {
-        return Outcome::Broken { code: Code::Broken };
+        return Outcome::Failed { code: Code::Broken };
     }
     let mut events = response.eventsource();
     while let Some(event) = events.next().await {
         let Ok(event) = event else {
-            return Outcome::Broken { code: Code::Broken };
+            return Outcome::Failed { code: Code::Broken };
         };
         match take(job, send, &event) {
             Ok(Step::Whole) => return Outcome::Complete { status: 200 },
@@ -60,7 +60,7 @@
         }
     }
     // The connection closed before the end mark: the answer is not whole.
-    Outcome::Broken { code: Code::Broken }
+    Outcome::Failed { code: Code::Broken }
 }
 
 /// Adds an event to the answer, if it belongs to it.
@@ -69,10 +69,10 @@
         return if is_finished(job) {
             Ok(Step::Whole)
         } else {
-            Err(Outcome::Broken { code: Code::Broken })
+            Err(Outcome::Failed { code: Code::Broken })
         };
     }
-    let wrong = || Outcome::Broken {
+    let wrong = || Outcome::Failed {
         code: Code::WrongAnswer,
     };
     let (attempt, at) = event.id.split_once('-').ok_or_else(wrong)?;
--- a/daemon/src/attempt/plain.rs
+++ b/daemon/src/attempt/plain.rs
@@ -58,7 +58,7 @@
         Err(proof) => return Outcome::Unsent(proof),
     };
     let Ok(response) = connection.sender.send_request(request).await else {
-        return Outcome::Broken { code: Code::Broken };
+        return Outcome::Failed { code: Code::Broken };
     };
     take(job, send, response, call.most).await
 }
@@ -103,7 +103,7 @@
     let body = match Limited::new(body, most).collect().await {
         Ok(body) => body.to_bytes(),
         Err(error) => {
-            return Outcome::Broken {
+            return Outcome::Failed {
                 code: broken(&*error),
             };
         }
--- a/lib/src/input.rs
+++ b/lib/src/input.rs
@@ -83,7 +83,7 @@
     /// No byte was sent.
     Unsent(NotSent),
     /// The attempt failed after some bytes were sent.
-    Broken {
+    Failed {
         /// What failed.
         code: Code,
     },
--- a/lib/src/systems/intake.rs
+++ b/lib/src/systems/intake.rs
@@ -156,10 +156,10 @@
         (Request::NonIdempotent(running), Outcome::Unsent(proof)) => {
             retry::run(world, now, running.unsent(proof), Code::Refused, Ran::No);
         }
-        (Request::Idempotent(running), Outcome::Broken { code }) if !is_final(code) => {
+        (Request::Idempotent(running), Outcome::Failed { code }) if !is_final(code) => {
             retry::run(world, now, Running::retry(running), code, Ran::Unknown);
         }
-        (request, Outcome::Broken { code }) => {
+        (request, Outcome::Failed { code }) => {
             world.requests.insert(request);
             let ending = Ending::Failed {
                 code,
--- a/lib/src/systems/leaving.rs
+++ b/lib/src/systems/leaving.rs
@@ -129,26 +129,26 @@
 
 /// Rate at which an endpoint exports KV cache, and the exports that are queued already.
 fn exports(world: &World, now: Instant, endpoint: &EndpointId) -> (f64, f64) {
-    let Some(seat) = world.routing.get(endpoint) else {
+    let Some(info) = world.routing.get(endpoint) else {
         return (0.0, 0.0);
     };
-    let rate = seat.load.last_report().export;
-    (rate, seat.export_backlog.level(now, rate))
+    let rate = info.load.last_report().export;
+    (rate, info.export_backlog.level(now, rate))
 }
 
 fn stream(world: &mut World, now: Instant, from: &Endpoint, id: RequestId) -> Option<Stream> {
     let Some(Request::Idempotent(running)) = world.requests.get(&id).cloned() else {
         return None;
     };
-    let rest = remaining_time(world, now, &running);
-    let cache = running.order.prompt.saturating_add(running.delivered);
+    let remaining = remaining_time(world, now, &running);
+    let cache_tokens = running.order.prompt.saturating_add(running.delivered);
     let started = running.first.is_some();
     let to = pick_other(world, now, &running);
     let cached = to.as_ref().map_or(0.0, |pick| pick.cached);
     Some(Stream {
-        remaining: rest,
-        cache_tokens: cache,
-        recompute: (f64::from(cache) - cached).max(0.0) as u32,
+        remaining,
+        cache_tokens,
+        recompute: (f64::from(cache_tokens) - cached).max(0.0) as u32,
         movable: started && to.is_some_and(|to| takes_cache(world, from, &to.endpoint)),
     })
 }
@@ -156,7 +156,7 @@
 /// Upper estimate of the time that a request still runs.
 fn remaining_time(world: &World, now: Instant, running: &Running<Idempotent>) -> Duration {
     let order = &running.order;
-    let Some(seat) = world.routing.get(&running.endpoint) else {
+    let Some(info) = world.routing.get(&running.endpoint) else {
         return Duration::ZERO;
     };
     if order.model.is_none() {
@@ -165,11 +165,11 @@
             latencies.needed_until(running.sent, &order.service, &order.route, order.deadline);
         return until.saturating_duration_since(now);
     }
-    let report = seat.load.last_report();
+    let report = info.load.last_report();
     let answer = f64::from(order.answer.saturating_sub(running.delivered));
     let prompt = match running.first {
         Some(_) => 0.0,
-        None => f64::from(order.prompt) + seat.load.pending(now),
+        None => f64::from(order.prompt) + info.load.pending(now),
     };
     let seconds = answer / report.decode.max(1.0) + prompt / report.prefill.max(1.0);
     // A load report may contain any number; one too large for a duration must not
@@ -193,8 +193,8 @@
 /// versions.
 fn takes_cache(world: &World, from: &Endpoint, to: &EndpointId) -> bool {
     let can_export = |id| {
-        let seat = world.routing.get(id);
-        seat.is_some_and(|seat| seat.load.last_report().export > 0.0)
+        let info = world.routing.get(id);
+        info.is_some_and(|info| info.load.last_report().export > 0.0)
     };
     let same = world
         .endpoints
--- a/lib/src/systems/versions.rs
+++ b/lib/src/systems/versions.rs
@@ -242,7 +242,7 @@
 ) {
     match outcome {
         Outcome::Complete { status } => record(world, now, request, *status < 500),
-        Outcome::Broken { .. } => record(world, now, request, false),
+        Outcome::Failed { .. } => record(world, now, request, false),
         Outcome::Unsent(_) => {}
     }
 }
--- a/lib/tests/test_load_schedules.rs
+++ b/lib/tests/test_load_schedules.rs
@@ -158,7 +158,7 @@
             0..3 => Outcome::Complete { status: 200 },
             3 => Outcome::Complete { status: 500 },
             4 => Outcome::Unsent(NotSent),
-            _ => Outcome::Broken { code: Code::Broken },
+            _ => Outcome::Failed { code: Code::Broken },
         };
         if how == 4 {
             let record = &mut self.records[request as u64 as usize];
--- a/lib/tests/test_moves.rs
+++ b/lib/tests/test_moves.rs
@@ -573,7 +573,7 @@
                     endpoint: endpoint.clone(),
                     until,
                 },
-                ended(Outcome::Broken { code }),
+                ended(Outcome::Failed { code }),
             ]);
             // The retry ends well; if it ran for ever, its endpoint would look as
             // if it hung.
--- a/lib/tests/test_routing_leaving.rs
+++ b/lib/tests/test_routing_leaving.rs
@@ -380,7 +380,7 @@
             }
             Action::Whole(at) => self.end(at, Outcome::Complete { status: 200 }),
             Action::Unsent(at) => self.end(at, Outcome::Unsent(NotSent)),
-            Action::Broken(at) => self.end(at, Outcome::Broken { code: Code::Broken }),
+            Action::Broken(at) => self.end(at, Outcome::Failed { code: Code::Broken }),
             Action::Leaving(at, seconds) => {
                 self.noticed.insert(name(at));
                 Some(leaving(&name(at), now + Duration::from_secs(seconds)))
--- a/lib/tests/traces/driver.rs
+++ b/lib/tests/traces/driver.rs
@@ -300,7 +300,7 @@
         let (attempt, request) = self.sendings.swap_remove(at);
         let outcome = match done.result {
             Result::Whole => Outcome::Complete { status: 200 },
-            Result::Broken => Outcome::Broken { code: Code::Broken },
+            Result::Broken => Outcome::Failed { code: Code::Broken },
             Result::Refused => Outcome::Unsent(NotSent),
         };
         let daemon = (issuer(attempt) - INCARNATION) as usize;
--- a/lib/testutils/src/replay.rs
+++ b/lib/testutils/src/replay.rs
@@ -312,7 +312,7 @@
         for attempt in self.stands[at].engine.attempts() {
             self.stands[at].engine.cancel(attempt);
             self.out.broken += 1;
-            self.end(attempt, Outcome::Broken { code: Code::Broken });
+            self.end(attempt, Outcome::Failed { code: Code::Broken });
         }
         self.tell(&Input::Gone(self.stands[at].id.clone()));
     }
