--- a/daemon/src/relay/caller.rs
+++ b/daemon/src/relay/caller.rs
@@ -13,8 +13,8 @@
 use tokio::net::tcp::{ReadHalf, WriteHalf};
 use tokio::time::{Instant, timeout_at};
 
-use super::serve::{After, SOON, serve};
-use super::state::{Active, State};
+use super::serve::{Connection, RETRY_SOON, serve};
+use super::state::{ActiveRequest, State};
 use super::wire::fill;
 
 /// Bytes of further requests that are read while one is served.
@@ -37,10 +37,10 @@
             return;
         }
         // Counted from its first byte: a daemon that ends waits for what is still read.
-        let _active = Active::new(&state);
+        let _active = ActiveRequest::new(&state);
         match next(&state, &mut read, &mut write, &mut buffer).await {
-            Some(After::Keep) => {}
-            Some(After::Close) => return close(read, write).await,
+            Some(Connection::KeepAlive) => {}
+            Some(Connection::Close) => return close(read, write).await,
             None => return,
         }
     }
@@ -56,7 +56,7 @@
 ) -> bool {
     while buffer.is_empty() {
         let limit = limits(state).idle_timeout;
-        let until = state.life().idle_deadline(idle.into_std(), limit);
+        let until = state.phase().idle_deadline(idle.into_std(), limit);
         tokio::select! {
             biased;
             more = timeout_at(until.into(), fill(read, buffer)) => match more {
@@ -64,7 +64,7 @@
                 _ => return false,
             },
             // The limit is sooner once the daemon is told to end.
-            () = state.turned() => {}
+            () = state.phase_changed() => {}
         }
     }
     true
@@ -76,7 +76,7 @@
     read: &mut ReadHalf<'_>,
     write: &mut WriteHalf<'_>,
     buffer: &mut BytesMut,
-) -> Option<After> {
+) -> Option<Connection> {
     let limits = limits(state);
     let request = match read_head(state, read, buffer, &limits).await? {
         Ok(request) => request,
@@ -99,7 +99,7 @@
     let body = tokio::select! {
         biased;
         body = read_body(read, buffer, request.framing, &limits) => body?,
-        () = state.closing() => Err(Code::Draining),
+        () = state.until_closing() => Err(Code::Draining),
     };
     let body = match body {
         Ok(body) => body,
@@ -141,16 +141,16 @@
             Err(HeadError::TooLarge) => return Some(Err(Code::LargeHead)),
             Err(HeadError::Malformed | HeadError::Framing) => return Some(Err(Code::BadBody)),
         }
-        let until = state.life().read_deadline(slow.into_std());
+        let until = state.phase().read_deadline(slow.into_std());
         tokio::select! {
             biased;
             more = timeout_at(until.into(), fill(read, buffer)) => match more {
                 Ok(Ok(len)) if len > 0 => {}
                 Ok(_) => return None,
-                Err(_) if state.life().is_closing() => return Some(Err(Code::Draining)),
+                Err(_) if state.phase().is_closing() => return Some(Err(Code::Draining)),
                 Err(_) => return Some(Err(Code::SlowBody)),
             },
-            () = state.turned() => {}
+            () = state.phase_changed() => {}
         }
     }
 }
@@ -207,13 +207,13 @@
 
 /// Refuses what cannot be understood, or is not read any further. Where the next request
 /// begins is not known, so the connection ends.
-async fn reject(write: &mut WriteHalf<'_>, code: Code, id: Option<&str>) -> After {
-    let again = (code == Code::Draining).then_some(SOON);
+async fn reject(write: &mut WriteHalf<'_>, code: Code, id: Option<&str>) -> Connection {
+    let again = (code == Code::Draining).then_some(RETRY_SOON);
     let out = refusal(code, Ran::No, id, again, false);
     if let Err(error) = write.write_all(&out).await {
         log::debug!("caller: refusal not sent, {error}.");
     }
-    After::Close
+    Connection::Close
 }
 
 /// Closes a connection in order: says that nothing more is written, and reads on for a
