--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decisions and coordination parts of poplarvale.
+//! Decision and coordination logic of poplarvale.
 //!
-//! The crate holds no socket, no clock and no terminal: times, randomness and
-//! what happened outside are arguments. Daemons drive it through
-//! [`World::tick`]; other programs can embed its parts one by one.
+//! The crate does no I/O and reads no clock: times, random seeds and external events are
+//! passed in as arguments. Daemons drive it through [`World::tick`]; other programs can
+//! use its modules separately.
 
 pub mod claims;
 mod code;
@@ -35,9 +35,11 @@
 pub use dump::TABLES;
 pub use endpoint::Endpoint;
 pub use ids::*;
-pub use input::{Input, Known, Outcome};
-pub use lists::{Accepted, Customer, Lists, MOST_PRIORITY, MOST_ROWS, Mistake, Plan, is_id};
-pub use request::{Ending, NotSent, Once, Order, Repeatable, Request, Running, Sending, Waiting};
+pub use input::{Input, ListedEndpoint, Outcome};
+pub use lists::{Accepted, Customer, Lists, MAX_PRIORITY, MAX_ROWS, Plan, ValidationError, is_id};
+pub use request::{
+    Attempt, Ending, Idempotent, NonIdempotent, NotSent, Order, Request, Running, Waiting,
+};
 pub use settings::{
     Credentials, Limits, ListFiles, Logs, Platform, Route, Service, ServiceKind, Settings,
     SettingsError,
--- a/lib/src/routing/pick.rs
+++ b/lib/src/routing/pick.rs
@@ -120,7 +120,7 @@
 ) -> Vec<Candidate<'a>> {
     let waiting = criteria.waiting;
     let order = &waiting.order;
-    let needed_until = (!order.repeatable).then(|| {
+    let needed_until = (!order.idempotent).then(|| {
         view.latencies
             .needed_until(criteria.now, &order.service, &order.route, order.deadline)
     });
@@ -132,7 +132,7 @@
         let (Some(endpoint), Some(info)) = (rows.get(at), infos.get(at)) else {
             continue;
         };
-        if endpoint.takes(criteria.now)
+        if endpoint.accepts(criteria.now)
             && endpoint.running < criteria.max_running
             && outlives(info, needed_until)
             && !waiting.failed.contains(&endpoint.id)
