--- a/daemon/src/claims.rs
+++ b/daemon/src/claims.rs
@@ -256,7 +256,7 @@
 /// What a request's ending means to its claim.
 fn end(view: &View) -> RunResult {
     match &view.ending {
-        Some(Ending::Whole { status }) => RunResult::Answered(kept(*status, view)),
+        Some(Ending::Complete { status }) => RunResult::Answered(kept(*status, view)),
         Some(Ending::Failed { ran: Ran::No, .. }) => RunResult::Unsent,
         _ => RunResult::Unknown,
     }
--- a/lib/src/dump.rs
+++ b/lib/src/dump.rs
@@ -1,7 +1,7 @@
-//! The tables of a process as JSON, for people who look into it.
+//! The tables of a process as JSON, for debugging by operators.
 //!
-//! Moments are shown as milliseconds from now, since a monotonic clock means
-//! nothing outside its process.
+//! Points in time are written as milliseconds relative to now, since a monotonic clock
+//! has no meaning outside its process.
 
 use std::time::Instant;
 
@@ -75,7 +75,7 @@
     serde_json::to_value(row).unwrap_or(Value::Null)
 }
 
-/// Milliseconds from now; below zero if it has passed.
+/// Milliseconds relative to now; negative for times in the past.
 fn millis(at: Instant, now: Instant) -> i64 {
     match at.checked_duration_since(now) {
         Some(ahead) => ahead.as_millis() as i64,
@@ -102,7 +102,7 @@
         "version": row.version,
         "running": row.running,
         "leaving_ms": row.leaving.map(|at| millis(at, now)),
-        "shunned_ms": row.shunned.map(|at| millis(at, now)),
+        "shunned_ms": row.ejected_until.map(|at| millis(at, now)),
         "failures": row.failures,
     })
 }
@@ -113,8 +113,8 @@
         Request::Waiting(r) => json!({
             "state": "waiting", "tries": r.tries, "delivered": r.delivered, "failed": r.failed,
         }),
-        Request::Repeatable(r) => running(r, now),
-        Request::Once(r) => running(r, now),
+        Request::Idempotent(r) => running(r, now),
+        Request::NonIdempotent(r) => running(r, now),
     };
     if let (Value::Object(all), Value::Object(state)) = (&mut value, state) {
         all.extend(state);
@@ -128,7 +128,7 @@
         "customer": order.customer,
         "service": order.service,
         "route": order.route,
-        "repeatable": order.repeatable,
+        "repeatable": order.idempotent,
         "prompt": order.prompt,
         "answer": order.answer,
         "arrived_ms": millis(order.arrived, now),
--- a/lib/src/systems.rs
+++ b/lib/src/systems.rs
@@ -1,13 +1,14 @@
-//! Systems: each walks the tables once a tick and makes one kind of decision.
+//! Systems, in the sense of an entity-component-system design: functions that run over the tables
+//! of the [`World`](crate::world::World) once per tick, each making one kind of decision.
 
 pub(crate) mod admit;
 pub mod allowance;
 pub(crate) mod choose;
+pub(crate) mod dispatch;
 pub(crate) mod expire;
 pub(crate) mod health;
 pub(crate) mod intake;
 pub(crate) mod leaving;
-pub mod moving;
 pub(crate) mod queue;
 pub(crate) mod retry;
-pub(crate) mod route;
+pub mod versions;
--- a/lib/tests/test_moves.rs
+++ b/lib/tests/test_moves.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use poplarvale_lib::Code;
-use poplarvale_lib::lease::{Beat, Lease, MARGIN, Permit, Pulse, TICK};
+use poplarvale_lib::lease::{Lease, MARGIN, PauseDetector, Permit, TICK, TickTiming};
 use poplarvale_lib::moves::ask::{Ask, Fleet, ask, cancel};
 use poplarvale_lib::moves::stages::{LAST_STAGE, Scale, due, endpoint_counts, shares};
 use poplarvale_lib::moves::{Counter, FULL_SHARE, Record, status};
@@ -232,11 +232,14 @@
 /// time has passed and would act on outdated state.
 #[test]
 fn a_late_tick_is_a_pause_and_so_is_the_first() {
-    let mut pulse = Pulse::new();
+    let mut pauses = PauseDetector::new();
     let now = Instant::now();
-    assert_eq!(pulse.beat(now), Beat::Paused);
-    assert_eq!(pulse.beat(now + TICK), Beat::Steady);
-    assert_eq!(pulse.beat(now + Duration::from_secs(5)), Beat::Paused);
+    assert_eq!(pauses.tick(now), TickTiming::Paused);
+    assert_eq!(pauses.tick(now + TICK), TickTiming::OnTime);
+    assert_eq!(
+        pauses.tick(now + Duration::from_secs(5)),
+        TickTiming::Paused
+    );
 }
 
 proptest! {
@@ -285,11 +288,11 @@
     use std::time::{Duration, Instant};
 
     use poplarvale_lib::moves::{
-        Event, FULL_SHARE, Reach, Record, Source, Stored, Verdict, Watch, stages,
+        ClusterView, Event, FULL_SHARE, Reach, Record, Source, Stored, Verdict, stages,
     };
     use poplarvale_lib::{
-        Accepted, Code, Command, Customer, Endpoint, Input, Known, Lists, Order, Outcome, Plan,
-        Send, Setup, Waiting, World,
+        Accepted, Code, Command, Customer, Endpoint, Input, ListedEndpoint, Lists, Order, Outcome,
+        Plan, Send, Setup, Waiting, World,
     };
 
     const WALL: u64 = 1_000_000_000;
@@ -317,7 +320,7 @@
                 count: 0,
                 unserved: 0,
             };
-            let watch = Watch {
+            let cluster = ClusterView {
                 at: harness.now,
                 wall: WALL,
                 reach: Reach { live: 1, heard: 1 },
@@ -328,7 +331,7 @@
             };
             let mut inputs = vec![
                 Input::Lists(lists()),
-                Input::Watch(watch),
+                Input::ClusterView(cluster),
                 event(Event::Record(stored)),
             ];
             inputs.extend((0..10).map(|n| known(n, "v1")));
@@ -351,7 +354,7 @@
                 service: "booking".into(),
                 route: "GET /lessons".into(),
                 model: None,
-                repeatable: true,
+                idempotent: true,
                 blocks: Vec::new(),
                 prompt: 1,
                 answer: 0,
@@ -366,7 +369,7 @@
             let order = self.order();
             let id = order.id;
             let commands = self.tick(vec![Input::Arrived(order.clone())]);
-            let filter = self.world.open_to(self.now, &Waiting::new(order));
+            let filter = self.world.filter_for(self.now, &Waiting::new(order));
             let open = self.world.endpoints.iter().filter(|e| filter.allows(e));
             let open: Vec<_> = open.collect();
             self.unserved += u32::from(open.is_empty());
@@ -376,7 +379,7 @@
                     self.tick(vec![Input::Ended {
                         attempt,
                         request: id,
-                        outcome: Outcome::Whole { status },
+                        outcome: Outcome::Complete { status },
                     }]);
                 }
             }
@@ -406,7 +409,7 @@
     }
 
     fn known(n: u8, version: &str) -> Input {
-        Input::Endpoint(Known {
+        Input::Endpoint(ListedEndpoint {
             id: format!("e{n}").into(),
             service: "booking".into(),
             zone: "hanko".into(),
@@ -502,7 +505,7 @@
         let gone = (0..10).map(|n| Input::Gone(format!("e{n}").into()));
         harness.tick(gone.chain([known(30, "v3")]).collect());
         let waiting = Waiting::new(harness.order());
-        let filter = harness.world.open_to(harness.now, &waiting);
+        let filter = harness.world.filter_for(harness.now, &waiting);
         let open = harness.world.endpoints.iter().filter(|e| filter.allows(e));
         let open: Vec<_> = open.map(|e| e.id.as_str()).collect();
         assert_eq!(open, ["e30"]);
@@ -560,7 +563,7 @@
             };
             let row = harness.world.endpoints.get(&endpoint).cloned();
             if !row.as_ref().is_some_and(is_new) {
-                harness.tick(vec![ended(Outcome::Whole { status: 200 })]);
+                harness.tick(vec![ended(Outcome::Complete { status: 200 })]);
                 continue;
             }
             let until = harness.now + Duration::from_secs(20);
@@ -570,7 +573,7 @@
                     endpoint: endpoint.clone(),
                     until,
                 },
-                ended(Outcome::Broken { code }),
+                ended(Outcome::Failed { code }),
             ]);
             // The retry ends well; if it ran for ever, its endpoint would look as
             // if it hung.
@@ -578,7 +581,7 @@
                 harness.tick(vec![Input::Ended {
                     attempt: again.attempt,
                     request,
-                    outcome: Outcome::Whole { status: 200 },
+                    outcome: Outcome::Complete { status: 200 },
                 }]);
             }
             let n = endpoint
