--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -30,6 +30,6 @@
 
 pub use answer::{Answer, Head, PieceError, View};
 pub use logs::start as start_logs;
-pub use relay::{Relay, RelayError, run_relay, start_trail};
+pub use relay::{Relay, RelayError, run_relay, start_logging};
 pub use run::{RunError, run};
 pub use start::{StartError, read_settings};
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -53,7 +53,7 @@
         eprintln!("give --settings FILE, or set {variable} to the platform's settings file");
         return ExitCode::from(2);
     };
-    poplarvaled::start_trail("info");
+    poplarvaled::start_logging("info");
     match poplarvaled::run_relay(&PathBuf::from(path)).await {
         Ok(()) => ExitCode::SUCCESS,
         Err(report) => {
--- a/daemon/src/relay.rs
+++ b/daemon/src/relay.rs
@@ -1,11 +1,10 @@
-//! Relays callers' requests to endpoints, on a platform that keeps the
-//! configuration and the list of endpoints.
+//! Relays callers' requests to endpoints, on a platform that stores the configuration and the
+//! registry of endpoints.
 //!
-//! One thread runs everything: the daemon has a quarter of a core, and handing
-//! requests between threads would cost wake-ups and locks. A caller's connection
-//! is one task that also carries its request's exchange with an endpoint, so when
-//! the caller leaves, the task drops the endpoint's connection and with it the
-//! work there.
+//! One thread runs everything: the daemon has a quarter of a CPU core, and passing requests
+//! between threads would cost wake-ups and locks. Each caller connection is one task, which also
+//! runs the exchange of its request with an endpoint. So when the caller disconnects, the task
+//! drops the connection to the endpoint, which cancels the work there.
 
 mod attempt;
 mod caller;
@@ -16,6 +15,7 @@
 mod duties;
 mod era;
 mod exchange;
+mod logging;
 mod metrics;
 mod peers;
 mod probe;
@@ -25,10 +25,9 @@
 mod state;
 mod status;
 mod stream;
-mod trail;
 mod upstream;
 mod watch;
 mod wire;
 
+pub use logging::start as start_logging;
 pub use run::{Relay, RelayError, run as run_relay};
-pub use trail::start as start_trail;
--- a/daemon/src/relay/attempt.rs
+++ b/daemon/src/relay/attempt.rs
@@ -131,7 +131,7 @@
     note_limit(state, &endpoint, &answer, sent_at);
     if answer.said.not_run {
         booked.note(|row| row.full_until = Some(Std::now() + FULL));
-        state.measure(|metrics| metrics.sent("not run"));
+        state.measure(|metrics| metrics.record_attempt("not run"));
         log::info!(
             request = job.head.id.as_str(), endpoint = choice.id.as_str(),
             status = answer.head.status; "send: not run there."
@@ -151,7 +151,7 @@
                 first = Some(now);
                 let mut table = state.endpoints.borrow_mut();
                 table.record_first_event(&choice.id, number, now);
-                state.measure(|metrics| metrics.first(job.arrived.elapsed()));
+                state.measure(|metrics| metrics.record_first_event(job.arrived.elapsed()));
                 state.count_run(team, now);
             }
         };
@@ -192,7 +192,7 @@
             keep(state, address, wire, &answer);
         }
         _ => {
-            state.measure(|metrics| metrics.sent("answered"));
+            state.measure(|metrics| metrics.record_attempt("answered"));
             booked.note(|row| row.evidence.record_success());
             keep(state, address, wire, &answer);
         }
@@ -245,7 +245,7 @@
             let mut table = state.endpoints.borrow_mut();
             let row = table.get_mut(&choice.id);
             let out = row.is_some_and(|row| row.evidence.record_connect_failure(Std::now()));
-            state.measure(|metrics| metrics.sent("not connected"));
+            state.measure(|metrics| metrics.record_attempt("not connected"));
             log::info!(
                 request = job.head.id.as_str(), endpoint = choice.id.as_str(), left_out = out;
                 "send: not connected, {error}."
@@ -369,7 +369,7 @@
     let state = &booked.state;
     let mut out = false;
     booked.note(|row| out = row.evidence.record_failure(Std::now()));
-    state.measure(|metrics| metrics.sent("failed"));
+    state.measure(|metrics| metrics.record_attempt("failed"));
     log::info!(
         request = job.head.id.as_str(), endpoint = endpoint.id.as_str(), kept, left_out = out,
         after_ms = job.arrived.elapsed().as_millis() as u64,
--- a/daemon/src/relay/crash.rs
+++ b/daemon/src/relay/crash.rs
@@ -147,7 +147,7 @@
                 content:% = format_args!("{content:016x}");
                 "crash: request quarantined, {source} tells."
             );
-            state.measure(Metrics::quarantined);
+            state.measure(Metrics::record_quarantine);
             state.quarantined.notify_one();
         }
     }
--- a/daemon/src/relay/dispatch.rs
+++ b/daemon/src/relay/dispatch.rs
@@ -203,7 +203,7 @@
             "serve: cut off in the middle of a stream."
         );
         let code = Code::Broken.number();
-        state.measure(|metrics| metrics.ended(&job.route.name, code, Duration::ZERO));
+        state.measure(|metrics| metrics.record_request(&job.route.name, code, Duration::ZERO));
         After::Close
     }
 }
@@ -271,9 +271,9 @@
 /// second otherwise.
 fn told(state: &State, job: &Job<'_>, endpoint: &str, status: u16, sends: u32) {
     let took = job.arrived.elapsed();
-    state.measure(|metrics| metrics.ended(&job.route.name, 0, took));
+    state.measure(|metrics| metrics.record_request(&job.route.name, 0, took));
     let late = !job.route.retry_policy.is_stream() && took > job.route.target;
-    if status < FAILED && !late && !state.sampler.lets(Std::now()) {
+    if status < FAILED && !late && !state.sampler.allows(Std::now()) {
         return;
     }
     log::info!(
--- a/daemon/src/relay/metrics.rs
+++ b/daemon/src/relay/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of a relaying daemon, shown on a Prometheus page.
+//! Counters and histograms of a relaying daemon, served as a Prometheus page.
 
 use std::time::Duration;
 
@@ -7,50 +7,53 @@
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Encoder as _, Registry, TextEncoder};
 
-use super::trail;
+use super::logging;
 use crate::metrics::provider;
 
-/// Bounds of the latency histograms, in seconds; the targets of the routes lie
+/// Bucket boundaries of the latency histograms, in seconds; the latency targets of the routes are
 /// between 0.1 and 1.5.
-const BOUNDS: [f64; 12] = [
+const LATENCY_BUCKETS_S: [f64; 12] = [
     0.02, 0.05, 0.1, 0.15, 0.25, 0.5, 0.75, 1.0, 1.5, 3.0, 6.0, 15.0,
 ];
 
-/// The instruments.
+/// Metric instruments of a relaying daemon.
 #[derive(Debug)]
 pub(crate) struct Metrics {
     registry: Registry,
     requests: Counter<u64>,
-    sendings: Counter<u64>,
+    attempts: Counter<u64>,
     calls: Counter<u64>,
     quarantined: Counter<u64>,
-    first: Histogram<f64>,
-    whole: Histogram<f64>,
-    /// Ends with the instruments.
+    first_event: Histogram<f64>,
+    duration: Histogram<f64>,
+    /// Kept so that it lives as long as the instruments.
     _provider: SdkMeterProvider,
 }
 
 impl Metrics {
-    /// Instruments that count from zero; `None`, with a log line, if the exporter
-    /// refuses its registry.
+    /// Creates instruments that count from zero; `None`, with a log line, if the exporter rejects
+    /// its registry.
     pub(crate) fn new() -> Option<Self> {
         let (registry, provider) = match provider() {
             Ok(both) => both,
             Err(error) => {
-                log::warn!("metrics: none are kept, {error}.");
+                log::warn!("metrics: not collected, the exporter did not start, {error}.");
                 return None;
             }
         };
         let meter = provider.meter("poplarvale");
-        let counter = |name: &'static str, about: &'static str| {
-            meter.u64_counter(name).with_description(about).build()
+        let counter = |name: &'static str, description: &'static str| {
+            meter
+                .u64_counter(name)
+                .with_description(description)
+                .build()
         };
-        let seconds = |name: &'static str, about: &'static str| {
+        let histogram = |name: &'static str, description: &'static str| {
             meter
                 .f64_histogram(name)
-                .with_description(about)
+                .with_description(description)
                 .with_unit("s")
-                .with_boundaries(BOUNDS.to_vec())
+                .with_boundaries(LATENCY_BUCKETS_S.to_vec())
                 .build()
         };
         Some(Self {
@@ -58,7 +61,7 @@
                 "poplarvale_relay_requests",
                 "Requests that ended, by route and result code (0: an endpoint's answer)",
             ),
-            sendings: counter(
+            attempts: counter(
                 "poplarvale_relay_sendings",
                 "Sendings to endpoints, by how they ended",
             ),
@@ -70,11 +73,11 @@
                 "poplarvale_relay_quarantined",
                 "Requests that were quarantined because endpoints ended under them",
             ),
-            first: seconds(
+            first_event: histogram(
                 "poplarvale_relay_first",
                 "Time from a request's head to its first event or answer",
             ),
-            whole: seconds(
+            duration: histogram(
                 "poplarvale_relay_whole",
                 "Time from a request's head to the end of its answer",
             ),
@@ -83,30 +86,35 @@
         })
     }
 
-    pub(crate) fn ended(&self, route: &str, code: u32, took: Duration) {
+    /// Records a finished request; a code of 0 means that an endpoint answered it.
+    pub(crate) fn record_request(&self, route: &str, code: u32, elapsed: Duration) {
         let labels = [
             KeyValue::new("route", route.to_owned()),
             KeyValue::new("code", i64::from(code)),
         ];
         self.requests.add(1, &labels);
         if code == 0 {
-            self.whole.record(took.as_secs_f64(), &[]);
+            self.duration.record(elapsed.as_secs_f64(), &[]);
         }
     }
 
-    pub(crate) fn sent(&self, outcome: &'static str) {
-        self.sendings.add(1, &[KeyValue::new("outcome", outcome)]);
+    /// Records the outcome of an attempt.
+    pub(crate) fn record_attempt(&self, outcome: &'static str) {
+        self.attempts.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
-    pub(crate) fn quarantined(&self) {
+    /// Records that a request was quarantined.
+    pub(crate) fn record_quarantine(&self) {
         self.quarantined.add(1, &[]);
     }
 
-    pub(crate) fn first(&self, took: Duration) {
-        self.first.record(took.as_secs_f64(), &[]);
+    /// Records the time until the first event or answer of a request.
+    pub(crate) fn record_first_event(&self, elapsed: Duration) {
+        self.first_event.record(elapsed.as_secs_f64(), &[]);
     }
 
-    pub(crate) fn called(&self, service: &'static str, outcome: &'static str) {
+    /// Records a call to a service of the platform.
+    pub(crate) fn record_call(&self, service: &'static str, outcome: &'static str) {
         let labels = [
             KeyValue::new("service", service),
             KeyValue::new("outcome", outcome),
@@ -114,14 +122,14 @@
         self.calls.add(1, &labels);
     }
 
-    /// The page that Prometheus reads.
+    /// Renders the page that Prometheus scrapes.
     pub(crate) fn page(&self) -> String {
         let mut page = Vec::new();
         if let Err(error) = TextEncoder::new().encode(&self.registry.gather(), &mut page) {
-            log::warn!("metrics: the page could not be written, {error}.");
+            log::warn!("metrics: the page could not be encoded and is incomplete, {error}.");
         }
         let page = String::from_utf8_lossy(&page).into_owned();
-        let dropped = trail::dropped();
+        let dropped = logging::dropped_lines();
         let name = "poplarvale_relay_log_lines_dropped";
         page + &format!("# TYPE {name} counter\n{name} {dropped}\n")
     }
--- a/daemon/src/relay/run.rs
+++ b/daemon/src/relay/run.rs
@@ -15,11 +15,11 @@
 use super::caller::serve_caller;
 use super::crash::keep_quarantined;
 use super::duties::serve_duties;
+use super::logging::flush;
 use super::peers::{receive, send, tell_last};
 use super::probe::serve_probe;
 use super::state::State;
 use super::status::serve_status;
-use super::trail::last_lines;
 use super::watch::follow;
 
 /// Connections that may wait to be accepted; a burst after a restart must not
@@ -156,7 +156,7 @@
     );
     wait_for_end(&relay, path).await?;
     relay.stop().await;
-    last_lines().await;
+    flush().await;
     Ok(())
 }
 
--- a/daemon/src/relay/serve.rs
+++ b/daemon/src/relay/serve.rs
@@ -214,7 +214,7 @@
     keep: bool,
 ) -> After {
     let code = refused.code.number();
-    state.measure(|metrics| metrics.ended("", code, Duration::ZERO));
+    state.measure(|metrics| metrics.record_request("", code, Duration::ZERO));
     log::info!(
         request = head.id.as_str(), path = head.path.as_str(), code, ran = refused.ran.word(),
         again_ms = refused.again.map_or(0, |again| again.as_millis() as u64),
--- a/daemon/src/relay/state.rs
+++ b/daemon/src/relay/state.rs
@@ -25,8 +25,8 @@
 
 use super::crash::Suspicion;
 use super::era::Eras;
+use super::logging::Sampler;
 use super::metrics::Metrics;
-use super::trail::Sampler;
 use super::upstream::Upstreams;
 
 const MEGABYTE: u64 = 1024 * 1024;
--- a/daemon/src/relay/status.rs
+++ b/daemon/src/relay/status.rs
@@ -68,7 +68,7 @@
         "store_heard_ms": state.contact.get().since_answer(now).as_millis() as u64,
         "store_steady_ms": steady(state.contact.get().span(), now),
         "holder": state.leader.borrow().as_deref(),
-        "log_lines_dropped": super::trail::dropped(),
+        "log_lines_dropped": super::logging::dropped_lines(),
         "quarantined": quarantined,
         "endpoints": endpoints,
         "daemons": peers,
--- a/daemon/src/relay/watch.rs
+++ b/daemon/src/relay/watch.rs
@@ -81,12 +81,12 @@
                     failing = false;
                 }
                 state.store_answered(now);
-                state.measure(|metrics| metrics.called("store", "done"));
+                state.measure(|metrics| metrics.record_call("store", "done"));
                 retry = RETRY;
                 until_due(&state, now + pause(&state)).await;
             }
             Err(error) => {
-                state.measure(|metrics| metrics.called("store", "failed"));
+                state.measure(|metrics| metrics.record_call("store", "failed"));
                 if !failing {
                     log::warn!("store: away, {error}.");
                     failing = true;
