--- a/daemon/src/relay/attempt.rs
+++ b/daemon/src/relay/attempt.rs
@@ -20,7 +20,7 @@
 use tokio::net::tcp::WriteHalf;
 use tokio::time::{Instant, timeout_at};
 
-use super::crash::{Content, clear, suspect};
+use super::crash::{LazyFingerprint, check_crash, clear};
 use super::exchange::{Answer, FAILED, Fault, exchange, whole_body};
 use super::state::State;
 use super::stream::{Passed, Patience, StreamEnd, pass_on};
@@ -51,7 +51,7 @@
     pub(crate) version: CatalogVersion,
     /// Versions of the service that it may go to.
     pub(crate) versions: Versions,
-    pub(crate) content: Content<'r>,
+    pub(crate) content: LazyFingerprint<'r>,
 }
 
 /// How a sending ended.
@@ -181,7 +181,7 @@
     let took = sent_at.elapsed() / u32::try_from(events).unwrap_or(u32::MAX);
     compare(state, job, choice, &ended, took);
     if !matches!(ended, Ended::Broken(_)) && !state.crashes.borrow().is_empty() {
-        clear(state, job.content.hash());
+        clear(state, job.content.get());
     }
     match &ended {
         Ended::Broken(fault) => failed(&booked, job, &endpoint, *fault, kept, first),
@@ -373,12 +373,12 @@
     log::info!(
         request = job.head.id.as_str(), endpoint = endpoint.id.as_str(), kept, left_out = out,
         after_ms = job.arrived.elapsed().as_millis() as u64,
-        content:% = format_args!("{:016x}", job.content.hash()),
+        content:% = format_args!("{:016x}", job.content.get()),
         ran_ms = first.map(|first| first.elapsed().as_millis() as u64);
         "send: failed, {fault}."
     );
     if may_have_ended(state, endpoint, fault, first) {
-        suspect(state, endpoint, job.content.hash());
+        check_crash(state, endpoint, job.content.get());
     }
 }
 
--- a/daemon/src/relay/crash.rs
+++ b/daemon/src/relay/crash.rs
@@ -1,8 +1,9 @@
-//! Finds out which endpoints ended under a request, and keeps those that crash endpoints in
-//! the store.
+//! Detects which endpoints crashed under a request, and saves the requests that crash endpoints
+//! to the store.
 //!
-//! A broken connection does not tell that its endpoint has ended: links are reset, and
-//! faulty endpoints break off. One that ended takes no new connection.
+//! A broken connection does not prove that its endpoint crashed: links are reset, and faulty
+//! endpoints close connections early. So the daemon connects to the endpoint again: one that
+//! crashed refuses the connection.
 
 use std::cell::OnceCell;
 use std::io::ErrorKind;
@@ -25,127 +26,139 @@
 use super::state::State;
 use super::upstream;
 
-/// Beginning of the keys of quarantined requests.
-pub(crate) const CRASHES: &str = "poplarvale/crashes/";
-/// Ends under a request from which on the other daemons are told at once.
-const URGENT: usize = QUARANTINE_CRASHES - 1;
-/// Longest time for one call of the store.
-const CALL: Duration = Duration::from_millis(900);
-/// Pause after a request could not be kept.
-const RETRY: Duration = Duration::from_millis(600);
-/// Tries to keep one; the other daemons that saw it try too.
-const TRIES: u32 = 20;
-
-/// What a request asks for, hashed when that is first needed.
+/// Prefix of the store keys of quarantined requests.
+pub(crate) const CRASH_PREFIX: &str = "poplarvale/crashes/";
+/// Number of crashes under a request from which on the other daemons get a digest at once.
+const URGENT_CRASHES: usize = QUARANTINE_CRASHES - 1;
+/// Timeout of a call to the store.
+const CALL_TIMEOUT: Duration = Duration::from_millis(900);
+/// Pause after a request could not be saved.
+const RETRY_PAUSE: Duration = Duration::from_millis(600);
+/// Maximum number of attempts to save a request; the other daemons that observed a crash
+/// under it try too.
+const MAX_TRIES: u32 = 20;
+
+/// Fingerprint of a request, computed when it is first needed.
 #[derive(Debug)]
-pub(crate) struct Content<'r> {
+pub(crate) struct LazyFingerprint<'r> {
     team: &'r str,
     host: &'r str,
     request: &'r Request,
     body: &'r [u8],
-    hash: OnceCell<Fingerprint>,
+    value: OnceCell<Fingerprint>,
 }
 
-impl<'r> Content<'r> {
+impl<'r> LazyFingerprint<'r> {
     pub(crate) fn new(team: &'r str, host: &'r str, request: &'r Request, body: &'r [u8]) -> Self {
         Self {
             team,
             host,
             request,
             body,
-            hash: OnceCell::new(),
+            value: OnceCell::new(),
         }
     }
 
-    pub(crate) fn hash(&self) -> Fingerprint {
+    pub(crate) fn get(&self) -> Fingerprint {
         let (method, target) = (&self.request.method, &self.request.target);
         *self
-            .hash
+            .value
             .get_or_init(|| fingerprint(self.team, self.host, method, target, self.body))
     }
 }
 
-/// How long a request must not be sent because endpoints ended under it; `None` if it may be.
-pub(crate) fn quarantined(state: &State, content: &Content<'_>) -> Option<Duration> {
+/// How long a request is still quarantined because endpoints crashed under it; `None` if it may
+/// be sent.
+pub(crate) fn quarantine_left(
+    state: &State,
+    fingerprint: &LazyFingerprint<'_>,
+) -> Option<Duration> {
     let crashes = state.crashes.borrow();
     if crashes.is_empty() {
         return None;
     }
-    crashes.quarantine_left(content.hash(), Instant::now())
+    crashes.quarantine_left(fingerprint.get(), Instant::now())
 }
 
-/// An endpoint that is being looked at, and the requests that broke off there.
+/// Endpoint that is being checked for a crash, and the requests that broke off there.
 #[derive(Debug)]
-pub(crate) struct Suspicion {
-    life: IncarnationHash,
-    contents: Vec<Fingerprint>,
+pub(crate) struct CrashCheck {
+    incarnation: IncarnationHash,
+    fingerprints: Vec<Fingerprint>,
 }
 
-/// Looks whether an endpoint ended under a request that broke off there.
-pub(crate) fn suspect(state: &Rc<State>, endpoint: &Listing, content: Fingerprint) {
-    let life = incarnation_hash(endpoint);
+/// Checks whether an endpoint crashed under a request that broke off there.
+pub(crate) fn check_crash(state: &Rc<State>, endpoint: &Listing, fingerprint: Fingerprint) {
+    let incarnation = incarnation_hash(endpoint);
     let mut suspicions = state.suspicions.borrow_mut();
-    if let Some(row) = suspicions.iter_mut().find(|row| row.life == life) {
-        row.contents.push(content);
+    if let Some(row) = suspicions
+        .iter_mut()
+        .find(|row| row.incarnation == incarnation)
+    {
+        row.fingerprints.push(fingerprint);
         return;
     }
-    suspicions.push(Suspicion {
-        life,
-        contents: vec![content],
+    suspicions.push(CrashCheck {
+        incarnation,
+        fingerprints: vec![fingerprint],
     });
-    actix_web::rt::spawn(look(Rc::clone(state), endpoint.clone(), life));
+    actix_web::rt::spawn(probe(Rc::clone(state), endpoint.clone(), incarnation));
 }
 
-/// Connects to an endpoint, and notes its end if it refuses.
-async fn look(state: Rc<State>, endpoint: Listing, life: IncarnationHash) {
+/// Connects to an endpoint, and records a crash if it refuses the connection.
+async fn probe(state: Rc<State>, endpoint: Listing, incarnation: IncarnationHash) {
     let connected = upstream::connect(endpoint.address).await;
-    let contents = take(&state, life);
+    let fingerprints = take_check(&state, incarnation);
     match connected {
         Ok(wire) => state.upstreams.put(endpoint.address, wire, None),
         Err(error) if error.kind() == ErrorKind::ConnectionRefused => {
             log::info!(
-                requests = contents.len();
-                "crash: endpoint {} ended while it ran requests.", endpoint.id
+                requests = fingerprints.len();
+                "crash: endpoint {} crashed while it ran requests.", endpoint.id
             );
-            for content in contents {
-                let noted = state
-                    .crashes
-                    .borrow_mut()
-                    .record(content, life, Instant::now());
-                take_noted(&state, content, noted, &endpoint.id);
+            for fingerprint in fingerprints {
+                let update =
+                    state
+                        .crashes
+                        .borrow_mut()
+                        .record(fingerprint, incarnation, Instant::now());
+                publish(&state, fingerprint, update, &endpoint.id);
             }
         }
         Err(error) => log::info!(
-            "crash: whether endpoint {} has ended is not known, {error}.",
+            "crash: check of endpoint {} failed, no crash is recorded, {error}.",
             endpoint.id
         ),
     }
 }
 
-/// Requests that broke off at an endpoint whose fate is known now.
-fn take(state: &State, life: IncarnationHash) -> Vec<Fingerprint> {
+/// Ends the check of an endpoint and returns the requests that broke off there.
+fn take_check(state: &State, incarnation: IncarnationHash) -> Vec<Fingerprint> {
     let mut suspicions = state.suspicions.borrow_mut();
-    let at = suspicions.iter().position(|row| row.life == life);
-    at.map_or_else(Vec::new, |at| suspicions.swap_remove(at).contents)
+    let at = suspicions
+        .iter()
+        .position(|row| row.incarnation == incarnation);
+    at.map_or_else(Vec::new, |at| suspicions.swap_remove(at).fingerprints)
 }
 
-/// Tells what was noted of a request, and has it told to the other daemons and kept.
-fn take_noted(state: &State, content: Fingerprint, noted: CrashUpdate, source: &str) {
-    match noted {
+/// Logs a change of a request's crashes. From [`URGENT_CRASHES`] on it is sent to the other daemons
+/// at once, and a quarantined request is also saved to the store.
+fn publish(state: &State, fingerprint: Fingerprint, update: CrashUpdate, source: &str) {
+    match update {
         CrashUpdate::Unchanged => return,
-        CrashUpdate::Suspected(lives) => {
+        CrashUpdate::Suspected(crashes) => {
             log::info!(
-                content:% = format_args!("{content:016x}"), lives;
-                "crash: request suspected, {source} tells."
+                content:% = format_args!("{fingerprint:016x}"), lives = crashes;
+                "crash: request suspected of crashing endpoints (source: {source})."
             );
-            if lives < URGENT {
+            if crashes < URGENT_CRASHES {
                 return;
             }
         }
         CrashUpdate::Quarantined => {
             log::warn!(
-                content:% = format_args!("{content:016x}");
-                "crash: request quarantined, {source} tells."
+                content:% = format_args!("{fingerprint:016x}");
+                "crash: request quarantined and no longer served (source: {source})."
             );
             state.measure(Metrics::record_quarantine);
             state.quarantined.notify_one();
@@ -154,45 +167,50 @@
     state.news.notify_one();
 }
 
-/// Takes in what another daemon tells of a request.
-pub(crate) fn hear(state: &State, name: &str, told: digest::Crash) {
-    let crash = read(told);
-    let noted = state.crashes.borrow_mut().merge(&crash, Instant::now());
-    if noted == CrashUpdate::Quarantined {
-        take_noted(state, crash.fingerprint, noted, name);
+/// Merges the crashes under a request that another daemon or the store reports.
+pub(crate) fn merge(state: &State, name: &str, report: digest::Crash) {
+    let crash = from_digest(report);
+    let update = state.crashes.borrow_mut().merge(&crash, Instant::now());
+    if update == CrashUpdate::Quarantined {
+        publish(state, crash.fingerprint, update, name);
     }
 }
 
-/// Takes in that another daemon has seen a request served.
-pub(crate) fn hear_cleared(state: &State, name: &str, content: Fingerprint) {
-    if state.crashes.borrow_mut().merge_cleared(content) {
+/// Clears a request that another daemon reports as served.
+pub(crate) fn merge_cleared(state: &State, name: &str, fingerprint: Fingerprint) {
+    if state.crashes.borrow_mut().merge_cleared(fingerprint) {
         log::info!(
-            content:% = format_args!("{content:016x}");
-            "crash: request cleared, {name} tells."
+            content:% = format_args!("{fingerprint:016x}");
+            "crash: request cleared (source: {name})."
         );
     }
 }
 
-/// Takes in a request that the store keeps as quarantined.
+/// Restores a quarantined request from its entry in the store.
 pub(crate) fn restore(state: &State, value: &[u8]) {
     match digest::Crash::decode(value) {
-        Ok(told) => hear(state, "the store", told),
-        Err(error) => log::warn!("crash: an entry of the store is not read, {error}."),
+        Ok(saved) => merge(state, "the store", saved),
+        Err(error) => log::warn!("crash: an entry of the store is invalid and ignored, {error}."),
     }
 }
 
-/// Notes that an endpoint served a request.
-pub(crate) fn clear(state: &State, content: Fingerprint) {
-    if state.crashes.borrow_mut().clear(content, Instant::now()) {
+/// Clears a request that an endpoint served.
+pub(crate) fn clear(state: &State, fingerprint: Fingerprint) {
+    if state
+        .crashes
+        .borrow_mut()
+        .clear(fingerprint, Instant::now())
+    {
         log::info!(
-            content:% = format_args!("{content:016x}");
-            "crash: request cleared, it was served."
+            content:% = format_args!("{fingerprint:016x}");
+            "crash: request cleared, an endpoint served it."
         );
         state.news.notify_one();
     }
 }
 
-pub(crate) fn tell(crash: Crash) -> digest::Crash {
+/// Crashes under a request as they stand in digests and in the store.
+pub(crate) fn to_digest(crash: Crash) -> digest::Crash {
     digest::Crash {
         content: crash.fingerprint,
         lives: crash.incarnations,
@@ -200,50 +218,57 @@
     }
 }
 
-fn read(told: digest::Crash) -> Crash {
+fn from_digest(report: digest::Crash) -> Crash {
     Crash {
-        fingerprint: told.content,
-        incarnations: told.lives,
-        left: Duration::from_millis(told.left_ms.into()),
+        fingerprint: report.content,
+        incarnations: report.lives,
+        left: Duration::from_millis(report.left_ms.into()),
     }
 }
 
-/// Keeps quarantined requests in the store, until the process ends. Daemons that are cut off
-/// from the others, or start when all were killed, learn of them there.
-pub(crate) async fn keep_quarantined(state: Rc<State>) {
+/// Saves quarantined requests to the store until the process ends. Daemons that are partitioned
+/// from the others, or that start after all were killed, read them there.
+pub(crate) async fn save_quarantined(state: Rc<State>) {
     let mut store = Client::of_store(&state);
     loop {
         state.quarantined.notified().await;
         let unsaved = state.crashes.borrow_mut().take_unsaved(Instant::now());
         for crash in unsaved {
-            keep(&mut store, crash).await;
+            save(&mut store, crash).await;
         }
     }
 }
 
-async fn keep(store: &mut Client, crash: Crash) {
-    let content = crash.fingerprint;
-    let value = tell(crash).encode_to_vec();
-    for _ in 0..TRIES {
-        match write(store, content, &value).await {
+/// Saves a quarantined request, with retries.
+async fn save(store: &mut Client, crash: Crash) {
+    let fingerprint = crash.fingerprint;
+    let value = to_digest(crash).encode_to_vec();
+    for _ in 0..MAX_TRIES {
+        match write(store, fingerprint, &value).await {
             Ok(()) => return,
-            Err(error) => log::info!("crash: request not kept in the store, {error}."),
+            Err(error) => {
+                log::info!("crash: request not saved to the store, {error}; trying again.");
+            }
         }
-        tokio::time::sleep(RETRY).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
-    log::warn!("crash: request {content:016x} is not kept in the store, every try failed.");
+    log::warn!("crash: request {fingerprint:016x} not saved to the store, all attempts failed.");
 }
 
-/// Makes the key of a request, which goes with its lease. One that is there already holds
-/// the same.
-async fn write(store: &mut Client, content: Fingerprint, value: &[u8]) -> Result<(), WriteError> {
-    let lease = read_granted(&store.call(&grant(CRASH_TTL), CALL).await?)?;
-    let key = format_compact!("{CRASHES}{content:016x}");
+/// Creates the key of a request under a lease, with which it expires. A key that exists already
+/// holds the same request, so that is no error.
+async fn write(
+    store: &mut Client,
+    fingerprint: Fingerprint,
+    value: &[u8],
+) -> Result<(), WriteError> {
+    let lease = read_granted(&store.call(&grant(CRASH_TTL), CALL_TIMEOUT).await?)?;
+    let key = format_compact!("{CRASH_PREFIX}{fingerprint:016x}");
     let call = txn(&Txn {
         expect: vec![(key.clone(), 0)],
         puts: vec![(key, value.to_vec().into(), lease)],
         removes: Vec::new(),
     })?;
-    read_txn(&store.call(&call, CALL).await?)?;
+    read_txn(&store.call(&call, CALL_TIMEOUT).await?)?;
     Ok(())
 }
--- a/daemon/src/relay/dispatch.rs
+++ b/daemon/src/relay/dispatch.rs
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 
 use super::attempt::{Ended, Job, attempt};
-use super::crash::quarantined;
+use super::crash::quarantine_left;
 use super::exchange::FAILED;
 use super::serve::{After, Refusal, SOON, after, answer, refuse};
 use super::state::State;
@@ -86,7 +86,7 @@
         if Instant::now() + LEAST >= job.deadline || self.stopped.is_some() {
             return None;
         }
-        if quarantined(state, &job.content).is_some() {
+        if quarantine_left(state, &job.content).is_some() {
             self.stopped = Some(SelectError::None);
             return None;
         }
--- a/daemon/src/relay/peers.rs
+++ b/daemon/src/relay/peers.rs
@@ -223,7 +223,7 @@
         crashes: crashes
             .report(whole, now)
             .into_iter()
-            .map(crash::tell)
+            .map(crash::to_digest)
             .collect(),
         cleared: crashes.report_cleared(now),
         fixed: usage.advertised(now).map(|report| UsageRecord {
@@ -457,10 +457,10 @@
         hear_limit(state, &name, told, now);
     }
     for told in digest.crashes {
-        crash::hear(state, &name, told);
+        crash::merge(state, &name, told);
     }
     for content in digest.cleared {
-        crash::hear_cleared(state, &name, content);
+        crash::merge_cleared(state, &name, content);
     }
     let uses = digest.endpoints.iter().map(hear_use).collect();
     let teller = Reporter::Daemon(digest.zone, name.clone());
--- a/daemon/src/relay/run.rs
+++ b/daemon/src/relay/run.rs
@@ -13,7 +13,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 
 use super::caller::serve_caller;
-use super::crash::keep_quarantined;
+use super::crash::save_quarantined;
 use super::duties::serve_duties;
 use super::logging::flush;
 use super::peers::{receive, send, tell_last};
@@ -89,7 +89,7 @@
         actix_web::rt::spawn(receive(state(), Rc::clone(&relay.peers)));
         actix_web::rt::spawn(send(state(), Rc::clone(&relay.peers)));
         actix_web::rt::spawn(serve_duties(state()));
-        actix_web::rt::spawn(keep_quarantined(state()));
+        actix_web::rt::spawn(save_quarantined(state()));
         actix_web::rt::spawn(clean(state()));
         Ok(relay)
     }
--- a/daemon/src/relay/serve.rs
+++ b/daemon/src/relay/serve.rs
@@ -17,7 +17,7 @@
 use tokio::time::Instant;
 
 use super::attempt::Job;
-use super::crash::{Content, quarantined};
+use super::crash::{LazyFingerprint, quarantine_left};
 use super::dispatch::dispatch;
 use super::state::State;
 
@@ -109,8 +109,8 @@
         return refuse(state, write, head, refused, keep).await;
     };
     let name = team.map_or("", |team| team.name.as_str());
-    let content = Content::new(name, &head.host, request, body);
-    if let Some(left) = quarantined(state, &content) {
+    let content = LazyFingerprint::new(name, &head.host, request, body);
+    if let Some(left) = quarantine_left(state, &content) {
         let refused = Refusal::later(Code::Quarantined, left);
         return refuse(state, write, head, refused, keep).await;
     }
--- a/daemon/src/relay/state.rs
+++ b/daemon/src/relay/state.rs
@@ -23,7 +23,7 @@
 use poplarvale_lib::{CustomerId, Incarnation};
 use tokio::sync::Notify;
 
-use super::crash::Suspicion;
+use super::crash::CrashCheck;
 use super::era::Eras;
 use super::logging::Sampler;
 use super::metrics::Metrics;
@@ -42,7 +42,7 @@
     pub(crate) budget: RefCell<Budget>,
     pub(crate) crashes: RefCell<Crashes>,
     /// Endpoints that may have ended, until that is known.
-    pub(crate) suspicions: RefCell<Vec<Suspicion>>,
+    pub(crate) suspicions: RefCell<Vec<CrashCheck>>,
     /// Told when a request is quarantined.
     pub(crate) quarantined: Notify,
     pub(crate) demand: RefCell<Demand>,
--- a/daemon/src/relay/watch.rs
+++ b/daemon/src/relay/watch.rs
@@ -22,7 +22,7 @@
 
 use super::checkpoint::{self, CHECKPOINT};
 use super::client::{CallError, Client};
-use super::crash::{self, CRASHES};
+use super::crash::{self, CRASH_PREFIX};
 use super::duties::{LEADER, OWN};
 use super::state::State;
 
@@ -158,7 +158,10 @@
     }
     let (items, _) = list(client, OWN).await?;
     take_leader(state, items.iter().find(|item| item.key == LEADER));
-    for item in items.iter().filter(|item| item.key.starts_with(CRASHES)) {
+    for item in items
+        .iter()
+        .filter(|item| item.key.starts_with(CRASH_PREFIX))
+    {
         crash::restore(state, &item.value);
     }
     if !state.listed.get() {
@@ -263,7 +266,9 @@
                 take_entry(state, *revision, RegistryChange::Removed(id.into()));
             }
         }
-        Change::Put(item) if item.key.starts_with(CRASHES) => crash::restore(state, &item.value),
+        Change::Put(item) if item.key.starts_with(CRASH_PREFIX) => {
+            crash::restore(state, &item.value);
+        }
         Change::Put(_) => {}
     }
 }
