--- a/daemon/src/relay/checkpoint.rs
+++ b/daemon/src/relay/checkpoint.rs
@@ -1,10 +1,11 @@
-//! What the fleet would forget if all daemons were killed at once, kept in the store.
+//! Checkpoints of what only the daemons' memory holds, for when all daemons are killed at once.
 //!
-//! Daemons have no disk, and all of them may be killed in the same moment. What they
-//! know only together would be gone: how much teams were let in, so everyone was
-//! refused for a second or two; the runs of the current usage windows, so reports came
-//! out wrong; how many endpoints the work needs. The holder of the duties writes it
-//! under its own fence, and a daemon reads it when it starts or takes the duties up.
+//! Daemons have no disk, and all of them may be killed at the same moment. Then everything that
+//! they only know from each other would be lost: the requests admitted for each team, so that all
+//! teams were rejected for a second or two; the runs of the current usage windows, so that usage
+//! reports were wrong; the number of endpoints that the work needs. The duty holder writes a
+//! checkpoint to the store under its fencing token, and a daemon reads it when it starts or
+//! acquires the duties.
 
 use std::time::{Duration, Instant};
 
@@ -17,19 +18,18 @@
 
 use super::state::State;
 
-/// Key of the checkpoint.
-pub(crate) const CHECKPOINT: &str = "poplarvale/checkpoint";
-/// Digests of a daemon to its zone between two checkpoints: half a second.
-/// What is let in meanwhile is reckoned by the last rate.
-pub(crate) const DIGESTS: u32 = 2;
-/// Age up to which a daemon that starts takes what teams used from a checkpoint. It
-/// covers the restart of all daemons; what lay in the store longer says nothing of the
-/// last seconds, and the allowances begin at nothing then. So they do if the clock of
-/// this host has jumped.
-const CURRENT: Duration = Duration::from_secs(8);
+/// Store key of the checkpoint.
+pub(crate) const CHECKPOINT_KEY: &str = "poplarvale/checkpoint";
+/// Periods of the digests within a zone between two checkpoints, in all half a second. Requests
+/// that are admitted after the last checkpoint are estimated from the last rate.
+pub(crate) const DIGESTS_PER_CHECKPOINT: u32 = 2;
+/// Maximum age of a checkpoint from which a starting daemon restores what teams used. It covers
+/// the restart of all daemons. An older checkpoint says nothing about the last seconds, so the
+/// allowances then start empty, as they do if the clock of this host has jumped.
+const MAX_ALLOWANCE_AGE: Duration = Duration::from_secs(8);
 
-/// Checkpoint of what this daemon knows, with the usage of windows from `first` on.
-pub(crate) fn checkpoint(state: &State, orders: &Orders, first: WindowId) -> Checkpoint {
+/// Builds a checkpoint of what this daemon knows, with the usage of windows from `first` on.
+pub(crate) fn build(state: &State, orders: &Orders, first: WindowId) -> Checkpoint {
     let now = Instant::now();
     let spent = state.quota.borrow().checkpoint(now);
     let spent = spent.into_iter().map(|row| checkpoint::Spent {
@@ -46,7 +46,7 @@
     for ((name, incarnation), number, counts) in state.usage.borrow().since(first) {
         let mut runs = vec![0; written.teams.len()];
         for (team, count) in counts {
-            let at = written.teams.iter().position(|held| held == team);
+            let at = written.teams.iter().position(|known| known == team);
             let at = at.unwrap_or_else(|| {
                 written.teams.push(team.to_string());
                 runs.push(0);
@@ -73,45 +73,45 @@
     written
 }
 
-/// Reads a checkpoint; one that cannot be read is as good as none.
-pub(crate) fn read(value: &[u8]) -> Option<Checkpoint> {
+/// Decodes a checkpoint; an invalid one is treated as missing.
+pub(crate) fn decode(value: &[u8]) -> Option<Checkpoint> {
     match Checkpoint::decode(value) {
-        Ok(read) => Some(read),
+        Ok(saved) => Some(saved),
         Err(error) => {
-            log::warn!("checkpoint: not read, {error}.");
+            log::warn!("checkpoint: invalid and ignored, {error}.");
             None
         }
     }
 }
 
-/// Takes in, when this daemon starts, what all let in before.
-pub(crate) fn restore_quota(state: &State, read: &Checkpoint) {
-    let age = State::wall().abs_diff(read.wall_ms);
-    if u128::from(age) > CURRENT.as_millis() {
-        log::info!("checkpoint: allowances begin at nothing, it is {age} ms old.");
+/// Restores, when this daemon starts, what all daemons admitted before.
+pub(crate) fn restore_quota(state: &State, saved: &Checkpoint) {
+    let age = State::wall().abs_diff(saved.wall_ms);
+    if u128::from(age) > MAX_ALLOWANCE_AGE.as_millis() {
+        log::info!("checkpoint: {age} ms old and ignored; allowances start empty.");
         return;
     }
-    let spent = read.spent.iter().map(|row| Spent {
+    let spent = saved.spent.iter().map(|row| Spent {
         team: row.team,
         steps: row.steps.clone(),
         rate: f64::from(row.rate),
     });
     log::info!(
-        "checkpoint: allowances of {} teams go on after {age} ms, {} daemons were there.",
-        read.spent.len(),
-        read.daemons
+        "checkpoint: allowances of {} teams restored after {age} ms, with {} daemons before.",
+        saved.spent.len(),
+        saved.daemons
     );
     let now = Instant::now();
     let mut quota = state.quota.borrow_mut();
-    quota.restore(spent.collect(), read.daemons, now);
+    quota.restore(spent.collect(), saved.daemons, now);
 }
 
-/// Takes in runs that daemons counted which may be gone.
-pub(crate) fn restore_usage(state: &State, read: &Checkpoint) {
+/// Restores runs counted by daemons that may no longer exist.
+pub(crate) fn restore_usage(state: &State, saved: &Checkpoint) {
     let mut usage = state.usage.borrow_mut();
-    for row in &read.counters {
+    for row in &saved.counters {
         for window in &row.windows {
-            let counts = read.teams.iter().zip(&window.runs);
+            let counts = saved.teams.iter().zip(&window.runs);
             let counts = counts.filter(|(_, runs)| **runs > 0);
             let counts = counts.map(|(team, runs)| (CompactString::from(team), *runs));
             let mut counts: Vec<_> = counts.collect();
@@ -122,10 +122,10 @@
     }
 }
 
-/// Takes in how many endpoints the work needed.
-pub(crate) fn restore_needs(orders: &mut Orders, read: &Checkpoint) {
+/// Restores how many endpoints the work needed.
+pub(crate) fn restore_needs(orders: &mut Orders, saved: &Checkpoint) {
     let now = Instant::now();
-    for row in &read.needs {
+    for row in &saved.needs {
         orders.restore(CompactString::from(&row.service), row.endpoints, now);
     }
 }
--- a/daemon/src/relay/duties.rs
+++ b/daemon/src/relay/duties.rs
@@ -1,4 +1,10 @@
-//! The calls that one daemon at a time makes: usage reports and orders.
+//! Duties: work that one daemon at a time does for all.
+//!
+//! The duty holder reports usage, orders endpoints, writes the states of version moves and saves
+//! checkpoints. It is the daemon that created the leader's key in the store, under a lease that it
+//! renews. Its writes to the store require that the key still has the revision at which it was
+//! created, and its calls to the cloud service carry this revision as a fencing token, so a
+//! former holder can change nothing.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -17,181 +23,198 @@
 };
 use prost::Message as _;
 
-use super::checkpoint::{self, CHECKPOINT, DIGESTS};
+use super::checkpoint::{self, CHECKPOINT_KEY, DIGESTS_PER_CHECKPOINT};
 use super::client::{Client, WriteError};
 use super::state::State;
 
-/// Beginning of the keys that are the daemons' own.
-pub(crate) const OWN: &str = "poplarvale/";
-/// Key that the holder of the duties makes.
-pub(crate) const LEADER: &str = "poplarvale/leader";
+/// Prefix of the store keys that only daemons write.
+pub(crate) const OWN_PREFIX: &str = "poplarvale/";
+/// Key that the duty holder creates.
+pub(crate) const LEADER_KEY: &str = "poplarvale/leader";
 /// Key of the last usage report.
-const USAGE: &str = "poplarvale/usage";
-/// How often the holder looks at its duties.
-const LOOK: Duration = Duration::from_millis(250);
-/// How long the holder of the duties may be unknown before another daemon tries,
-/// and how much longer each next one by address waits, so that they do not all try.
-const VACANT: Duration = Duration::from_millis(100);
-const TURN: Duration = Duration::from_millis(150);
-/// How long a daemon waits after its start, if it is not the first by address, and after
-/// a try that another one was ahead of. Who holds the duties is known everywhere by then;
-/// trying on until it is known, hundreds of daemons would make thousands of calls.
-const BEHIND: Duration = Duration::from_millis(1500);
-/// Longest time for one call; well below what must be left of the lease.
-const CALL: Duration = Duration::from_millis(900);
-/// How long after a window's end its usage is reported: first events that were on
-/// their way and the other daemons' digests must have come.
-const SETTLE: Duration = Duration::from_secs(2);
+const USAGE_KEY: &str = "poplarvale/usage";
+/// How often the duty holder checks what is due.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// How long no duty holder must be known before the first daemon by address tries to acquire the
+/// duties.
+const TAKEOVER_DELAY: Duration = Duration::from_millis(100);
+/// How much longer each next daemon by address waits, so that they do not all try at once.
+const RANK_DELAY: Duration = Duration::from_millis(150);
+/// How long a daemon waits after its start, unless it is the first by address, and after an
+/// attempt that another daemon won. All daemons know the duty holder by then; with attempts until
+/// it is known, hundreds of daemons would make thousands of calls.
+const ACQUIRE_BACKOFF: Duration = Duration::from_millis(1500);
+/// Timeout of a call; well below what must be left of the lease for a call to be sent.
+const CALL_TIMEOUT: Duration = Duration::from_millis(900);
+/// How long after the end of a window its usage is reported: first events that were in transit and
+/// the digests of other daemons must have arrived.
+const SETTLE_TIME: Duration = Duration::from_secs(2);
 /// Pause after a report that was not accepted.
-const RETRY: Duration = Duration::from_millis(600);
+const RETRY_PAUSE: Duration = Duration::from_millis(600);
 
-/// Takes the duties up whenever nobody holds them.
+/// Acquires and performs the duties whenever no daemon holds them, until the process ends.
 pub(crate) async fn serve_duties(state: Rc<State>) {
     let mut store = Client::of_store(&state);
     let mut cloud = state.settings.cloud.map(Client::new);
     loop {
-        tokio::time::sleep(wait(&state)).await;
-        if !has_duty(&state) || !is_vacant(&state) {
+        tokio::time::sleep(acquire_delay(&state)).await;
+        if !has_duties(&state) || !is_vacant(&state) {
             continue;
         }
         match acquire(&state, &mut store).await {
-            Ok(Some(held)) => {
-                log::info!("duty: held with fence {}.", held.fencing_token);
-                hold(&state, &mut store, cloud.as_mut(), held).await;
-                log::info!("duty: no longer held.");
+            Ok(Some(lease)) => {
+                log::info!(
+                    "duty: lease acquired with fencing token {}.",
+                    lease.fencing_token
+                );
+                perform_duties(&state, &mut store, cloud.as_mut(), lease).await;
+                log::info!("duty: this daemon is no longer the duty holder.");
             }
-            Ok(None) => tokio::time::sleep(BEHIND).await,
-            Err(error) => log::info!("duty: not acquired, {error}."),
+            Ok(None) => tokio::time::sleep(ACQUIRE_BACKOFF).await,
+            Err(error) => log::info!("duty: acquiring the lease failed, {error}; trying again."),
         }
     }
 }
 
-fn has_duty(state: &State) -> bool {
+/// Whether there is anything to do for a duty holder.
+fn has_duties(state: &State) -> bool {
     let cloud = state.settings.cloud.is_some() && (state.settings.reports || state.settings.orders);
     cloud || !state.rollouts.borrow().is_empty()
 }
 
+/// Whether this daemon may try to acquire the duties.
 fn is_vacant(state: &State) -> bool {
     let is_free = state.leader.borrow().is_none();
-    // Who held the duties before a return of the store does not know yet that it is over.
+    // After the store came back from an older copy, the former duty holder does not know yet
+    // that its lease is gone.
     let is_over = !state
         .eras
         .may_outlast(state.settings.bounds.lease, Instant::now());
     state.listed.get() && state.life().is_serving() && is_free && is_over
 }
 
-/// Waits longer the further back this daemon stands among the others. Right after the
-/// start those count that were only heard of.
-fn wait(state: &State) -> Duration {
+/// Delay before an attempt to acquire the duties, longer for daemons of a higher rank by
+/// address. Right after the start, peers that are only known by address count too.
+fn acquire_delay(state: &State) -> Duration {
     let peers = state.peers.borrow();
-    let turn = |place: usize| VACANT + TURN * place as u32;
-    let left = BEHIND.saturating_sub(state.started.elapsed());
+    let delay = |rank: usize| TAKEOVER_DELAY + RANK_DELAY * rank as u32;
+    let left = ACQUIRE_BACKOFF.saturating_sub(state.started.elapsed());
     if left.is_zero() {
-        return turn(peers.recent_rank(Instant::now()));
+        return delay(peers.recent_rank(Instant::now()));
     }
     match peers.known_rank() {
-        0 => VACANT,
-        place => left + turn(place),
+        0 => TAKEOVER_DELAY,
+        rank => left + delay(rank),
     }
 }
 
-/// Makes the leader's key; `None` if another daemon did.
+/// Creates the leader's key under a new lease; `None` if another daemon holds the key.
 async fn acquire(state: &State, store: &mut Client) -> Result<Option<DutyLease>, WriteError> {
     let since = Instant::now();
-    let life = state.settings.bounds.lease;
-    let lease = read_granted(&store.call(&grant(life), CALL).await?)?;
-    let name = format_compact!("{} {}", state.settings.name, lease);
+    let ttl = state.settings.bounds.lease;
+    let id = read_granted(&store.call(&grant(ttl), CALL_TIMEOUT).await?)?;
+    let value = format_compact!("{} {}", state.settings.name, id);
     let call = txn(&Txn {
-        expect: vec![(LEADER.into(), 0)],
-        puts: vec![(LEADER.into(), Bytes::from(name.to_string()), lease)],
+        expect: vec![(LEADER_KEY.into(), 0)],
+        puts: vec![(LEADER_KEY.into(), Bytes::from(value.to_string()), id)],
         removes: Vec::new(),
     })?;
-    let made = store.call(&call, CALL).await;
-    let fence = match made {
+    let created = store.call(&call, CALL_TIMEOUT).await;
+    let token = match created {
         Ok(reply) => read_txn(&reply)?,
-        // The answer may be lost though the key was made: what it holds tells.
+        // The key may have been created although the response was lost: its value shows
+        // whether it is this daemon's.
         Err(error) => {
-            log::info!("duty: no answer to the claim, {error}.");
-            let reply = store.call(&get(LEADER), CALL).await?;
+            log::info!("duty: no response to the claim, {error}; reading the leader's key.");
+            let reply = store.call(&get(LEADER_KEY), CALL_TIMEOUT).await?;
             let item = read_item(&reply)?;
-            item.filter(|item| item.value == name.as_bytes())
+            item.filter(|item| item.value == value.as_bytes())
                 .map(|item| item.revision)
         }
     };
-    Ok(fence.map(|fence| DutyLease::new(lease, fence, life, since)))
+    Ok(token.map(|token| DutyLease::new(id, token, ttl, since)))
 }
 
-/// What the holder remembers.
+/// State of the duty holder.
 #[derive(Debug)]
 struct Holder {
-    held: DutyLease,
-    /// Era of the store in which the duties were taken up.
+    lease: DutyLease,
+    /// Era of the store in which the duties were acquired.
     era: Era,
+    /// Name and fencing token that are sent with calls to the cloud service.
     duty: Duty,
-    /// Revision of the usage record; 0 if there is none.
-    revision: u64,
-    /// Next window to report.
-    next: WindowId,
-    /// Report that lies in the store and may not have been accepted yet.
+    /// Store revision of the usage record; 0 if there is none.
+    usage_revision: u64,
+    /// Next usage window to report.
+    next_window: WindowId,
+    /// Report that is written to the store and may not have been accepted yet.
     unsent: Option<(WindowId, CompactString)>,
-    retry: Option<Instant>,
+    /// When a failed report may be retried.
+    retry_at: Option<Instant>,
     orders: Orders,
     /// When the next checkpoint is due.
-    save: Instant,
+    next_save: Instant,
 }
 
-/// Does the duties until the lease ends or the daemon does.
-async fn hold(state: &State, store: &mut Client, mut cloud: Option<&mut Client>, held: DutyLease) {
-    let Some(mut holder) = begin(state, store, held).await else {
+/// Performs the duties until the lease or the daemon ends, or the store changes its era.
+async fn perform_duties(
+    state: &State,
+    store: &mut Client,
+    mut cloud: Option<&mut Client>,
+    lease: DutyLease,
+) {
+    let Some(mut holder) = load_holder(state, store, lease).await else {
         return;
     };
     loop {
         let now = Instant::now();
-        // A lease that is over by this daemon's reckoning may go on in the store, as
-        // leases can stand still while it is away. Nobody else holds the duties then, and
-        // waiting for its end left them undone for three seconds after each outage.
-        if holder.held.needs_renewal(now) && !renew(store, &mut holder).await {
+        // Renews also a lease that has expired by this daemon's clock: it may still exist in
+        // the store, where leases can stop running while the store is unavailable. No other
+        // daemon can hold the duties then, and waiting for the lease to expire left them
+        // undone for three seconds after each outage.
+        if holder.lease.needs_renewal(now) && !renew(store, &mut holder).await {
             return;
         }
         if state.eras.newest() != holder.era {
-            log::info!("duty: the store came back without what was written for it.");
+            log::info!("duty: the store came back from an older copy; giving up the duties.");
             return;
         }
         if !state.life().is_serving() {
-            give_up(store, &holder).await;
+            release(store, &holder).await;
             return;
         }
-        announce(state, store, &holder).await;
-        if now >= holder.save {
-            save(state, store, &mut holder).await;
+        write_statuses(state, store, &holder).await;
+        if now >= holder.next_save {
+            save_checkpoint(state, store, &mut holder).await;
         }
         if let Some(cloud) = cloud.as_deref_mut() {
             if state.settings.reports {
-                report(state, store, cloud, &mut holder).await;
+                report_usage(state, store, cloud, &mut holder).await;
             }
             if state.settings.orders {
-                order(state, cloud, &mut holder).await;
+                order_endpoints(state, cloud, &mut holder).await;
             }
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Reads what the holder before left.
-async fn begin(state: &State, store: &mut Client, held: DutyLease) -> Option<Holder> {
+/// Reads the usage record and the checkpoint of the former duty holder; `None` if the lease
+/// expires first.
+async fn load_holder(state: &State, store: &mut Client, lease: DutyLease) -> Option<Holder> {
     let duty = Duty {
         holder: state.settings.name.clone(),
-        fence: held.fencing_token,
+        fence: lease.fencing_token,
     };
     loop {
-        if held.is_expired(Instant::now()) {
+        if lease.is_expired(Instant::now()) {
             return None;
         }
-        let (record, saved) = match left_behind(store).await {
+        let (record, saved) = match read_saved(store).await {
             Ok(read) => read,
             Err(error) => {
-                log::info!("duty: what the last holder left is not read, {error}.");
-                tokio::time::sleep(LOOK).await;
+                log::info!("duty: former records not read, {error}; trying again.");
+                tokio::time::sleep(POLL_INTERVAL).await;
                 continue;
             }
         };
@@ -201,7 +224,7 @@
         };
         let last = last_report(state, record);
         let mut orders = Orders::new(state.demand.borrow().first_request());
-        let saved = saved.and_then(|item| checkpoint::read(&item.value));
+        let saved = saved.and_then(|item| checkpoint::decode(&item.value));
         if let Some(saved) = &saved {
             checkpoint::restore_usage(state, saved);
             checkpoint::restore_needs(&mut orders, saved);
@@ -211,91 +234,94 @@
         let first = counted.map_or(first, |counted| first.min(counted));
         let next = last.as_ref().map_or(first, |last| last.window + 1);
         return Some(Holder {
-            held,
-            era: era_of(held.fencing_token),
+            lease,
+            era: era_of(lease.fencing_token),
             duty,
-            revision,
-            next,
+            usage_revision: revision,
+            next_window: next,
             unsent: last.map(|last| (last.window, last.counts)),
-            retry: None,
+            retry_at: None,
             orders,
-            save: Instant::now(),
+            next_save: Instant::now(),
         });
     }
 }
 
-/// The last usage record and the last checkpoint.
-async fn left_behind(store: &mut Client) -> Result<(Option<Item>, Option<Item>), WriteError> {
-    let record = read_item(&store.call(&get(USAGE), CALL).await?)?;
-    let saved = read_item(&store.call(&get(CHECKPOINT), CALL).await?)?;
+/// Reads the last usage record and the last checkpoint.
+async fn read_saved(store: &mut Client) -> Result<(Option<Item>, Option<Item>), WriteError> {
+    let record = read_item(&store.call(&get(USAGE_KEY), CALL_TIMEOUT).await?)?;
+    let saved = read_item(&store.call(&get(CHECKPOINT_KEY), CALL_TIMEOUT).await?)?;
     Ok((record, saved))
 }
 
-/// Reads a usage record; one that cannot be read is as good as none.
+/// Decodes a usage record; an invalid one is treated as missing.
 fn read_record(value: Bytes) -> Option<UsageRecord> {
     match UsageRecord::decode(value) {
         Ok(record) => Some(record),
         Err(error) => {
-            log::warn!("duty: the record of the last report is not read, {error}.");
+            log::warn!("duty: the record of the last report is invalid and ignored, {error}.");
             None
         }
     }
 }
 
-/// Renews the lease; `false` if it has ended.
+/// Renews the lease; `false` if it no longer exists. Other failures are retried.
 async fn renew(store: &mut Client, holder: &mut Holder) -> bool {
     let since = Instant::now();
-    match store.call(&keep_alive(holder.held.id), CALL).await {
+    match store.call(&keep_alive(holder.lease.id), CALL_TIMEOUT).await {
         Ok(reply) if reply.status == 200 => {
-            holder.held.renewed(since);
+            holder.lease.renewed(since);
             true
         }
         Ok(reply) if reply.status == 404 => {
-            log::info!("duty: the lease has ended.");
+            log::info!("duty: the lease has expired in the store; giving up the duties.");
             false
         }
         Ok(reply) => {
-            log::info!("duty: lease not renewed (status {}).", reply.status);
+            log::info!(
+                "duty: lease not renewed (status {}); trying again.",
+                reply.status
+            );
             true
         }
         Err(error) => {
-            log::info!("duty: lease not renewed, {error}.");
+            log::info!("duty: lease not renewed, {error}; trying again.");
             true
         }
     }
 }
 
-/// Removes the leader's key, so that another daemon takes over at once.
-async fn give_up(store: &mut Client, holder: &Holder) {
+/// Removes the leader's key, so that another daemon can take over at once.
+async fn release(store: &mut Client, holder: &Holder) {
     let removed = txn(&Txn {
-        expect: vec![(LEADER.into(), holder.duty.fence)],
+        expect: vec![(LEADER_KEY.into(), holder.duty.fence)],
         puts: Vec::new(),
-        removes: vec![LEADER.into()],
+        removes: vec![LEADER_KEY.into()],
     });
     match removed {
         Ok(call) => {
-            if let Err(error) = store.call(&call, CALL).await {
-                log::info!("duty: the leader's key stays until its lease ends, {error}.");
+            if let Err(error) = store.call(&call, CALL_TIMEOUT).await {
+                log::info!("duty: leader's key stays until its lease expires, {error}.");
             }
         }
-        Err(error) => log::warn!("duty: giving up could not be written, {error}."),
+        Err(error) => log::warn!("duty: removal of the leader's key not encoded, {error}."),
     }
 }
 
-/// Writes a checkpoint, if this daemon still holds the duty. One that fails is made
-/// good by the next.
-async fn save(state: &State, store: &mut Client, holder: &mut Holder) {
+/// Writes a checkpoint if this daemon is still the duty holder. A failed write is not
+/// retried: the next checkpoint replaces it.
+async fn save_checkpoint(state: &State, store: &mut Client, holder: &mut Holder) {
     let now = Instant::now();
-    holder.save = now + state.peers.borrow().local_period() * DIGESTS;
-    if state.catalog.borrow().is_none() || !holder.held.may_act(now) {
+    holder.next_save = now + state.peers.borrow().local_period() * DIGESTS_PER_CHECKPOINT;
+    if state.catalog.borrow().is_none() || !holder.lease.may_act(now) {
         return;
     }
     let unsent = holder.unsent.as_ref().map(|row| row.0);
-    let first = unsent.unwrap_or(holder.next);
-    let value = checkpoint::checkpoint(state, &holder.orders, first);
+    let first = unsent.unwrap_or(holder.next_window);
+    let value = checkpoint::build(state, &holder.orders, first);
     match write_checkpoint(store, holder, value.encode_to_vec().into()).await {
         Ok(Some(_)) => {}
-        Ok(None) => log::info!("checkpoint: not written, the duty is another's."),
+        Ok(None) => log::info!("checkpoint: not written, another daemon is the duty holder."),
         Err(error) => log::info!("checkpoint: not written, {error}."),
     }
 }
@@ -306,41 +332,46 @@
     value: Bytes,
 ) -> Result<Option<u64>, WriteError> {
     let call = txn(&Txn {
-        expect: vec![(LEADER.into(), holder.duty.fence)],
-        puts: vec![(CHECKPOINT.into(), value, 0)],
+        expect: vec![(LEADER_KEY.into(), holder.duty.fence)],
+        puts: vec![(CHECKPOINT_KEY.into(), value, 0)],
         removes: Vec::new(),
     })?;
-    Ok(read_txn(&store.call(&call, CALL).await?)?)
+    Ok(read_txn(&store.call(&call, CALL_TIMEOUT).await?)?)
 }
 
-/// Writes how version moves stand where the store holds something else.
-async fn announce(state: &State, store: &mut Client, holder: &Holder) {
-    let busy = |service: &str, target: &str| {
+/// Writes the states of version moves that differ from those in the store.
+async fn write_statuses(state: &State, store: &mut Client, holder: &Holder) {
+    let active = |service: &str, target: &str| {
         let table = state.endpoints.borrow();
         table.count_other_versions(service, target).1
     };
     let due = state
         .rollouts
         .borrow_mut()
-        .due_statuses(state.true_ms(), busy);
+        .due_statuses(state.true_ms(), active);
     for status in due {
-        if !holder.held.may_act(Instant::now()) {
+        if !holder.lease.may_act(Instant::now()) {
             return;
         }
         let (service, outcome) = (&status.service, status.outcome);
         match write_status(store, holder, &status).await {
             Ok(Some(revision)) => {
-                log::info!("rollout: {service} told as {outcome:?}.");
+                log::info!("rollout: status of {service} written as {outcome:?}.");
                 let mut rollouts = state.rollouts.borrow_mut();
                 rollouts.apply_status(service, &status.target, outcome, revision);
             }
-            Ok(None) => log::info!("rollout: {service} not told, the duty is another's."),
-            Err(error) => log::info!("rollout: {service} not told, {error}."),
+            Ok(None) => log::info!(
+                "rollout: status of {service} not written, another daemon is the duty holder."
+            ),
+            Err(error) => {
+                log::info!("rollout: status of {service} not written, {error}; trying again.");
+            }
         }
     }
 }
 
-/// Writes a move's state, if this daemon still holds the duty; gives the revision.
+/// Writes the state of a version move and returns the revision; `None` if another daemon is
+/// the duty holder.
 async fn write_status(
     store: &mut Client,
     holder: &Holder,
@@ -349,62 +380,71 @@
     let value = status_value(&status.target, status.outcome)?;
     let key = format_compact!("{STATUS}{}", status.service);
     let call = txn(&Txn {
-        expect: vec![(LEADER.into(), holder.duty.fence)],
+        expect: vec![(LEADER_KEY.into(), holder.duty.fence)],
         puts: vec![(key, value, 0)],
         removes: Vec::new(),
     })?;
-    Ok(read_txn(&store.call(&call, CALL).await?)?)
+    Ok(read_txn(&store.call(&call, CALL_TIMEOUT).await?)?)
 }
 
-/// Reports the windows that are due.
-async fn report(state: &State, store: &mut Client, cloud: &mut Client, holder: &mut Holder) {
+/// Reports the usage of the next window that is due.
+async fn report_usage(state: &State, store: &mut Client, cloud: &mut Client, holder: &mut Holder) {
     let now = Instant::now();
-    if holder.retry.is_some_and(|retry| now < retry) {
+    if holder.retry_at.is_some_and(|retry| now < retry) {
         return;
     }
     if holder.unsent.is_none() {
         let length = state.settings.bounds.usage_window.as_millis() as u64;
-        let true_now = state.true_ms();
-        let late = state.settings.bounds.report_deadline.as_millis() as u64;
-        // Windows that would come too late are passed over.
-        while (holder.next + 1) * length + late < true_now {
-            holder.next += 1;
+        let unix_now = state.true_ms();
+        let deadline = state.settings.bounds.report_deadline.as_millis() as u64;
+        // Skips windows whose deadline has passed.
+        while (holder.next_window + 1) * length + deadline < unix_now {
+            holder.next_window += 1;
         }
-        if (holder.next + 1) * length + SETTLE.as_millis() as u64 > true_now {
+        if (holder.next_window + 1) * length + SETTLE_TIME.as_millis() as u64 > unix_now {
             return;
         }
-        if let Err(error) = fix(state, store, holder).await {
-            log::info!("duty: window {} not fixed, {error}.", holder.next);
-            holder.retry = Some(Instant::now() + RETRY);
+        if let Err(error) = finalize_window(state, store, holder).await {
+            log::info!(
+                "duty: counts of window {} not finalized, {error}; trying again.",
+                holder.next_window
+            );
+            holder.retry_at = Some(Instant::now() + RETRY_PAUSE);
             return;
         }
     }
     let Some((window, counts)) = holder.unsent.clone() else {
         return;
     };
-    if !holder.held.may_act(Instant::now()) {
+    if !holder.lease.may_act(Instant::now()) {
         return;
     }
-    match send(cloud, holder, window, &counts).await {
+    match send_usage(cloud, holder, window, &counts).await {
         Ok(200) => {
             log::info!("duty: usage of window {window} reported, {counts}.");
             holder.unsent = None;
         }
         Ok(status) => {
-            log::info!("duty: usage of window {window} not taken (status {status}).");
-            holder.retry = Some(Instant::now() + RETRY);
+            log::info!(
+                "duty: usage of window {window} not accepted (status {status}); trying again."
+            );
+            holder.retry_at = Some(Instant::now() + RETRY_PAUSE);
         }
         Err(error) => {
-            log::info!("duty: usage of window {window} not sent, {error}.");
-            holder.retry = Some(Instant::now() + RETRY);
+            log::info!("duty: usage report of window {window} failed, {error}; trying again.");
+            holder.retry_at = Some(Instant::now() + RETRY_PAUSE);
         }
     }
 }
 
-/// Writes a window's counts to the store. Whoever reports the window sends these
-/// bytes: two different counts for one window would charge customers wrongly.
-async fn fix(state: &State, store: &mut Client, holder: &mut Holder) -> Result<(), WriteError> {
-    let window = holder.next;
+/// Writes the final counts of the next window to the store. Any daemon that reports the window
+/// sends exactly these bytes: two different counts for one window would charge customers wrongly.
+async fn finalize_window(
+    state: &State,
+    store: &mut Client,
+    holder: &mut Holder,
+) -> Result<(), WriteError> {
+    let window = holder.next_window;
     let counts = counts_text(&state.usage.borrow().total(window))?;
     let record = UsageRecord {
         number: window,
@@ -412,37 +452,37 @@
     };
     let call = txn(&Txn {
         expect: vec![
-            (USAGE.into(), holder.revision),
-            (LEADER.into(), holder.duty.fence),
+            (USAGE_KEY.into(), holder.usage_revision),
+            (LEADER_KEY.into(), holder.duty.fence),
         ],
-        puts: vec![(USAGE.into(), record.encode_to_vec().into(), 0)],
+        puts: vec![(USAGE_KEY.into(), record.encode_to_vec().into(), 0)],
         removes: Vec::new(),
     })?;
-    let fixed = match store.call(&call, CALL).await {
+    let written = match store.call(&call, CALL_TIMEOUT).await {
         Ok(reply) => read_txn(&reply)?,
         Err(error) => {
-            // The write may have happened, or may happen still. The next try reads
-            // what lies there and goes on from that.
-            log::info!("duty: no answer to the record of window {window}, {error}.");
+            // The write may have been applied, or may still be. The read below, or that of the
+            // next attempt, finds the record and goes on from it.
+            log::info!("duty: no response to the record of window {window}, {error}.");
             None
         }
     };
-    if let Some(revision) = fixed {
-        note_fixed(state, window, &counts);
-        holder.revision = revision;
-        holder.next = window + 1;
+    if let Some(revision) = written {
+        record_finalized(state, window, &counts);
+        holder.usage_revision = revision;
+        holder.next_window = window + 1;
         holder.unsent = Some((window, counts));
         return Ok(());
     }
-    let reply = store.call(&get(USAGE), CALL).await?;
+    let reply = store.call(&get(USAGE_KEY), CALL_TIMEOUT).await?;
     if let Some(item) = read_item(&reply)? {
-        holder.revision = item.revision;
+        holder.usage_revision = item.revision;
         if let Some(record) = read_record(item.value)
             && record.number >= window
         {
             let counts = CompactString::from(record.counts);
-            note_fixed(state, record.number, &counts);
-            holder.next = record.number + 1;
+            record_finalized(state, record.number, &counts);
+            holder.next_window = record.number + 1;
             holder.unsent = Some((record.number, counts));
             return Ok(());
         }
@@ -450,8 +490,9 @@
     Err(WriteError::Raced)
 }
 
-/// Notes a report that lies in the store, for when that comes back from an older copy.
-fn note_fixed(state: &State, window: WindowId, counts: &CompactString) {
+/// Remembers a report that was written to the store, in case the store comes back from an
+/// older copy.
+fn record_finalized(state: &State, window: WindowId, counts: &CompactString) {
     let report = Report {
         window,
         counts: counts.clone(),
@@ -459,7 +500,8 @@
     state.usage.borrow_mut().finalize(report, Instant::now());
 }
 
-/// The last report: the record in the store, or what is known to have lain there.
+/// The last finalized report: the record in the store, or a newer one that is known to have been
+/// there.
 fn last_report(state: &State, record: Option<UsageRecord>) -> Option<Report> {
     let mut usage = state.usage.borrow_mut();
     if let Some(record) = record {
@@ -469,7 +511,7 @@
         };
         if !usage.merge_finalized(report.clone()) && usage.finalized() != Some(&report) {
             log::info!(
-                "duty: the record of the last report is of window {}, a newer one is known.",
+                "duty: the record in the store is of window {}; going on from a newer known one.",
                 report.window
             );
         }
@@ -477,6 +519,7 @@
     usage.finalized().cloned()
 }
 
+/// Counts as a JSON object of runs by team.
 fn counts_text(counts: &Counts) -> Result<CompactString, serde_json::Error> {
     let map: std::collections::BTreeMap<&str, u32> = counts
         .iter()
@@ -485,22 +528,24 @@
     serde_json::to_string(&map).map(CompactString::from)
 }
 
-async fn send(
+/// Sends a usage report and returns the response status.
+async fn send_usage(
     cloud: &mut Client,
     holder: &Holder,
     window: WindowId,
     counts: &str,
 ) -> Result<u16, WriteError> {
     let call = usage_call(&holder.duty, window, counts)?;
-    Ok(cloud.call(&call, limit(holder)).await?.status)
+    Ok(cloud.call(&call, call_timeout(holder)).await?.status)
 }
 
-fn limit(holder: &Holder) -> Duration {
-    CALL.min(holder.held.left(Instant::now()))
+/// Timeout of a call to the cloud service, which must end before the lease does.
+fn call_timeout(holder: &Holder) -> Duration {
+    CALL_TIMEOUT.min(holder.lease.left(Instant::now()))
 }
 
-/// Orders the endpoints that are wanted.
-async fn order(state: &State, cloud: &mut Client, holder: &mut Holder) {
+/// Orders the desired number of endpoints of each service.
+async fn order_endpoints(state: &State, cloud: &mut Client, holder: &mut Holder) {
     let Some(catalog) = state.catalog.borrow().clone() else {
         return;
     };
@@ -510,29 +555,33 @@
         let work = state.demand.borrow().total(&service.name, now);
         let zones = &state.settings.zones;
         let orders = &mut holder.orders;
-        let wishes = orders.desired_counts(&state.endpoints.borrow(), service, zones, work, now);
-        for wish in wishes {
+        let desired_counts =
+            orders.desired_counts(&state.endpoints.borrow(), service, zones, work, now);
+        for desired in desired_counts {
             let now = Instant::now();
-            if !holder.held.may_act(now) {
+            if !holder.lease.may_act(now) {
                 return;
             }
-            if holder.orders.is_due(&wish, now) {
-                let accepted = place(cloud, holder, &wish).await;
+            if holder.orders.is_due(&desired, now) {
+                let accepted = send_order(cloud, holder, &desired).await;
                 let boot = boot.unwrap_or_default();
-                holder.orders.record(&wish, accepted, boot, Instant::now());
+                holder
+                    .orders
+                    .record(&desired, accepted, boot, Instant::now());
             }
         }
     }
 }
 
-async fn place(cloud: &mut Client, holder: &Holder, wish: &DesiredCount) -> bool {
+/// Sends an order; returns whether it was accepted.
+async fn send_order(cloud: &mut Client, holder: &Holder, desired: &DesiredCount) -> bool {
     let order = Order {
-        service: wish.service.clone(),
-        zone: wish.zone.clone(),
-        desired: wish.count,
-        spot: wish.spot,
+        service: desired.service.clone(),
+        zone: desired.zone.clone(),
+        desired: desired.count,
+        spot: desired.spot,
     };
-    let kind = if wish.spot {
+    let kind = if desired.spot {
         "reclaimable"
     } else {
         "on demand"
@@ -540,22 +589,22 @@
     let call = match order_call(&holder.duty, &order) {
         Ok(call) => call,
         Err(error) => {
-            log::warn!("duty: an order could not be written, {error}.");
+            log::warn!("duty: an order could not be encoded and is not sent, {error}.");
             return false;
         }
     };
-    let answered = cloud.call(&call, limit(holder)).await;
-    let (count, zone) = (wish.count, &wish.zone);
-    match answered {
+    let response = cloud.call(&call, call_timeout(holder)).await;
+    let (count, zone) = (desired.count, &desired.zone);
+    match response {
         Ok(reply) => {
             log::info!(
-                "duty: {count} {kind} in {zone} ordered (status {}).",
+                "duty: {count} {kind} endpoints in {zone} ordered (status {}).",
                 reply.status
             );
             reply.status == 200
         }
         Err(error) => {
-            log::info!("duty: {count} {kind} in {zone} not ordered, {error}.");
+            log::info!("duty: {count} {kind} endpoints in {zone} not ordered, {error}.");
             false
         }
     }
--- a/daemon/src/relay/watch.rs
+++ b/daemon/src/relay/watch.rs
@@ -20,10 +20,10 @@
     read_config, read_listing, read_range, read_rollout, read_status, read_watched, watch,
 };
 
-use super::checkpoint::{self, CHECKPOINT};
+use super::checkpoint::{self, CHECKPOINT_KEY};
 use super::client::{CallError, Client};
 use super::crash::{self, CRASH_PREFIX};
-use super::duties::{LEADER, OWN};
+use super::duties::{LEADER_KEY, OWN_PREFIX};
 use super::state::State;
 
 /// How long the store may hold a watch open. A connection to a store that went
@@ -156,8 +156,8 @@
             take_status(state, item);
         }
     }
-    let (items, _) = list(client, OWN).await?;
-    take_leader(state, items.iter().find(|item| item.key == LEADER));
+    let (items, _) = list(client, OWN_PREFIX).await?;
+    take_leader(state, items.iter().find(|item| item.key == LEADER_KEY));
     for item in items
         .iter()
         .filter(|item| item.key.starts_with(CRASH_PREFIX))
@@ -165,8 +165,8 @@
         crash::restore(state, &item.value);
     }
     if !state.listed.get() {
-        let saved = items.iter().find(|item| item.key == CHECKPOINT);
-        let saved = saved.and_then(|item| checkpoint::read(&item.value));
+        let saved = items.iter().find(|item| item.key == CHECKPOINT_KEY);
+        let saved = saved.and_then(|item| checkpoint::decode(&item.value));
         if let Some(saved) = saved {
             checkpoint::restore_quota(state, &saved);
         }
@@ -250,14 +250,14 @@
                 take_entry(state, item.revision, entry);
             }
         }
-        Change::Put(item) if item.key == LEADER => {
+        Change::Put(item) if item.key == LEADER_KEY => {
             state
                 .follow
                 .borrow_mut()
                 .record_config_change(item.revision);
             take_leader(state, Some(item));
         }
-        Change::Gone(key, revision) if key == LEADER => {
+        Change::Gone(key, revision) if key == LEADER_KEY => {
             state.follow.borrow_mut().record_config_change(*revision);
             take_leader(state, None);
         }
