--- a/daemon/src/relay/checkpoint.rs
+++ b/daemon/src/relay/checkpoint.rs
@@ -38,7 +38,7 @@
         rate: row.rate as u32,
     });
     let mut written = Checkpoint {
-        wall_ms: state.true_ms(),
+        wall_ms: state.unix_ms(),
         daemons: state.peers.borrow().recent_addresses(now).len() as u32 + 1,
         spent: spent.collect(),
         ..Checkpoint::default()
@@ -86,7 +86,7 @@
 
 /// Restores, when this daemon starts, what all daemons admitted before.
 pub(crate) fn restore_quota(state: &State, saved: &Checkpoint) {
-    let age = State::wall().abs_diff(saved.wall_ms);
+    let age = State::wall_ms().abs_diff(saved.wall_ms);
     if u128::from(age) > MAX_ALLOWANCE_AGE.as_millis() {
         log::info!("checkpoint: {age} ms old and ignored; allowances start empty.");
         return;
--- a/daemon/src/relay/crash.rs
+++ b/daemon/src/relay/crash.rs
@@ -164,7 +164,7 @@
             state.quarantined.notify_one();
         }
     }
-    state.news.notify_one();
+    state.digest_due.notify_one();
 }
 
 /// Merges the crashes under a request that another daemon or the store reports.
@@ -205,7 +205,7 @@
             content:% = format_args!("{fingerprint:016x}");
             "crash: request cleared, an endpoint served it."
         );
-        state.news.notify_one();
+        state.digest_due.notify_one();
     }
 }
 
--- a/daemon/src/relay/duties.rs
+++ b/daemon/src/relay/duties.rs
@@ -84,13 +84,13 @@
 
 /// Whether this daemon may try to acquire the duties.
 fn is_vacant(state: &State) -> bool {
-    let is_free = state.leader.borrow().is_none();
+    let is_free = state.duty_holder.borrow().is_none();
     // After the store came back from an older copy, the former duty holder does not know yet
     // that its lease is gone.
     let is_over = !state
         .eras
         .may_outlast(state.settings.bounds.lease, Instant::now());
-    state.listed.get() && state.life().is_serving() && is_free && is_over
+    state.listed.get() && state.phase().is_serving() && is_free && is_over
 }
 
 /// Delay before an attempt to acquire the duties, longer for daemons of a higher rank by
@@ -179,7 +179,7 @@
             log::info!("duty: the store came back from an older copy; giving up the duties.");
             return;
         }
-        if !state.life().is_serving() {
+        if !state.phase().is_serving() {
             release(store, &holder).await;
             return;
         }
@@ -230,7 +230,7 @@
             checkpoint::restore_needs(&mut orders, saved);
         }
         let counted = state.usage.borrow().since(0).map(|row| row.1).min();
-        let first = state.window_at(state.started);
+        let first = state.usage_window(state.started);
         let first = counted.map_or(first, |counted| first.min(counted));
         let next = last.as_ref().map_or(first, |last| last.window + 1);
         return Some(Holder {
@@ -348,7 +348,7 @@
     let due = state
         .rollouts
         .borrow_mut()
-        .due_statuses(state.true_ms(), active);
+        .due_statuses(state.unix_ms(), active);
     for status in due {
         if !holder.lease.may_act(Instant::now()) {
             return;
@@ -395,7 +395,7 @@
     }
     if holder.unsent.is_none() {
         let length = state.settings.bounds.usage_window.as_millis() as u64;
-        let unix_now = state.true_ms();
+        let unix_now = state.unix_ms();
         let deadline = state.settings.bounds.report_deadline.as_millis() as u64;
         // Skips windows whose deadline has passed.
         while (holder.next_window + 1) * length + deadline < unix_now {
@@ -487,7 +487,7 @@
             return Ok(());
         }
     }
-    Err(WriteError::Raced)
+    Err(WriteError::Conflict)
 }
 
 /// Remembers a report that was written to the store, in case the store comes back from an
--- a/lib/src/lists.rs
+++ b/lib/src/lists.rs
@@ -1,18 +1,18 @@
-//! The operators' two lists: customers' plans, and what a plan may use.
+//! The two lists that operators edit: customers, and the plans that they are on.
 //!
-//! The lists are edited and accepted together, so that no customer ever names a
-//! plan that is not there. An accepted pair carries the revision that the
-//! platform's key-value service gave it; daemons adopt only higher revisions.
+//! The lists are edited and accepted together, so that a customer never refers to a
+//! plan that does not exist. An accepted pair carries the revision that the platform's
+//! key-value service assigned to it; daemons apply only higher revisions.
 
 use compact_str::{CompactString, format_compact};
 
 use crate::ids::{CustomerId, ModelId, PlanId, Revision, ServiceId};
 use crate::table::{Row, Table};
 
-/// Most customers or plans in a list; larger lists pass the store's value size.
-pub const MOST_ROWS: usize = 4096;
+/// Maximum number of rows in a list; larger lists would exceed the value size of the store.
+pub const MAX_ROWS: usize = 4096;
 /// Highest priority a plan can have.
-pub const MOST_PRIORITY: u8 = 3;
+pub const MAX_PRIORITY: u8 = 3;
 
 /// A customer and the plan it is on.
 #[proc_macros::setting]
@@ -25,22 +25,22 @@
     pub digests: Vec<CompactString>,
 }
 
-/// What customers on a plan may use.
+/// What a customer on this plan may use.
 #[proc_macros::setting]
 pub struct Plan {
     /// Id of the plan.
     pub id: PlanId,
-    /// Higher goes first, from 0 to [`MOST_PRIORITY`].
+    /// Priority from 0 to [`MAX_PRIORITY`]; higher ones are served first.
     pub priority: u8,
-    /// Requests per second of each customer.
+    /// Requests per second for each customer.
     pub requests: f64,
-    /// Prompt and answer tokens per second of each customer.
+    /// Prompt and answer tokens per second for each customer.
     pub tokens: f64,
-    /// Requests in progress of each customer.
+    /// Requests in progress at once for each customer.
     pub running: u32,
     /// Plain services that may be called.
     pub services: Vec<ServiceId>,
-    /// Models that may be asked.
+    /// Models that may be used.
     pub models: Vec<ModelId>,
 }
 
@@ -75,20 +75,20 @@
     pub plans: Vec<Plan>,
 }
 
-/// A mistake in the lists: the field, what was found and what is allowed.
+/// A validation error in lists or settings: the field, the value found and what is allowed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: found {found}, allowed is {allowed}")]
-pub struct Mistake {
+pub struct ValidationError {
     /// Path of the field.
     pub field: CompactString,
-    /// What stands there.
+    /// Value found there.
     pub found: CompactString,
-    /// What may stand there.
+    /// Allowed values.
     pub allowed: CompactString,
 }
 
-impl Mistake {
-    /// Mistake in `field`.
+impl ValidationError {
+    /// Validation error of `field`.
     pub fn new(
         field: impl Into<CompactString>,
         found: impl Into<CompactString>,
@@ -103,46 +103,50 @@
 }
 
 impl Lists {
-    /// Finds all mistakes; lists without any may be accepted.
-    pub fn check(&self) -> Vec<Mistake> {
-        let mut mistakes = Vec::new();
-        check_count("customers", self.customers.len(), &mut mistakes);
-        check_count("plans", self.plans.len(), &mut mistakes);
+    /// Returns all validation errors; lists without any may be accepted.
+    pub fn check(&self) -> Vec<ValidationError> {
+        let mut errors = Vec::new();
+        check_count("customers", self.customers.len(), &mut errors);
+        check_count("plans", self.plans.len(), &mut errors);
         let plans: Table<Plan> = self.plans.iter().cloned().collect();
-        check_repeats("plans", self.plans.iter().map(|p| &p.id), &mut mistakes);
-        check_repeats(
+        check_duplicates("plans", self.plans.iter().map(|p| &p.id), &mut errors);
+        check_duplicates(
             "customers",
             self.customers.iter().map(|c| &c.id),
-            &mut mistakes,
+            &mut errors,
         );
-        for (at, plan) in self.plans.iter().enumerate() {
-            check_plan(at, plan, &mut mistakes);
+        for (index, plan) in self.plans.iter().enumerate() {
+            check_plan(index, plan, &mut errors);
         }
-        for (at, customer) in self.customers.iter().enumerate() {
-            check_customer(at, customer, &plans, &mut mistakes);
+        for (index, customer) in self.customers.iter().enumerate() {
+            check_customer(index, customer, &plans, &mut errors);
         }
-        check_digests(&self.customers, &mut mistakes);
-        mistakes
+        check_digests(&self.customers, &mut errors);
+        errors
     }
 }
 
-fn check_count(list: &str, count: usize, mistakes: &mut Vec<Mistake>) {
-    if count > MOST_ROWS {
-        let allowed = format_compact!("at most {MOST_ROWS} rows");
-        mistakes.push(Mistake::new(list, format_compact!("{count} rows"), allowed));
+fn check_count(list: &str, count: usize, errors: &mut Vec<ValidationError>) {
+    if count > MAX_ROWS {
+        let allowed = format_compact!("at most {MAX_ROWS} rows");
+        errors.push(ValidationError::new(
+            list,
+            format_compact!("{count} rows"),
+            allowed,
+        ));
     }
 }
 
-fn check_repeats<'a>(
+fn check_duplicates<'a>(
     list: &str,
     ids: impl Iterator<Item = &'a CompactString>,
-    mistakes: &mut Vec<Mistake>,
+    errors: &mut Vec<ValidationError>,
 ) {
     let mut sorted: Vec<_> = ids.collect();
     sorted.sort();
     for pair in sorted.windows(2).filter(|pair| pair[0] == pair[1]) {
         let found = format_compact!("{:?} twice", pair[0]);
-        mistakes.push(Mistake::new(
+        errors.push(ValidationError::new(
             format_compact!("{list}.id"),
             found,
             "each id once",
@@ -150,12 +154,12 @@
     }
 }
 
-fn check_plan(at: usize, plan: &Plan, mistakes: &mut Vec<Mistake>) {
-    check_id(&format_compact!("plans[{at}].id"), &plan.id, mistakes);
-    if plan.priority > MOST_PRIORITY {
-        let field = format_compact!("plans[{at}].priority");
-        let allowed = format_compact!("0 to {MOST_PRIORITY}");
-        mistakes.push(Mistake::new(
+fn check_plan(index: usize, plan: &Plan, errors: &mut Vec<ValidationError>) {
+    check_id(&format_compact!("plans[{index}].id"), &plan.id, errors);
+    if plan.priority > MAX_PRIORITY {
+        let field = format_compact!("plans[{index}].priority");
+        let allowed = format_compact!("0 to {MAX_PRIORITY}");
+        errors.push(ValidationError::new(
             field,
             format_compact!("{}", plan.priority),
             allowed,
@@ -163,9 +167,9 @@
     }
     for (name, rate) in [("requests", plan.requests), ("tokens", plan.tokens)] {
         if !(rate.is_finite() && rate > 0.0 && rate <= 1e9) {
-            let field = format_compact!("plans[{at}].{name}");
+            let field = format_compact!("plans[{index}].{name}");
             let found = format_compact!("{rate}");
-            mistakes.push(Mistake::new(
+            errors.push(ValidationError::new(
                 field,
                 found,
                 "more than 0, at most 1e9 per second",
@@ -173,26 +177,26 @@
         }
     }
     if plan.running == 0 {
-        let field = format_compact!("plans[{at}].running");
-        mistakes.push(Mistake::new(field, "0", "1 or more"));
+        let field = format_compact!("plans[{index}].running");
+        errors.push(ValidationError::new(field, "0", "1 or more"));
     }
 }
 
 fn check_customer(
-    at: usize,
+    index: usize,
     customer: &Customer,
     plans: &Table<Plan>,
-    mistakes: &mut Vec<Mistake>,
+    errors: &mut Vec<ValidationError>,
 ) {
     check_id(
-        &format_compact!("customers[{at}].id"),
+        &format_compact!("customers[{index}].id"),
         &customer.id,
-        mistakes,
+        errors,
     );
     if !plans.contains(&customer.plan) {
-        let field = format_compact!("customers[{at}].plan");
+        let field = format_compact!("customers[{index}].plan");
         let found = format_compact!("{:?}", customer.plan);
-        mistakes.push(Mistake::new(
+        errors.push(ValidationError::new(
             field,
             found,
             "the id of a plan in the list of plans",
@@ -203,9 +207,9 @@
             .bytes()
             .all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
         if digest.len() != 64 || !hex {
-            let field = format_compact!("customers[{at}].digests[{n}]");
+            let field = format_compact!("customers[{index}].digests[{n}]");
             let found = format_compact!("{digest:?}");
-            mistakes.push(Mistake::new(
+            errors.push(ValidationError::new(
                 field,
                 found,
                 "64 lower-case hexadecimal digits",
@@ -214,8 +218,9 @@
     }
 }
 
-/// One API key must not name two customers, or answers would cross.
-fn check_digests(customers: &[Customer], mistakes: &mut Vec<Mistake>) {
+/// An API key must belong to one customer only; otherwise customers could read each other's
+/// answers.
+fn check_digests(customers: &[Customer], errors: &mut Vec<ValidationError>) {
     let mut all: Vec<_> = customers
         .iter()
         .flat_map(|c| c.digests.iter().map(move |d| (d, &c.id)))
@@ -223,28 +228,36 @@
     all.sort();
     for pair in all.windows(2).filter(|pair| pair[0].0 == pair[1].0) {
         let found = format_compact!("one digest at {:?} and {:?}", pair[0].1, pair[1].1);
-        mistakes.push(Mistake::new("customers.digests", found, "each digest once"));
+        errors.push(ValidationError::new(
+            "customers.digests",
+            found,
+            "each digest once",
+        ));
     }
 }
 
-fn check_id(field: &str, id: &str, mistakes: &mut Vec<Mistake>) {
+fn check_id(field: &str, id: &str, errors: &mut Vec<ValidationError>) {
     if !is_id(id) {
         let allowed = "1 to 64 of a-z, A-Z, 0-9, '-', '_' and '.'";
-        mistakes.push(Mistake::new(field, format_compact!("{id:?}"), allowed));
+        errors.push(ValidationError::new(
+            field,
+            format_compact!("{id:?}"),
+            allowed,
+        ));
     }
 }
 
-/// Whether a text can be an id in lists and settings.
+/// Whether a string is a valid id in lists and settings.
 pub fn is_id(id: &str) -> bool {
-    let fine = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
-    !id.is_empty() && id.len() <= 64 && id.bytes().all(fine)
+    let allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
+    !id.is_empty() && id.len() <= 64 && id.bytes().all(allowed)
 }
 
-/// Lists that were accepted, with the revision they were accepted at.
+/// Accepted lists and their revision.
 #[proc_macros::setting]
 #[derive(Default)]
 pub struct Accepted {
-    /// Revision; 0 before any lists.
+    /// Revision; 0 before the first lists.
     pub revision: Revision,
     /// The lists.
     pub lists: Lists,
