--- a/daemon/src/relay/checkpoint.rs
+++ b/daemon/src/relay/checkpoint.rs
@@ -20,8 +20,8 @@
 
 /// Store key of the checkpoint.
 pub(crate) const CHECKPOINT_KEY: &str = "poplarvale/checkpoint";
-/// Periods of the digests within a zone between two checkpoints, in all half a second. Requests
-/// that are admitted after the last checkpoint are estimated from the last rate.
+/// Number of digests a daemon sends within its zone between two checkpoints, which takes half a
+/// second. Requests that are admitted after the last checkpoint are estimated from the last rate.
 pub(crate) const DIGESTS_PER_CHECKPOINT: u32 = 2;
 /// Maximum age of a checkpoint from which a starting daemon restores what teams used. It covers
 /// the restart of all daemons. An older checkpoint says nothing about the last seconds, so the
@@ -97,7 +97,7 @@
         rate: f64::from(row.rate),
     });
     log::info!(
-        "checkpoint: allowances of {} teams restored after {age} ms, with {} daemons before.",
+        "checkpoint: allowances of {} teams restored after {age} ms; {} daemons shared them.",
         saved.spent.len(),
         saved.daemons
     );
--- a/daemon/src/relay/duties.rs
+++ b/daemon/src/relay/duties.rs
@@ -3,8 +3,8 @@
 //! The duty holder reports usage, orders endpoints, writes the states of version moves and saves
 //! checkpoints. It is the daemon that created the leader's key in the store, under a lease that it
 //! renews. Its writes to the store require that the key still has the revision at which it was
-//! created, and its calls to the cloud service carry this revision as a fencing token, so a
-//! former holder can change nothing.
+//! created, and its calls to the cloud service carry this revision as a fencing token, so that both
+//! reject the calls of a former holder.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -125,7 +125,9 @@
         // The key may have been created although the response was lost: its value shows
         // whether it is this daemon's.
         Err(error) => {
-            log::info!("duty: no response to the claim, {error}; reading the leader's key.");
+            log::info!(
+                "duty: no response to the creation of the leader's key, {error}; reading it."
+            );
             let reply = store.call(&get(LEADER_KEY), CALL_TIMEOUT).await?;
             let item = read_item(&reply)?;
             item.filter(|item| item.value == value.as_bytes())
@@ -213,7 +215,9 @@
         let (record, saved) = match read_saved(store).await {
             Ok(read) => read,
             Err(error) => {
-                log::info!("duty: former records not read, {error}; trying again.");
+                log::info!(
+                    "duty: records of the former duty holder not read, {error}; trying again."
+                );
                 tokio::time::sleep(POLL_INTERVAL).await;
                 continue;
             }
@@ -301,10 +305,15 @@
     match removed {
         Ok(call) => {
             if let Err(error) = store.call(&call, CALL_TIMEOUT).await {
-                log::info!("duty: leader's key stays until its lease expires, {error}.");
+                log::info!(
+                    "duty: leader's key not removed, {error}; it stays until its lease expires."
+                );
             }
         }
-        Err(error) => log::warn!("duty: removal of the leader's key not encoded, {error}."),
+        Err(error) => log::warn!(
+            "duty: removal of the leader's key not encoded, {error}; it stays until its lease \
+             expires."
+        ),
     }
 }
 
@@ -462,7 +471,7 @@
         Ok(reply) => read_txn(&reply)?,
         Err(error) => {
             // The write may have been applied, or may still be. The read below, or that of the
-            // next attempt, finds the record and goes on from it.
+            // next attempt, then finds the record, and reporting continues from it.
             log::info!("duty: no response to the record of window {window}, {error}.");
             None
         }
--- a/daemon/src/relay/metrics.rs
+++ b/daemon/src/relay/metrics.rs
@@ -26,7 +26,7 @@
     quarantined: Counter<u64>,
     first_event: Histogram<f64>,
     duration: Histogram<f64>,
-    /// Kept so that it lives as long as the instruments.
+    /// Kept until the instruments are dropped.
     _provider: SdkMeterProvider,
 }
 
