--- a/daemon/src/relay/attempt.rs
+++ b/daemon/src/relay/attempt.rs
@@ -24,7 +24,7 @@
 use tokio::net::tcp::WriteHalf;
 use tokio::time::{Instant, timeout_at};
 
-use super::crash::{Content, clear, suspect};
+use super::crash::{LazyFingerprint, check_crash, clear};
 use super::exchange::{EndpointResponse, ExchangeError, SERVER_ERROR, exchange, read_body};
 use super::state::State;
 use super::stream::{Forwarded, StallTimeout, StreamEnd, forward_stream};
@@ -55,7 +55,7 @@
     pub(crate) version: CatalogVersion,
     /// Versions of the service that it may be sent to.
     pub(crate) versions: Versions,
-    pub(crate) content: Content<'r>,
+    pub(crate) content: LazyFingerprint<'r>,
 }
 
 /// How an attempt ended.
@@ -135,7 +135,7 @@
     record_limit(state, &endpoint, &response, sent_at);
     if response.meta.not_run {
         guard.update(|row| row.full_until = Some(Std::now() + FULL_PAUSE));
-        state.measure(|metrics| metrics.sent("not run"));
+        state.measure(|metrics| metrics.record_attempt("not run"));
         log::info!(
             request = job.head.id.as_str(), endpoint = choice.id.as_str(),
             status = response.head.status; "send: the endpoint did not run the request."
@@ -155,7 +155,7 @@
                 first_event = Some(now);
                 let mut table = state.endpoints.borrow_mut();
                 table.record_first_event(&choice.id, number, now);
-                state.measure(|metrics| metrics.first(job.arrived.elapsed()));
+                state.measure(|metrics| metrics.record_first_event(job.arrived.elapsed()));
                 state.count_run(team, now);
             }
         };
@@ -185,7 +185,7 @@
     let took = sent_at.elapsed() / u32::try_from(events).unwrap_or(u32::MAX);
     record_sample(state, job, choice, &outcome, took);
     if !matches!(outcome, AttemptOutcome::Failed(_)) && !state.crashes.borrow().is_empty() {
-        clear(state, job.content.hash());
+        clear(state, job.content.get());
     }
     match &outcome {
         AttemptOutcome::Failed(error) => {
@@ -198,7 +198,7 @@
             keep_connection(state, address, wire, &response);
         }
         _ => {
-            state.measure(|metrics| metrics.sent("answered"));
+            state.measure(|metrics| metrics.record_attempt("answered"));
             guard.update(|row| row.breaker.record_success());
             keep_connection(state, address, wire, &response);
         }
@@ -258,7 +258,7 @@
             let mut table = state.endpoints.borrow_mut();
             let row = table.get_mut(&choice.id);
             let opened = row.is_some_and(|row| row.breaker.record_connect_failure(Std::now()));
-            state.measure(|metrics| metrics.sent("not connected"));
+            state.measure(|metrics| metrics.record_attempt("not connected"));
             log::info!(
                 request = job.head.id.as_str(), endpoint = choice.id.as_str(), left_out = opened;
                 "send: could not connect to the endpoint, {error}; another one may be tried."
@@ -403,16 +403,16 @@
     let state = &guard.state;
     let mut opened = false;
     guard.update(|row| opened = row.breaker.record_failure(Std::now()));
-    state.measure(|metrics| metrics.sent("failed"));
+    state.measure(|metrics| metrics.record_attempt("failed"));
     log::info!(
         request = job.head.id.as_str(), endpoint = endpoint.id.as_str(), kept = reused,
         left_out = opened, after_ms = job.arrived.elapsed().as_millis() as u64,
-        content:% = format_args!("{:016x}", job.content.hash()),
+        content:% = format_args!("{:016x}", job.content.get()),
         ran_ms = first_event.map(|at| at.elapsed().as_millis() as u64);
         "send: failed, {error}."
     );
     if may_have_crashed(state, endpoint, error, first_event) {
-        suspect(state, endpoint, job.content.hash());
+        check_crash(state, endpoint, job.content.get());
     }
 }
 
--- a/daemon/src/relay/peers.rs
+++ b/daemon/src/relay/peers.rs
@@ -231,7 +231,7 @@
         crashes: crashes
             .report(full, now)
             .into_iter()
-            .map(crash::tell)
+            .map(crash::to_digest)
             .collect(),
         cleared: crashes.report_cleared(now),
         fixed: usage.advertised(now).map(|report| UsageRecord {
@@ -471,10 +471,10 @@
         merge_limit(state, &name, limit, now);
     }
     for row in digest.crashes {
-        crash::hear(state, &name, row);
+        crash::merge(state, &name, row);
     }
     for fingerprint in digest.cleared {
-        crash::hear_cleared(state, &name, fingerprint);
+        crash::merge_cleared(state, &name, fingerprint);
     }
     let loads = digest.endpoints.iter().map(decode_load).collect();
     let peer = Reporter::Daemon(digest.zone, name.clone());
--- a/daemon/src/relay/run.rs
+++ b/daemon/src/relay/run.rs
@@ -13,13 +13,13 @@
 use tokio::signal::unix::{SignalKind, signal};
 
 use super::caller::serve_caller;
-use super::crash::keep_quarantined;
+use super::crash::save_quarantined;
 use super::duties::serve_duties;
+use super::logging::flush;
 use super::peers::{receive, send, send_last_digest};
 use super::probe::serve_probe;
 use super::state::State;
 use super::status::serve_status;
-use super::trail::last_lines;
 use super::watch::watch_store;
 
 /// Connections that may wait to be accepted. A burst after a restart must not overflow this
@@ -92,7 +92,7 @@
         actix_web::rt::spawn(receive(state(), Rc::clone(&relay.peers)));
         actix_web::rt::spawn(send(state(), Rc::clone(&relay.peers)));
         actix_web::rt::spawn(serve_duties(state()));
-        actix_web::rt::spawn(keep_quarantined(state()));
+        actix_web::rt::spawn(save_quarantined(state()));
         actix_web::rt::spawn(expire(state()));
         Ok(relay)
     }
@@ -163,7 +163,7 @@
     );
     wait_for_signal(&relay, path).await?;
     relay.stop().await;
-    last_lines().await;
+    flush().await;
     Ok(())
 }
 
--- a/daemon/src/relay/serve.rs
+++ b/daemon/src/relay/serve.rs
@@ -21,7 +21,7 @@
 use tokio::time::Instant;
 
 use super::attempt::Job;
-use super::crash::{Content, quarantined};
+use super::crash::{LazyFingerprint, quarantine_left};
 use super::dispatch::dispatch;
 use super::state::State;
 
@@ -118,8 +118,8 @@
         return reject(state, write, head, rejection, keep).await;
     };
     let name = team.map_or("", |team| team.name.as_str());
-    let content = Content::new(name, &head.host, request, body);
-    if let Some(left) = quarantined(state, &content) {
+    let content = LazyFingerprint::new(name, &head.host, request, body);
+    if let Some(left) = quarantine_left(state, &content) {
         let rejection = Rejection::retry_later(Code::Quarantined, left);
         return reject(state, write, head, rejection, keep).await;
     }
@@ -229,7 +229,7 @@
     keep: bool,
 ) -> Connection {
     let code = rejection.code.number();
-    state.measure(|metrics| metrics.ended("", code, Duration::ZERO));
+    state.measure(|metrics| metrics.record_request("", code, Duration::ZERO));
     log::info!(
         request = head.id.as_str(), path = head.path.as_str(), code, ran = rejection.ran.word(),
         again_ms = rejection.retry_after.map_or(0, |time| time.as_millis() as u64),
--- a/daemon/src/relay/status.rs
+++ b/daemon/src/relay/status.rs
@@ -69,7 +69,7 @@
         "store_heard_ms": state.connectivity.get().since_answer(now).as_millis() as u64,
         "store_steady_ms": reachable_ms(state.connectivity.get().span(), now),
         "holder": state.duty_holder.borrow().as_deref(),
-        "log_lines_dropped": super::trail::dropped(),
+        "log_lines_dropped": super::logging::dropped_lines(),
         "quarantined": quarantined,
         "endpoints": endpoints,
         "daemons": peers,
--- a/daemon/src/relay/watch.rs
+++ b/daemon/src/relay/watch.rs
@@ -20,10 +20,10 @@
     read_config, read_listing, read_range, read_rollout, read_status, read_watched, watch,
 };
 
-use super::checkpoint::{self, CHECKPOINT};
+use super::checkpoint::{self, CHECKPOINT_KEY};
 use super::client::{CallError, Client};
-use super::crash::{self, CRASHES};
-use super::duties::{LEADER, OWN};
+use super::crash::{self, CRASH_PREFIX};
+use super::duties::{LEADER_KEY, OWN_PREFIX};
 use super::state::State;
 
 /// How long the store may hold a watch open. A connection on which the store stopped answering
@@ -82,12 +82,12 @@
                     failing = false;
                 }
                 state.store_answered(now);
-                state.measure(|metrics| metrics.called("store", "done"));
+                state.measure(|metrics| metrics.record_call("store", "done"));
                 delay = RETRY_DELAY;
                 wait_until_due(&state, now + watch_pause(&state)).await;
             }
             Err(error) => {
-                state.measure(|metrics| metrics.called("store", "failed"));
+                state.measure(|metrics| metrics.record_call("store", "failed"));
                 if !failing {
                     log::warn!("store: call failed, {error}; retrying.");
                     failing = true;
@@ -157,14 +157,17 @@
             apply_status(state, item);
         }
     }
-    let (items, _) = list(client, OWN).await?;
-    set_duty_holder(state, items.iter().find(|item| item.key == LEADER));
-    for item in items.iter().filter(|item| item.key.starts_with(CRASHES)) {
+    let (items, _) = list(client, OWN_PREFIX).await?;
+    set_duty_holder(state, items.iter().find(|item| item.key == LEADER_KEY));
+    for item in items
+        .iter()
+        .filter(|item| item.key.starts_with(CRASH_PREFIX))
+    {
         crash::restore(state, &item.value);
     }
     if !state.listed.get() {
-        let saved = items.iter().find(|item| item.key == CHECKPOINT);
-        let saved = saved.and_then(|item| checkpoint::read(&item.value));
+        let saved = items.iter().find(|item| item.key == CHECKPOINT_KEY);
+        let saved = saved.and_then(|item| checkpoint::decode(&item.value));
         if let Some(saved) = saved {
             checkpoint::restore_quota(state, &saved);
         }
@@ -255,14 +258,14 @@
                 apply_watched(state, item.revision, change);
             }
         }
-        Change::Put(item) if item.key == LEADER => {
+        Change::Put(item) if item.key == LEADER_KEY => {
             state
                 .store_progress
                 .borrow_mut()
                 .record_config_change(item.revision);
             set_duty_holder(state, Some(item));
         }
-        Change::Gone(key, revision) if key == LEADER => {
+        Change::Gone(key, revision) if key == LEADER_KEY => {
             state
                 .store_progress
                 .borrow_mut()
@@ -274,7 +277,9 @@
                 apply_watched(state, *revision, RegistryChange::Removed(id.into()));
             }
         }
-        Change::Put(item) if item.key.starts_with(CRASHES) => crash::restore(state, &item.value),
+        Change::Put(item) if item.key.starts_with(CRASH_PREFIX) => {
+            crash::restore(state, &item.value);
+        }
         Change::Put(_) => {}
     }
 }
