--- a/daemon/src/relay.rs
+++ b/daemon/src/relay.rs
@@ -7,6 +7,7 @@
 //! drops the connection to the endpoint, which cancels the work there.
 
 mod attempt;
+mod buffered_stream;
 mod caller;
 mod checkpoint;
 mod client;
@@ -27,7 +28,6 @@
 mod stream;
 mod upstream;
 mod watch;
-mod wire;
 
 pub use logging::start as start_logging;
 pub use run::{Relay, RelayError, run as run_relay};
--- a/daemon/src/relay/attempt.rs
+++ b/daemon/src/relay/attempt.rs
@@ -24,11 +24,11 @@
 use tokio::net::tcp::WriteHalf;
 use tokio::time::{Instant, timeout_at};
 
+use super::buffered_stream::BufferedStream;
 use super::crash::{LazyFingerprint, check_crash, clear};
 use super::exchange::{EndpointResponse, ExchangeError, SERVER_ERROR, exchange, read_body};
 use super::state::State;
 use super::stream::{Forwarded, StallTimeout, StreamEnd, forward_stream};
-use super::wire::Wire;
 
 /// Longest response that is not a stream. It is buffered completely, so that the request can
 /// still be retried at another endpoint if the response breaks off.
@@ -111,7 +111,7 @@
     mut stall: StallTimeout<'_>,
 ) -> AttemptOutcome {
     let guard = add_in_flight(state, job, choice);
-    let Some((endpoint, mut wire, reused)) = connect(state, job, choice).await else {
+    let Some((endpoint, mut conn, reused)) = connect(state, job, choice).await else {
         return AttemptOutcome::NotSent;
     };
     let address = endpoint.address;
@@ -119,7 +119,7 @@
     let bytes = encode_request(job, choice, forwarded);
     let team = job.team.map(|team| &team.name);
     let sent_at = Std::now();
-    let exchanged = exchange(&mut wire, &bytes, &job.head.id);
+    let exchanged = exchange(&mut conn, &bytes, &job.head.id);
     let response = match stall.wait(true, exchanged).await {
         Some(Ok(response)) => response,
         Some(Err(ExchangeError::NotSent)) => return AttemptOutcome::NotSent,
@@ -140,7 +140,7 @@
             request = job.head.id.as_str(), endpoint = choice.id.as_str(),
             status = response.head.status; "send: the endpoint did not run the request."
         );
-        drain_rejection(state, address, wire, &response).await;
+        drain_rejection(state, address, conn, &response).await;
         return AttemptOutcome::NotRun;
     }
     let is_stream = job.route.retry_policy.is_stream() && response.head.status == OK;
@@ -159,7 +159,7 @@
                 state.count_run(team, now);
             }
         };
-        match forward_stream(&mut wire, &response, forwarded, write, &mut stall, on_event).await {
+        match forward_stream(&mut conn, &response, forwarded, write, &mut stall, on_event).await {
             StreamEnd::Complete => {
                 let events = forwarded.events.count().saturating_sub(events + 1) as u32;
                 let tokens = events
@@ -176,7 +176,7 @@
             StreamEnd::Broken => AttemptOutcome::Failed(ExchangeError::Broken),
         }
     } else {
-        read_response(&mut wire, &response, &mut stall).await
+        read_response(&mut conn, &response, &mut stall).await
     };
     if !is_stream {
         state.count_run(team, sent_at);
@@ -195,12 +195,12 @@
             guard.update(|row| {
                 row.breaker.record_failure(Std::now());
             });
-            keep_connection(state, address, wire, &response);
+            keep_connection(state, address, conn, &response);
         }
         _ => {
             state.measure(|metrics| metrics.record_attempt("answered"));
             guard.update(|row| row.breaker.record_success());
-            keep_connection(state, address, wire, &response);
+            keep_connection(state, address, conn, &response);
         }
     }
     outcome
@@ -250,10 +250,10 @@
     state: &Rc<State>,
     job: &Job<'_>,
     choice: &Choice,
-) -> Option<(Listing, Wire, bool)> {
+) -> Option<(Listing, BufferedStream, bool)> {
     let endpoint = state.endpoints.borrow().get(&choice.id)?.listing.clone();
     match state.upstreams.get(endpoint.address).await {
-        Ok((wire, reused)) => Some((endpoint, wire, reused)),
+        Ok((conn, reused)) => Some((endpoint, conn, reused)),
         Err(error) => {
             let mut table = state.endpoints.borrow_mut();
             let row = table.get_mut(&choice.id);
@@ -344,11 +344,11 @@
 
 /// Reads the body of a response that is not a stream.
 async fn read_response(
-    wire: &mut Wire,
+    conn: &mut BufferedStream,
     response: &EndpointResponse,
     stall: &mut StallTimeout<'_>,
 ) -> AttemptOutcome {
-    let body = read_body(wire, &response.head, MAX_RESPONSE_BYTES);
+    let body = read_body(conn, &response.head, MAX_RESPONSE_BYTES);
     match stall.wait(true, body).await {
         Some(Ok(body)) if response.head.status >= 300 || response.meta.sealed => {
             AttemptOutcome::Complete(response.head.clone(), body)
@@ -420,13 +420,13 @@
 async fn drain_rejection(
     state: &Rc<State>,
     address: SocketAddr,
-    mut wire: Wire,
+    mut conn: BufferedStream,
     response: &EndpointResponse,
 ) {
     let until = Instant::now() + FULL_PAUSE;
-    let body = read_body(&mut wire, &response.head, MAX_RESPONSE_BYTES);
+    let body = read_body(&mut conn, &response.head, MAX_RESPONSE_BYTES);
     if let Ok(Ok(_)) = timeout_at(until, body).await {
-        keep_connection(state, address, wire, response);
+        keep_connection(state, address, conn, response);
     }
 }
 
@@ -434,10 +434,10 @@
 fn keep_connection(
     state: &Rc<State>,
     address: SocketAddr,
-    wire: Wire,
+    conn: BufferedStream,
     response: &EndpointResponse,
 ) {
-    if response.head.keep_alive && response.request_sent && wire.buffer.is_empty() {
-        state.upstreams.put(address, wire, response.meta.idle);
+    if response.head.keep_alive && response.request_sent && conn.buffer.is_empty() {
+        state.upstreams.put(address, conn, response.meta.idle);
     }
 }
--- a/daemon/src/relay/wire.rs
+++ b/daemon/src/relay/buffered_stream.rs
@@ -16,12 +16,12 @@
 
 /// A connection and its read buffer.
 #[derive(Debug)]
-pub(crate) struct Wire {
+pub(crate) struct BufferedStream {
     pub(crate) stream: TcpStream,
     pub(crate) buffer: BytesMut,
 }
 
-impl Wire {
+impl BufferedStream {
     pub(crate) fn new(stream: TcpStream) -> Self {
         Self {
             stream,
@@ -58,7 +58,7 @@
     }
 }
 
-impl Drop for Wire {
+impl Drop for BufferedStream {
     /// Closes the connection by a reset, which discards bytes that were sent but not delivered
     /// because of a partition. After a normal close the kernel keeps sending them for minutes: an
     /// abandoned request would reach an endpoint long after the endpoint left, or in addition to
--- a/daemon/src/relay/caller.rs
+++ b/daemon/src/relay/caller.rs
@@ -14,9 +14,9 @@
 use tokio::net::tcp::{ReadHalf, WriteHalf};
 use tokio::time::{Instant, timeout_at};
 
+use super::buffered_stream::fill;
 use super::serve::{Connection, RETRY_SOON, serve};
 use super::state::{ActiveRequest, State};
-use super::wire::fill;
 
 /// Limit for bytes that are read ahead from a connection while a request is served.
 const MAX_READ_AHEAD_BYTES: usize = 64 * 1024;
--- a/daemon/src/relay/client.rs
+++ b/daemon/src/relay/client.rs
@@ -10,9 +10,9 @@
 use poplarvale_platform::{Call, Reply, StoreError, read_era};
 use tokio::io::AsyncWriteExt as _;
 
+use super::buffered_stream::{BufferedStream, fill};
 use super::era::Eras;
 use super::state::State;
-use super::wire::{Wire, fill};
 
 /// Timeout of a new connection to a service of the platform. A healthy one accepts within a few
 /// milliseconds.
@@ -53,7 +53,7 @@
 #[derive(Debug)]
 pub(crate) struct Client {
     address: SocketAddr,
-    wire: Option<Wire>,
+    conn: Option<BufferedStream>,
     /// Eras of the store, to drop responses of an old era; `None` for other services.
     eras: Option<Rc<Eras>>,
 }
@@ -62,7 +62,7 @@
     pub(crate) fn new(address: SocketAddr) -> Self {
         Self {
             address,
-            wire: None,
+            conn: None,
             eras: None,
         }
     }
@@ -78,19 +78,19 @@
     /// Makes a call and waits for its response, for at most `limit` each for a new connection and
     /// for the exchange.
     pub(crate) async fn call(&mut self, call: &Call, limit: Duration) -> Result<Reply, CallError> {
-        let idle = self.wire.take().filter(Wire::is_clean);
-        let mut wire = match idle {
-            Some(wire) => wire,
-            None => Wire::connect(self.address, CONNECT_TIMEOUT.min(limit), limit)
+        let idle = self.conn.take().filter(BufferedStream::is_clean);
+        let mut conn = match idle {
+            Some(conn) => conn,
+            None => BufferedStream::connect(self.address, CONNECT_TIMEOUT.min(limit), limit)
                 .await
                 .map_err(CallError::NotSent)?,
         };
-        let exchange = exchange(&mut wire, &call.0);
+        let exchange = exchange(&mut conn, &call.0);
         let response = tokio::time::timeout(limit, exchange).await;
         let response = response.map_err(|_elapsed| CallError::TimedOut).flatten();
         let (head, body) = response?;
         if head.keep_alive {
-            self.wire = Some(wire);
+            self.conn = Some(conn);
         }
         let era = match &self.eras {
             Some(eras) => eras.record(read_era(&head)).ok_or(CallError::OldEra)?,
@@ -105,14 +105,17 @@
 }
 
 /// Sends a request and reads its complete response.
-async fn exchange(wire: &mut Wire, request: &Bytes) -> Result<(Response, Bytes), CallError> {
-    let (mut read, mut write) = wire.stream.split();
+async fn exchange(
+    conn: &mut BufferedStream,
+    request: &Bytes,
+) -> Result<(Response, Bytes), CallError> {
+    let (mut read, mut write) = conn.stream.split();
     write.write_all(request).await.map_err(CallError::Broken)?;
     let head = loop {
-        if let Some(head) = Response::take(&mut wire.buffer)? {
+        if let Some(head) = Response::take(&mut conn.buffer)? {
             break head;
         }
-        let more = fill(&mut read, &mut wire.buffer).await;
+        let more = fill(&mut read, &mut conn.buffer).await;
         if more.map_err(CallError::Broken)? == 0 {
             return Err(CallError::Broken(io::ErrorKind::UnexpectedEof.into()));
         }
@@ -120,13 +123,13 @@
     let mut body = Body::new(head.framing);
     let mut bytes = BytesMut::new();
     loop {
-        while let Some(part) = body.take(&mut wire.buffer)? {
+        while let Some(part) = body.take(&mut conn.buffer)? {
             bytes.extend_from_slice(&part);
         }
         if body.is_done() {
             break;
         }
-        let more = fill(&mut read, &mut wire.buffer).await;
+        let more = fill(&mut read, &mut conn.buffer).await;
         if more.map_err(CallError::Broken)? == 0 {
             body.finish()?;
         }
--- a/daemon/src/relay/crash.rs
+++ b/daemon/src/relay/crash.rs
@@ -110,7 +110,7 @@
     let connected = upstream::connect(endpoint.address).await;
     let fingerprints = take_check(&state, incarnation);
     match connected {
-        Ok(wire) => state.upstreams.put(endpoint.address, wire, None),
+        Ok(conn) => state.upstreams.put(endpoint.address, conn, None),
         Err(error) if error.kind() == ErrorKind::ConnectionRefused => {
             log::info!(
                 requests = fingerprints.len();
--- a/daemon/src/relay/exchange.rs
+++ b/daemon/src/relay/exchange.rs
@@ -7,7 +7,7 @@
 use poplarvale_platform::{Answered, answered};
 use tokio::io::AsyncWriteExt as _;
 
-use super::wire::{Wire, fill};
+use super::buffered_stream::{BufferedStream, fill};
 
 /// Responses to earlier requests that are skipped before the connection is abandoned.
 const MAX_STRAY_RESPONSES: usize = 3;
@@ -49,12 +49,12 @@
 /// on at the same time. Late second responses to earlier requests are recognized by their request
 /// id and skipped.
 pub(crate) async fn exchange(
-    wire: &mut Wire,
+    conn: &mut BufferedStream,
     request: &Bytes,
     id: &str,
 ) -> Result<EndpointResponse, ExchangeError> {
-    let (mut read, mut write) = wire.stream.split();
-    let buffer = &mut wire.buffer;
+    let (mut read, mut write) = conn.stream.split();
+    let buffer = &mut conn.buffer;
     let mut written = 0;
     let mut stray_responses = 0;
     loop {
@@ -120,15 +120,15 @@
 /// # Errors
 /// If the connection ends before the body does, or the body is malformed or longer.
 pub(crate) async fn read_body(
-    wire: &mut Wire,
+    conn: &mut BufferedStream,
     head: &Response,
     max_len: usize,
 ) -> io::Result<Bytes> {
-    let (mut read, _write) = wire.stream.split();
+    let (mut read, _write) = conn.stream.split();
     let mut body = Body::new(head.framing);
     let mut bytes = BytesMut::new();
     loop {
-        while let Some(part) = body.take(&mut wire.buffer).map_err(io::Error::other)? {
+        while let Some(part) = body.take(&mut conn.buffer).map_err(io::Error::other)? {
             bytes.extend_from_slice(&part);
             if bytes.len() > max_len {
                 return Err(io::ErrorKind::FileTooLarge.into());
@@ -137,7 +137,7 @@
         if body.is_done() {
             return Ok(bytes.freeze());
         }
-        if fill(&mut read, &mut wire.buffer).await? == 0 {
+        if fill(&mut read, &mut conn.buffer).await? == 0 {
             body.finish().map_err(io::Error::other)?;
         }
     }
--- a/daemon/src/relay/plain_server.rs
+++ b/daemon/src/relay/plain_server.rs
@@ -8,8 +8,8 @@
 use tokio::io::AsyncWriteExt as _;
 use tokio::net::TcpStream;
 
+use super::buffered_stream::fill;
 use super::state::State;
-use super::wire::fill;
 
 /// Longest accepted request head.
 const MAX_HEAD_BYTES: usize = 4096;
--- a/daemon/src/relay/stream.rs
+++ b/daemon/src/relay/stream.rs
@@ -14,8 +14,8 @@
 use tokio::net::tcp::WriteHalf;
 use tokio::time::{Instant, timeout_at};
 
+use super::buffered_stream::{BufferedStream, fill};
 use super::exchange::EndpointResponse;
-use super::wire::{Wire, fill};
 
 /// What was sent to a caller of its stream so far.
 #[derive(Debug)]
@@ -96,20 +96,20 @@
 /// Forwards an endpoint's stream, complete events only. `on_event` is called when the first event
 /// was received, and again for data after it.
 pub(crate) async fn forward_stream(
-    wire: &mut Wire,
+    conn: &mut BufferedStream,
     response: &EndpointResponse,
     forwarded: &mut Forwarded,
     write: &mut WriteHalf<'_>,
     stall: &mut StallTimeout<'_>,
     mut on_event: impl FnMut(),
 ) -> StreamEnd {
-    let (mut read, _write) = wire.stream.split();
+    let (mut read, _write) = conn.stream.split();
     let mut body = Body::new(response.head.framing);
     let count_before = forwarded.events.count();
     loop {
         let mut out = BytesMut::new();
         loop {
-            match body.take(&mut wire.buffer) {
+            match body.take(&mut conn.buffer) {
                 Ok(None) => break,
                 Err(_) => return StreamEnd::Broken,
                 Ok(Some(part)) => match forwarded.events.push(&part) {
@@ -141,7 +141,7 @@
             return StreamEnd::Complete;
         }
         let is_first = forwarded.events.count() == count_before;
-        let more = fill(&mut read, &mut wire.buffer);
+        let more = fill(&mut read, &mut conn.buffer);
         match stall.wait(is_first, more).await {
             Some(Ok(0)) if body.finish().is_ok() => {}
             Some(Ok(len)) if len > 0 => {}
--- a/daemon/src/relay/upstream.rs
+++ b/daemon/src/relay/upstream.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use super::wire::Wire;
+use super::buffered_stream::BufferedStream;
 
 /// Timeout of a new connection to an endpoint. Endpoints accept within a few milliseconds; one that
 /// is unreachable must not delay a caller longer than this.
@@ -19,15 +19,15 @@
 const MAX_IDLE: usize = 12;
 
 /// Opens a new connection to an endpoint.
-pub(crate) async fn connect(address: SocketAddr) -> io::Result<Wire> {
-    Wire::connect(address, CONNECT_TIMEOUT, ACK_TIMEOUT).await
+pub(crate) async fn connect(address: SocketAddr) -> io::Result<BufferedStream> {
+    BufferedStream::connect(address, CONNECT_TIMEOUT, ACK_TIMEOUT).await
 }
 
 /// An idle connection, kept until a time.
 #[derive(Debug)]
 struct IdleConnection {
     address: SocketAddr,
-    wire: Wire,
+    conn: BufferedStream,
     until: Instant,
 }
 
@@ -40,14 +40,14 @@
 impl Upstreams {
     /// Takes an idle connection that is still usable, or opens a new one. The flag tells whether
     /// the connection was used before.
-    pub(crate) async fn get(&self, address: SocketAddr) -> io::Result<(Wire, bool)> {
+    pub(crate) async fn get(&self, address: SocketAddr) -> io::Result<(BufferedStream, bool)> {
         while let Some(idle) = self.take(address) {
-            if Instant::now() < idle.until && idle.wire.is_clean() {
-                return Ok((idle.wire, true));
+            if Instant::now() < idle.until && idle.conn.is_clean() {
+                return Ok((idle.conn, true));
             }
         }
-        let wire = connect(address).await?;
-        Ok((wire, false))
+        let conn = connect(address).await?;
+        Ok((conn, false))
     }
 
     fn take(&self, address: SocketAddr) -> Option<IdleConnection> {
@@ -58,7 +58,7 @@
 
     /// Keeps a connection on which an exchange ended cleanly. `idle_s` is the idle timeout that the
     /// endpoint states, in seconds.
-    pub(crate) fn put(&self, address: SocketAddr, wire: Wire, idle_s: Option<u64>) {
+    pub(crate) fn put(&self, address: SocketAddr, conn: BufferedStream, idle_s: Option<u64>) {
         // Closed well before the endpoint would close it: a request sent at that moment is lost,
         // and a non-idempotent one cannot be retried.
         let keep_for = idle_s.map_or(DEFAULT_IDLE, |seconds| Duration::from_millis(seconds * 600));
@@ -69,7 +69,7 @@
         let until = Instant::now() + keep_for;
         idle.push(IdleConnection {
             address,
-            wire,
+            conn,
             until,
         });
     }
