--- a/lib/tests/test_claims.rs
+++ b/lib/tests/test_claims.rs
@@ -17,7 +17,7 @@
 }
 
 fn rejection(bookings: &Bookings, request: RequestId) -> &Rejection {
-    let mut rejections = bookings.refusals.iter();
+    let mut rejections = bookings.rejections.iter();
     rejections.find(|r| r.request == request).unwrap()
 }
 
@@ -96,7 +96,7 @@
     bookings.book(0, "a", &key, 1);
     bookings.run(MOMENT);
     bookings.crash(0);
-    bookings.look(1);
+    bookings.update_peers(1);
     let retry = bookings.book(1, "a", &key, 1);
     bookings.run(SECOND);
     let rejected = rejection(&bookings, retry);
@@ -198,7 +198,7 @@
     bookings.hand_over(0, 1);
     bookings.run(MOMENT);
     bookings.crash(0);
-    bookings.look(2);
+    bookings.update_peers(2);
     let retry = bookings.book(2, "a", &used, 1);
     let second = bookings.book(2, "a", &unused, 1);
     bookings.run(SECOND);
@@ -213,7 +213,7 @@
     let mut bookings = Bookings::new(3, 1);
     let key = bookings.issue(0, "a").unwrap();
     bookings.crash(0);
-    bookings.look(1);
+    bookings.update_peers(1);
     let late = bookings.book(1, "a", &key, 1);
     bookings.run(SECOND);
     let rejected = rejection(&bookings, late);
@@ -298,7 +298,7 @@
         Event::Freeze(daemon) => bookings.freeze(daemon),
         Event::HandOver(from, to) if from != to => bookings.hand_over(from, to),
         Event::HandOver(..) => {}
-        Event::Look(daemon) => bookings.look(daemon),
+        Event::Look(daemon) => bookings.update_peers(daemon),
         Event::Trouble(down, lossy, late, broken) => {
             bookings.trouble = Trouble {
                 down,
@@ -337,7 +337,7 @@
             let ran = bookings.ran_of(key);
             prop_assert!(ran.len() <= 1, "{:?} ran as {:?}", key, ran);
         }
-        for rejection in &bookings.refusals {
+        for rejection in &bookings.rejections {
             let ran = bookings.ran.contains(&rejection.request);
             prop_assert!(!(ran && rejection.ran == Ran::No), "{:?}", rejection);
         }
--- a/lib/tests/test_config.rs
+++ b/lib/tests/test_config.rs
@@ -55,7 +55,12 @@
 }
 
 fn verdict<'a>(fleet: &'a Fleet, id: &str) -> &'a Verdict {
-    &fleet.told.iter().find(|(edit, _)| edit == id).unwrap().1
+    &fleet
+        .verdicts
+        .iter()
+        .find(|(edit, _)| edit == id)
+        .unwrap()
+        .1
 }
 
 #[test]
@@ -133,7 +138,7 @@
     fleet.run(Duration::from_secs(3));
     fleet.edit(1, edit("two", base + 1, lists(&[], 2)));
     fleet.run(Duration::from_secs(3));
-    fleet.told.clear();
+    fleet.verdicts.clear();
     fleet.edit(5, one);
     fleet.run(Duration::from_secs(3));
     assert_eq!(*verdict(&fleet, "one"), Verdict::Accepted(base + 1));
@@ -319,7 +324,7 @@
         seed: u64,
     ) {
         let mut fleet = Fleet::new(DAEMONS, ZONES, seed);
-        fleet.unruly = unruly;
+        fleet.unreliable = unruly;
         fleet.run(Duration::from_secs(2));
         for (at, event) in events.iter().enumerate() {
             apply(&mut fleet, at, event);
@@ -329,7 +334,7 @@
         fleet.run(Duration::from_secs(11));
         prop_assert!(fleet.settle(IN_FORCE).is_some());
         let taken = taken(&fleet);
-        for (id, verdict) in &fleet.told {
+        for (id, verdict) in &fleet.verdicts {
             match verdict {
                 Verdict::Accepted(_) => prop_assert!(taken.contains(id)),
                 Verdict::Unknown => {}
--- a/lib/testutils/src/platform.rs
+++ b/lib/testutils/src/platform.rs
@@ -1,7 +1,7 @@
 //! Stand-ins for the platform's services.
 //!
-//! The key-value service stands once as plain data, which decision tests use on
-//! virtual time, and once as a program that serves the published API over it.
+//! The key-value service exists as an in-memory model (`data`), which tests use on
+//! virtual time, and as a program that serves the published API over that model (`store`).
 
 pub mod bookings;
 pub mod cloud;
--- a/lib/testutils/src/platform/bookings.rs
+++ b/lib/testutils/src/platform/bookings.rs
@@ -1,5 +1,8 @@
-//! Claimers of some daemons around a key-value service, on virtual time, for the
-//! tests and measurements of `claims`.
+//! Simulates the claimers of several daemons around one key-value service on virtual
+//! time, for the tests and benchmarks of `claims`.
+//!
+//! Callers send bookings with keys; the simulation records which of them ran at an
+//! endpoint, so that a test can check that no key ran twice.
 
 use std::time::{Duration, Instant};
 
@@ -12,38 +15,41 @@
 
 use super::data::Fake;
 
-/// Step of virtual time.
+/// Step of the virtual time.
 const STEP: Duration = Duration::from_millis(5);
-/// Time that the service takes for a write.
-const MOMENT: Duration = Duration::from_millis(3);
+/// Time that the key-value service takes for a write.
+const WRITE_TIME: Duration = Duration::from_millis(3);
 /// Time that an endpoint takes for a booking.
-const BOOKING: Duration = Duration::from_millis(100);
+const BOOKING_TIME: Duration = Duration::from_millis(100);
 
-/// What can go wrong between the parts, while it is switched on.
-#[allow(clippy::struct_excessive_bools, reason = "each is a switch of its own")]
+/// Faults between daemons, key-value service and endpoints; each acts while it is set.
+#[allow(
+    clippy::struct_excessive_bools,
+    reason = "each is an independent switch"
+)]
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Trouble {
-    /// The service can't be reached.
+    /// The key-value service is unreachable.
     pub down: bool,
-    /// Answers of writes get lost, before or after the write takes effect, which
-    /// can be seconds later.
+    /// Half of the writes get no answer. Of these, half never take effect and half take
+    /// effect up to six seconds later.
     pub lossy: bool,
-    /// Messages take up to seconds, and some come twice or never.
+    /// Messages between daemons take up to four seconds; some are duplicated or lost.
     pub late: bool,
-    /// Endpoints break off, or take no connection.
+    /// Endpoints break the exchange off or accept no connection.
     pub broken: bool,
 }
 
-/// A booking as a caller sends it.
+/// A booking that a caller sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Sent {
-    /// Request.
+    /// Id of the request.
     pub request: RequestId,
-    /// Its key.
+    /// Its idempotency key.
     pub key: Key,
 }
 
-/// A daemon as far as its claims go.
+/// A daemon, reduced to its claimer.
 #[derive(Debug)]
 struct Daemon {
     incarnation: Incarnation,
@@ -51,8 +57,10 @@
     inputs: Vec<Input>,
 }
 
+/// A message, call or result that is under way; the first incarnation is the receiver
+/// of `Begin`, `Written`, `Replied` and `Ended` and the sender of `Write` and `Question`.
 #[derive(Debug)]
-enum Mail {
+enum Message {
     Begin(Incarnation, KeyedRequest),
     Write(Incarnation, u64, Write),
     Written(Incarnation, u64, Result<Written, Failure>),
@@ -62,34 +70,34 @@
     Ended(Incarnation, Permit, RunResult),
 }
 
-/// The daemons, the service, and what callers saw.
+/// The daemons, the key-value service, and the results that callers got.
 #[derive(Debug)]
 pub struct Bookings {
-    /// Time.
+    /// Virtual time.
     pub now: Instant,
-    /// The service.
+    /// The key-value service.
     pub store: Fake,
-    /// What goes wrong.
+    /// Faults that are on.
     pub trouble: Trouble,
-    /// Bookings that were sent.
+    /// All bookings sent so far.
     pub sent: Vec<Sent>,
-    /// Requests that ran at an endpoint.
+    /// Requests that ran at an endpoint, in this order.
     pub ran: Vec<RequestId>,
-    /// Kept answers that callers got.
+    /// Stored answers that callers got.
     pub answers: Vec<(RequestId, Answer)>,
-    /// Refusals that callers got.
-    pub refusals: Vec<Rejection>,
-    /// Times from sending to dispatch.
+    /// Rejections that callers got.
+    pub rejections: Vec<Rejection>,
+    /// Times from the arrival of a booking to its dispatch.
     pub waits: Vec<Duration>,
     daemons: Vec<Daemon>,
-    begun: Vec<(RequestId, Instant, KeyedRequest)>,
-    mail: Vec<(Instant, Mail)>,
+    requests: Vec<(RequestId, Instant, KeyedRequest)>,
+    in_flight: Vec<(Instant, Message)>,
     rng: fastrand::Rng,
-    drawn: u64,
+    last_id: u64,
 }
 
 impl Bookings {
-    /// Some daemons that know of each other.
+    /// Starts daemons that know of each other.
     pub fn new(daemons: usize, seed: u64) -> Self {
         let mut bookings = Self {
             now: Instant::now(),
@@ -98,29 +106,29 @@
             sent: Vec::new(),
             ran: Vec::new(),
             answers: Vec::new(),
-            refusals: Vec::new(),
+            rejections: Vec::new(),
             waits: Vec::new(),
             daemons: Vec::new(),
-            begun: Vec::new(),
-            mail: Vec::new(),
+            requests: Vec::new(),
+            in_flight: Vec::new(),
             rng: fastrand::Rng::with_seed(seed),
-            drawn: 0,
+            last_id: 0,
         };
         for _ in 0..daemons {
             let daemon = bookings.start();
             bookings.daemons.push(daemon);
         }
         for at in 0..daemons {
-            bookings.look(at);
+            bookings.update_peers(at);
         }
         bookings
     }
 
-    /// Sends a booking through a daemon.
+    /// Sends a booking to the daemon with index `at`.
     pub fn book(&mut self, at: usize, customer: &str, key: &Key, digest: u128) -> RequestId {
-        self.drawn += 1;
-        let request = RequestId::from(self.drawn);
-        let ask = KeyedRequest {
+        self.last_id += 1;
+        let request = RequestId::from(self.last_id);
+        let keyed = KeyedRequest {
             id: request,
             customer: customer.into(),
             key: key.clone(),
@@ -130,57 +138,57 @@
         };
         let key = key.clone();
         self.sent.push(Sent { request, key });
-        self.begun.push((request, self.now, ask.clone()));
-        self.daemons[at].inputs.push(Input::Begin(ask));
+        self.requests.push((request, self.now, keyed.clone()));
+        self.daemons[at].inputs.push(Input::Begin(keyed));
         request
     }
 
-    /// Lets a daemon issue a key.
+    /// Issues a key at a daemon.
     pub fn issue(&mut self, at: usize, customer: &str) -> Option<Key> {
         self.daemons[at].claimer.issue(&customer.into())
     }
 
-    /// A caller goes away.
+    /// Closes the connection of a request's caller.
     pub fn leave(&mut self, at: usize, request: RequestId) {
         self.daemons[at].inputs.push(Input::CallerLeft(request));
     }
 
-    /// Kills a daemon and starts another in its place.
+    /// Kills a daemon and starts a new incarnation in its place.
     pub fn crash(&mut self, at: usize) {
         self.daemons[at] = self.start();
-        self.look(at);
+        self.update_peers(at);
     }
 
-    /// Announces the reclaim of a daemon.
+    /// Announces to a daemon that its host is reclaimed.
     pub fn freeze(&mut self, at: usize) {
         self.daemons[at].inputs.push(Input::Freeze);
     }
 
-    /// Hands a frozen daemon's keys over to another.
+    /// Hands the keys of a frozen daemon over to another one.
     pub fn hand_over(&mut self, at: usize, to: usize) {
         let to = self.daemons[to].incarnation;
-        let overs = self.daemons[at].claimer.hand_over(to);
-        for over in overs {
+        let hand_overs = self.daemons[at].claimer.hand_over(to);
+        for hand_over in hand_overs {
             if self.trouble.late && self.rng.bool() {
-                self.send(Mail::HandOver(over.clone()));
+                self.send(Message::HandOver(hand_over.clone()));
             }
-            self.send(Mail::HandOver(over));
+            self.send(Message::HandOver(hand_over));
         }
     }
 
-    /// Lets a daemon learn who lives.
-    pub fn look(&mut self, at: usize) {
+    /// Gives a daemon the list of its live peers.
+    pub fn update_peers(&mut self, at: usize) {
         let me = self.daemons[at].incarnation;
         let others = self.daemons.iter().filter(|d| d.incarnation != me);
-        let holders = others.map(|d| Peer {
+        let peers = others.map(|d| Peer {
             incarnation: d.incarnation,
             holds: d.claimer.inherited_issuers(),
         });
-        let holders = Input::Peers(holders.collect());
-        self.daemons[at].inputs.push(holders);
+        let peers = Input::Peers(peers.collect());
+        self.daemons[at].inputs.push(peers);
     }
 
-    /// Lets time pass.
+    /// Advances the virtual time.
     pub fn run(&mut self, time: Duration) {
         let until = self.now + time;
         while self.now < until {
@@ -188,15 +196,15 @@
         }
     }
 
-    /// Requests of a key that ran.
+    /// Requests with this key that ran at an endpoint.
     pub fn ran_of(&self, key: &Key) -> Vec<RequestId> {
         let of = |r: &&RequestId| self.sent.iter().any(|s| s.request == **r && s.key == *key);
         self.ran.iter().filter(of).copied().collect()
     }
 
     fn start(&mut self) -> Daemon {
-        self.drawn += 1;
-        let incarnation = self.rng.u64(..) | self.drawn;
+        self.last_id += 1;
+        let incarnation = self.rng.u64(..) | self.last_id;
         Daemon {
             incarnation,
             claimer: Claimer::new(incarnation, incarnation),
@@ -207,11 +215,11 @@
     fn step(&mut self) {
         self.now += STEP;
         let now = self.now;
-        let mail = std::mem::take(&mut self.mail);
-        let (due, later): (Vec<_>, _) = mail.into_iter().partition(|(at, _)| *at <= now);
-        self.mail = later;
-        for (_, mail) in due {
-            self.deliver(mail);
+        let in_flight = std::mem::take(&mut self.in_flight);
+        let (due, later): (Vec<_>, _) = in_flight.into_iter().partition(|(at, _)| *at <= now);
+        self.in_flight = later;
+        for (_, message) in due {
+            self.deliver(message);
         }
         for at in 0..self.daemons.len() {
             let daemon = &mut self.daemons[at];
@@ -227,22 +235,22 @@
         match command {
             Command::Dispatch(permit) => self.dispatch(me, permit),
             Command::Answer { request, answer } => self.answers.push((request, answer)),
-            Command::Reject(refusal) => self.refusals.push(refusal),
+            Command::Reject(rejection) => self.rejections.push(rejection),
             Command::Forward { request, to } => {
-                let ask = self.begun.iter().find(|(id, ..)| *id == request);
-                let mut ask = ask.expect("it was begun").2.clone();
-                ask.forwarded = true;
-                self.send(Mail::Begin(to, ask));
+                let keyed = self.requests.iter().find(|(id, ..)| *id == request);
+                let mut keyed = keyed.expect("the request was booked here").2.clone();
+                keyed.forwarded = true;
+                self.send(Message::Begin(to, keyed));
             }
-            Command::Question { to, question } => self.send(Mail::Question(me, to, question)),
+            Command::Question { to, question } => self.send(Message::Question(me, to, question)),
             Command::Write { number, write } => self.write(me, number, write),
-            Command::Lease(lasts) => {
+            Command::Lease(ttl) => {
                 self.store.counts.leases += 1;
                 let result = if self.trouble.down {
                     Err(Failure::NotDone)
                 } else {
-                    let id = self.store.data.grant(self.now, 0, lasts);
-                    let until = self.now + lasts;
+                    let id = self.store.data.grant(self.now, 0, ttl);
+                    let until = self.now + ttl;
                     Ok(Lease { id, until })
                 };
                 self.daemons[at].inputs.push(Input::Leased(result));
@@ -252,14 +260,15 @@
 
     fn dispatch(&mut self, me: Incarnation, permit: Permit) {
         let request = permit.request();
-        let begun = self.begun.iter().find(|(id, ..)| *id == request);
-        self.waits.push(self.now - begun.expect("it was begun").1);
-        let fate = if self.trouble.broken {
+        let booked = self.requests.iter().find(|(id, ..)| *id == request);
+        self.waits
+            .push(self.now - booked.expect("the request was booked here").1);
+        let case = if self.trouble.broken {
             self.rng.u32(0..4)
         } else {
             0
         };
-        let end = match fate {
+        let end = match case {
             0 | 1 => RunResult::Answered(Answer {
                 status: 200,
                 content: "text/plain".into(),
@@ -271,8 +280,8 @@
         if end != RunResult::Unsent {
             self.ran.push(request);
         }
-        let mail = Mail::Ended(me, permit, end);
-        self.mail.push((self.now + BOOKING, mail));
+        let message = Message::Ended(me, permit, end);
+        self.in_flight.push((self.now + BOOKING_TIME, message));
     }
 
     fn write(&mut self, me: Incarnation, number: u64, write: Write) {
@@ -282,49 +291,50 @@
             } else {
                 Failure::Unknown
             };
-            return self.send(Mail::Written(me, number, Err(failure)));
+            return self.send(Message::Written(me, number, Err(failure)));
         }
         if self.trouble.lossy && self.rng.bool() {
-            self.send(Mail::Written(me, number, Err(Failure::Unknown)));
+            self.send(Message::Written(me, number, Err(Failure::Unknown)));
             if self.rng.bool() {
                 let delay = Duration::from_millis(self.rng.u64(1..6_000));
-                self.mail.push((self.now + delay, Mail::Write(0, 0, write)));
+                self.in_flight
+                    .push((self.now + delay, Message::Write(0, 0, write)));
             }
             return;
         }
-        self.send(Mail::Write(me, number, write));
+        self.send(Message::Write(me, number, write));
     }
 
-    fn deliver(&mut self, mail: Mail) {
-        match mail {
-            Mail::Begin(..) if self.is_lost() => {}
-            Mail::Begin(to, ask) => self.input(to, Input::Begin(ask)),
-            Mail::Write(from, number, write) => {
+    fn deliver(&mut self, message: Message) {
+        match message {
+            Message::Begin(..) if self.is_lost() => {}
+            Message::Begin(to, keyed) => self.input(to, Input::Begin(keyed)),
+            Message::Write(from, number, write) => {
                 let result = self.store.write(write);
                 let slow = Duration::from_millis(self.store.faults.slow_ms);
-                let written = Mail::Written(from, number, result);
-                self.mail.push((self.now + MOMENT + slow, written));
+                let written = Message::Written(from, number, result);
+                self.in_flight.push((self.now + WRITE_TIME + slow, written));
             }
-            Mail::Written(to, number, result) => {
+            Message::Written(to, number, result) => {
                 self.input(to, Input::Written { number, result });
             }
-            Mail::Question(from, to, question) => {
+            Message::Question(from, to, question) => {
                 let asked = self.find(to).filter(|_| !self.is_lost());
                 let reply = asked.map(|at| self.daemons[at].claimer.reply(&question));
                 let input = Input::Replied { question, reply };
-                self.send(Mail::Replied(from, input));
+                self.send(Message::Replied(from, input));
             }
-            Mail::Replied(to, input) => self.input(to, input),
-            Mail::HandOver(over) => {
-                if let Some(at) = self.find(over.to) {
-                    self.daemons[at].claimer.take_over(self.now, over);
+            Message::Replied(to, input) => self.input(to, input),
+            Message::HandOver(hand_over) => {
+                if let Some(at) = self.find(hand_over.to) {
+                    self.daemons[at].claimer.take_over(self.now, hand_over);
                 }
             }
-            Mail::Ended(to, permit, end) => self.input(to, Input::Ended(permit, end)),
+            Message::Ended(to, permit, end) => self.input(to, Input::Ended(permit, end)),
         }
     }
 
-    /// Whether a message between daemons gets lost.
+    /// Whether a message between daemons is lost.
     fn is_lost(&mut self) -> bool {
         self.trouble.late && self.rng.u32(0..8) == 0
     }
@@ -335,11 +345,11 @@
         }
     }
 
-    fn send(&mut self, mail: Mail) {
+    fn send(&mut self, message: Message) {
         let late = self.trouble.late && self.rng.u32(0..4) == 0;
-        let most = if late { 4_000 } else { 5 };
-        let delay = Duration::from_millis(self.rng.u64(1..most));
-        self.mail.push((self.now + delay, mail));
+        let max_ms = if late { 4_000 } else { 5 };
+        let delay = Duration::from_millis(self.rng.u64(1..max_ms));
+        self.in_flight.push((self.now + delay, message));
     }
 
     fn find(&self, id: Incarnation) -> Option<usize> {
--- a/lib/testutils/src/platform/cloud.rs
+++ b/lib/testutils/src/platform/cloud.rs
@@ -1,7 +1,7 @@
-//! The cloud as a program: hosts, offers, notices and refusals.
+//! HTTP stand-in for the cloud: hosts, offers, reclaim notices and lack of capacity.
 //!
-//! `GET /offers`, `GET /hosts`, `POST /hosts` (idempotent by its token),
-//! `DELETE /hosts/{id}`. Orders to `POST /orders` bring about what goes wrong.
+//! `GET /offers`, `GET /hosts`, `POST /hosts` (idempotent by its token) and
+//! `DELETE /hosts/{id}`. A test sets offers and faults with `POST /orders`.
 
 use std::io;
 use std::net::TcpListener;
@@ -14,35 +14,35 @@
 use poplarvale_lib::protos::platform as wire;
 use serde::{Deserialize, Serialize};
 
-/// What the cloud is ordered to do; what is left out stays as it is.
+/// Offers and faults set by a test; an absent field leaves its setting unchanged.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Orders {
-    /// Offers, in place of those before.
+    /// Offers that replace the previous ones.
     pub offers: Option<Vec<wire::Offer>>,
-    /// Classes and zones that are refused, in place of those before.
+    /// Pairs of class and zone without capacity, which replace the previous ones.
     pub refuse: Option<Vec<(String, String)>>,
-    /// Milliseconds that a start takes.
+    /// Time that a host takes to start, in milliseconds.
     pub start_ms: Option<u64>,
-    /// Hosts that are to be reclaimed.
+    /// Ids of the hosts to reclaim.
     pub reclaim: Vec<String>,
-    /// Zones whose reclaimable hosts are all to be reclaimed.
+    /// Zones in which all reclaimable hosts are to be reclaimed.
     pub reclaim_zones: Vec<String>,
-    /// Milliseconds of notice for them.
+    /// Time between reclaim notice and reclaim, in milliseconds.
     pub notice_ms: u64,
 }
 
 #[derive(Debug)]
 struct Host {
-    known: wire::CloudHost,
-    ready: Instant,
-    gone: Option<Instant>,
+    info: wire::CloudHost,
+    ready_at: Instant,
+    reclaimed_at: Option<Instant>,
 }
 
 #[derive(Debug, Default)]
 struct Cloud {
     hosts: Vec<Host>,
-    /// Hosts ever started, so that no id comes twice.
+    /// Number of hosts started so far, so that ids are unique.
     started: u64,
     offers: Vec<wire::Offer>,
     refuse: Vec<(String, String)>,
@@ -79,14 +79,14 @@
 async fn hosts(state: State) -> HttpResponse {
     let now = Instant::now();
     let hosts = with(&state, |cloud| {
-        cloud.hosts.iter().map(|host| seen(host, now)).collect()
+        cloud.hosts.iter().map(|host| host_at(host, now)).collect()
     });
     HttpResponse::Ok().json(wire::CloudHosts { hosts })
 }
 
-async fn start(state: State, Json(ask): Json<wire::StartHost>) -> HttpResponse {
+async fn start(state: State, Json(request): Json<wire::StartHost>) -> HttpResponse {
     let now = Instant::now();
-    let started = with(&state, |cloud| cloud.start(now, ask));
+    let started = with(&state, |cloud| cloud.start(now, request));
     match started {
         Some(host) => HttpResponse::Ok().json(host),
         None => HttpResponse::ServiceUnavailable().body("no capacity"),
@@ -94,7 +94,7 @@
 }
 
 async fn stop(state: State, id: web::Path<String>) -> HttpResponse {
-    with(&state, |cloud| cloud.hosts.retain(|h| h.known.id != *id));
+    with(&state, |cloud| cloud.hosts.retain(|h| h.info.id != *id));
     HttpResponse::NoContent().finish()
 }
 
@@ -104,32 +104,32 @@
 }
 
 impl Cloud {
-    fn start(&mut self, now: Instant, ask: wire::StartHost) -> Option<wire::CloudHost> {
-        let known = self.hosts.iter().find(|h| h.known.token == ask.token);
+    fn start(&mut self, now: Instant, request: wire::StartHost) -> Option<wire::CloudHost> {
+        let known = self.hosts.iter().find(|h| h.info.token == request.token);
         if let Some(host) = known {
-            return Some(seen(host, now));
+            return Some(host_at(host, now));
         }
-        let place = (ask.class.clone(), ask.zone.clone());
-        if self.refuse.contains(&place) {
+        let class_zone = (request.class.clone(), request.zone.clone());
+        if self.refuse.contains(&class_zone) {
             return None;
         }
         self.started += 1;
-        let known = wire::CloudHost {
+        let info = wire::CloudHost {
             id: format!("host-{}", self.started),
-            token: ask.token,
-            class: ask.class,
-            zone: ask.zone,
-            reclaimable: ask.reclaimable,
-            service: ask.service,
-            version: ask.version,
+            token: request.token,
+            class: request.class,
+            zone: request.zone,
+            reclaimable: request.reclaimable,
+            service: request.service,
+            version: request.version,
             ..wire::CloudHost::default()
         };
         let host = Host {
-            known,
-            ready: now + self.start,
-            gone: None,
+            info,
+            ready_at: now + self.start,
+            reclaimed_at: None,
         };
-        let answer = seen(&host, now);
+        let answer = host_at(&host, now);
         self.hosts.push(host);
         Some(answer)
     }
@@ -142,21 +142,23 @@
         }
         let gone = now + Duration::from_millis(orders.notice_ms);
         for host in &mut self.hosts {
-            let named = orders.reclaim.contains(&host.known.id);
-            let swept = host.known.reclaimable && orders.reclaim_zones.contains(&host.known.zone);
-            if named || swept {
-                host.gone.get_or_insert(gone);
+            let named = orders.reclaim.contains(&host.info.id);
+            let in_zone = host.info.reclaimable && orders.reclaim_zones.contains(&host.info.zone);
+            if named || in_zone {
+                host.reclaimed_at.get_or_insert(gone);
             }
         }
     }
 }
 
-/// A host as it is at a time.
-fn seen(host: &Host, now: Instant) -> wire::CloudHost {
-    let left = host.gone.map(|gone| gone.saturating_duration_since(now));
+/// A host as the cloud's API reports it at the time `now`.
+fn host_at(host: &Host, now: Instant) -> wire::CloudHost {
+    let left = host
+        .reclaimed_at
+        .map(|gone| gone.saturating_duration_since(now));
     let state = if left == Some(Duration::ZERO) {
         "reclaimed"
-    } else if now < host.ready {
+    } else if now < host.ready_at {
         "starting"
     } else {
         "running"
@@ -164,6 +166,6 @@
     wire::CloudHost {
         state: state.into(),
         left_ms: left.map(|left| left.as_millis() as u64),
-        ..host.known.clone()
+        ..host.info.clone()
     }
 }
--- a/lib/testutils/src/platform/data.rs
+++ b/lib/testutils/src/platform/data.rs
@@ -1,7 +1,8 @@
-//! The key-value service as plain data, on whatever time the caller gives.
+//! In-memory model of the key-value service: values, revisions and leases, at the time
+//! that the caller passes in.
 //!
-//! [`Fake`] adds the faults and the counts; the program and the tests of
-//! decisions use the same ones.
+//! [`Fake`] adds faults and call counts. The stand-in program (see `store`) and the
+//! tests on virtual time share this model, so that both meet the same behaviour.
 
 use std::cell::{Cell, RefCell};
 use std::time::{Duration, Instant};
@@ -14,10 +15,10 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Milliseconds that a call may take.
-const CALL_MS: u64 = 1_000;
+/// Timeout of a call in milliseconds.
+const CALL_TIMEOUT_MS: u64 = 1_000;
 
-/// Values and leases.
+/// Values and leases of the service.
 #[derive(Clone, Debug, Default)]
 pub struct Data {
     rows: Vec<StoredValue>,
@@ -38,7 +39,7 @@
         Some(&self.rows[at])
     }
 
-    /// Values from a key on, until an end that is left out; one if no end.
+    /// Values from the key `from` up to but without `end`; only `from` itself if `end` is empty.
     pub fn range(&self, from: &str, end: &[u8]) -> Snapshot {
         let rows = if end.is_empty() {
             self.get(from).into_iter().cloned().collect()
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Puts values together, at one new revision.
+    /// Writes values atomically, all at one new revision.
     pub fn put(&mut self, puts: Vec<Put>) -> Revision {
         self.revision += 1;
         for put in puts {
@@ -76,23 +77,23 @@
         self.revision
     }
 
-    /// Gives a lease; an id of 0 lets one be drawn.
-    pub fn grant(&mut self, now: Instant, id: LeaseId, lasts: Duration) -> LeaseId {
+    /// Grants a lease; with an id of 0 the service chooses the id.
+    pub fn grant(&mut self, now: Instant, id: LeaseId, ttl: Duration) -> LeaseId {
         self.next_lease += 1;
         let id = if id == 0 { self.next_lease } else { id };
         self.leases.retain(|lease| lease.0 != id);
-        self.leases.push((id, now + lasts, lasts));
+        self.leases.push((id, now + ttl, ttl));
         id
     }
 
-    /// Renews a lease and tells how long it lasts.
+    /// Renews a lease and returns its duration; `None` if it does not exist.
     pub fn renew(&mut self, now: Instant, id: LeaseId) -> Option<Duration> {
         let lease = self.leases.iter_mut().find(|lease| lease.0 == id)?;
         lease.1 = now + lease.2;
         Some(lease.2)
     }
 
-    /// Ends a lease and takes away its values.
+    /// Ends a lease and removes its values.
     pub fn revoke(&mut self, id: LeaseId) {
         self.leases.retain(|lease| lease.0 != id);
         let before = self.rows.len();
@@ -102,29 +103,29 @@
         }
     }
 
-    /// Ends the leases that have lapsed.
-    pub fn lapse(&mut self, now: Instant) {
-        let lapsed = self.leases.iter().filter(|lease| lease.1 <= now);
-        let lapsed: Vec<_> = lapsed.map(|lease| lease.0).collect();
-        for id in lapsed {
+    /// Ends the expired leases and removes their values.
+    pub fn expire_leases(&mut self, now: Instant) {
+        let expired = self.leases.iter().filter(|lease| lease.1 <= now);
+        let expired: Vec<_> = expired.map(|lease| lease.0).collect();
+        for id in expired {
             self.revoke(id);
         }
     }
 
     fn put_one(&mut self, put: Put) {
-        let held = StoredValue {
+        let stored = StoredValue {
             key: put.key,
             value: put.value,
             created: self.revision,
             changed: self.revision,
             lease: put.lease,
         };
-        match self.position(&held.key) {
+        match self.position(&stored.key) {
             Ok(at) => {
                 let created = self.rows[at].created;
-                self.rows[at] = StoredValue { created, ..held };
+                self.rows[at] = StoredValue { created, ..stored };
             }
-            Err(at) => self.rows.insert(at, held),
+            Err(at) => self.rows.insert(at, stored),
         }
     }
 
@@ -133,7 +134,7 @@
     }
 }
 
-/// End of the range of keys with a prefix.
+/// Exclusive end of the range of keys that start with a prefix.
 pub fn prefix_end(prefix: &str) -> Vec<u8> {
     let mut end = prefix.as_bytes().to_vec();
     if let Some(last) = end.last_mut() {
@@ -142,7 +143,7 @@
     end
 }
 
-/// Faults that are switched on by an order, which replaces the one before.
+/// Faults of the service, set by an order; each order replaces the previous one.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
@@ -150,44 +151,45 @@
     pub down: bool,
     /// Never answers.
     pub hang: bool,
-    /// Milliseconds until each call is done.
+    /// Delay of each call in milliseconds.
     pub slow_ms: u64,
-    /// Next answers of writes that get lost after the write took effect.
+    /// Number of coming answers to writes and lease calls that are lost after the call took
+    /// effect.
     pub lose: u32,
-    /// Drops all watches that stand now, without breaking them.
+    /// Stops sending events to all watches that are open now, without closing them.
     pub forget_watches: bool,
 }
 
-/// Calls by kind since the start.
+/// Number of calls by kind since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
     /// Reads of one key.
     pub reads: u64,
     /// Reads of a range of keys.
     pub ranges: u64,
-    /// Writes, with or without effect.
+    /// Writes, including those whose conditions failed.
     pub writes: u64,
-    /// Calls about leases.
+    /// Calls that grant, renew or revoke a lease.
     pub leases: u64,
-    /// Watches.
+    /// Watches opened.
     pub watches: u64,
 }
 
 impl Counts {
-    /// All calls.
+    /// Sum over all kinds.
     pub fn total(&self) -> u64 {
         self.reads + self.ranges + self.writes + self.leases + self.watches
     }
 }
 
-/// The service with its faults and counts, for tests on virtual time.
+/// The service with its faults and call counts, for tests on virtual time.
 #[derive(Clone, Debug, Default)]
 pub struct Fake {
     /// Values and leases.
     pub data: Data,
     /// Faults that are on.
     pub faults: Faults,
-    /// Calls so far.
+    /// Number of calls so far.
     pub counts: Counts,
 }
 
@@ -195,28 +197,28 @@
     /// Reads all keys with a prefix.
     pub fn range(&mut self, prefix: &str) -> Result<Snapshot, Failure> {
         self.counts.ranges += 1;
-        self.up()?;
+        self.check_available()?;
         Ok(self.data.prefix(prefix))
     }
 
     /// Reads one key.
     pub fn get(&mut self, key: &str) -> Result<Snapshot, Failure> {
         self.counts.reads += 1;
-        self.up()?;
+        self.check_available()?;
         Ok(self.data.range(key, &[]))
     }
 
-    /// Puts values if conditions hold.
+    /// Writes values if the conditions hold.
     pub fn write(&mut self, write: Write) -> Result<Written, Failure> {
         self.counts.writes += 1;
-        self.up()?;
+        self.check_available()?;
         let written = apply(&mut self.data, write);
-        self.keep_answer()?;
+        self.deliver_answer()?;
         written
     }
 
-    /// Whether the next answer of a write arrives.
-    pub fn keep_answer(&mut self) -> Result<(), Failure> {
+    /// Fails with an unknown outcome as long as answers are to be lost; counts this one.
+    pub fn deliver_answer(&mut self) -> Result<(), Failure> {
         if self.faults.lose > 0 {
             self.faults.lose -= 1;
             return Err(Failure::Unknown);
@@ -224,8 +226,8 @@
         Ok(())
     }
 
-    fn up(&self) -> Result<(), Failure> {
-        // A caller can't tell a service that is down from a lost answer.
+    fn check_available(&self) -> Result<(), Failure> {
+        // A caller cannot distinguish an unavailable service from a lost answer.
         if self.faults.down || self.faults.hang {
             return Err(Failure::Unknown);
         }
@@ -233,16 +235,16 @@
     }
 }
 
-/// The fake behind the trait, for code that is written against it.
+/// [`Fake`] behind the [`Store`] trait, for code that is written against the trait.
 ///
-/// Every call is answered at once, at the time that was set last. A service that
-/// is slower than a call may take is one that never answers in time, so its
-/// writes take effect and are of unknown outcome.
+/// Every call is answered immediately, at the time set last in `now`. If the delay reaches the
+/// timeout of a call, no answer arrives in time: writes take effect, but their
+/// outcome is unknown to the caller.
 #[derive(Debug)]
 pub struct FakeStore {
     /// The service.
     pub fake: RefCell<Fake>,
-    /// Time.
+    /// Virtual time.
     pub now: Cell<Instant>,
 }
 
@@ -257,9 +259,9 @@
 
     fn with<T>(&self, act: impl FnOnce(&mut Fake) -> Result<T, Failure>) -> Result<T, Failure> {
         let mut fake = self.fake.borrow_mut();
-        fake.data.lapse(self.now.get());
+        fake.data.expire_leases(self.now.get());
         let done = act(&mut fake);
-        if fake.faults.slow_ms >= CALL_MS {
+        if fake.faults.slow_ms >= CALL_TIMEOUT_MS {
             return Err(Failure::Unknown);
         }
         done
@@ -271,9 +273,9 @@
     ) -> Result<Option<Lease>, Failure> {
         self.with(|fake| {
             fake.counts.leases += 1;
-            fake.up()?;
+            fake.check_available()?;
             let lease = act(&mut fake.data);
-            fake.keep_answer()?;
+            fake.deliver_answer()?;
             Ok(lease)
         })
     }
@@ -318,7 +320,7 @@
         revoked.map(|_none| ())
     }
 
-    /// Tells the value that stands, and breaks.
+    /// Reports the current value if it is new enough, then ends the watch.
     async fn watch(
         &self,
         key: &str,
@@ -327,9 +329,9 @@
     ) -> Failure {
         let mut fake = self.fake.borrow_mut();
         fake.counts.watches += 1;
-        let held = fake.data.get(key).filter(|held| held.changed >= from);
-        if let Some(held) = held {
-            on_change(held.clone());
+        let stored = fake.data.get(key).filter(|stored| stored.changed >= from);
+        if let Some(stored) = stored {
+            on_change(stored.clone());
         }
         Failure::Unknown
     }
--- a/lib/testutils/src/platform/fleet.rs
+++ b/lib/testutils/src/platform/fleet.rs
@@ -1,9 +1,9 @@
-//! Keepers of a few or of hundreds of daemons around a key-value service, on
-//! virtual time, for the tests and measurements of `config`.
+//! Simulates the configuration keepers of up to hundreds of daemons around one key-value
+//! service on virtual time, for the tests and benchmarks of `config`.
 //!
-//! Gossip is reduced to what the keepers need of it: once a second each daemon
-//! tells its revision to one peer of its zone and, two of a zone on average, to
-//! one of another zone.
+//! Gossip is reduced to what the keepers need: once a second each daemon sends its
+//! revision to one peer of its zone; on average two daemons of each zone also send
+//! theirs to a peer of another zone.
 
 use std::time::{Duration, Instant};
 
@@ -13,17 +13,17 @@
 
 use super::data::Fake;
 
-/// Step of virtual time.
+/// Step of the virtual time.
 const STEP: Duration = Duration::from_millis(50);
-/// Time between two rounds of gossip of a daemon.
-const ROUND: Duration = Duration::from_secs(1);
+/// Time between two gossip rounds of a daemon.
+const GOSSIP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A daemon as far as its lists go.
+/// A daemon, reduced to its configuration keeper.
 #[derive(Debug)]
 pub struct Daemon {
-    /// Who it is.
+    /// Its incarnation and zone.
     pub peer: Peer,
-    /// Its keeper.
+    /// Its configuration keeper.
     pub keeper: Keeper,
     zone: usize,
     watches: bool,
@@ -32,57 +32,59 @@
     adopted: Revision,
 }
 
-/// How a zone is cut off.
+/// Network partition of a zone.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Cut {
-    /// From the other zones.
+    /// No connection to the other zones.
     pub peers: bool,
-    /// From the key-value service.
+    /// No connection to the key-value service.
     pub store: bool,
 }
 
+/// A message or call that is under way.
 #[derive(Debug)]
-enum Mail {
+enum Message {
     Input(Incarnation, Input),
     Pull(Incarnation, Incarnation, Pull),
     Call(Incarnation, Instant, Command),
+    /// A write that takes effect after its caller got no answer.
     Late(Write),
 }
 
-/// The daemons, the service and what is under way between them.
+/// The daemons, the key-value service and the messages under way between them.
 #[derive(Debug)]
 pub struct Fleet {
-    /// Time.
+    /// Virtual time.
     pub now: Instant,
-    /// The service.
+    /// The key-value service.
     pub store: Fake,
-    /// How each zone is cut off.
+    /// Partition of each zone.
     pub cuts: Vec<Cut>,
-    /// Whether messages overtake each other, watches repeat events, and writes of
-    /// a zone that is cut off arrive seconds late.
-    pub unruly: bool,
-    /// Daemons that live.
+    /// Whether messages are reordered, watches repeat events, and half of the writes of a
+    /// zone without connection to the service take effect up to five seconds late.
+    pub unreliable: bool,
+    /// Live daemons.
     pub daemons: Vec<Daemon>,
-    /// What operators were told.
-    pub told: Vec<(String, Verdict)>,
-    mail: Vec<(Instant, Mail)>,
+    /// Edits and the verdicts that operators got for them.
+    pub verdicts: Vec<(String, Verdict)>,
+    in_flight: Vec<(Instant, Message)>,
     rng: fastrand::Rng,
-    drawn: u64,
+    last_id: u64,
 }
 
 impl Fleet {
-    /// Some daemons spread over some zones.
+    /// Starts daemons, spread evenly over the zones.
     pub fn new(daemons: usize, zones: usize, seed: u64) -> Self {
         let mut fleet = Self {
             now: Instant::now(),
             store: Fake::default(),
             cuts: vec![Cut::default(); zones],
-            unruly: false,
+            unreliable: false,
             daemons: Vec::new(),
-            told: Vec::new(),
-            mail: Vec::new(),
+            verdicts: Vec::new(),
+            in_flight: Vec::new(),
             rng: fastrand::Rng::with_seed(seed),
-            drawn: 0,
+            last_id: 0,
         };
         for at in 0..daemons {
             let daemon = fleet.start(at % zones);
@@ -91,44 +93,44 @@
         fleet
     }
 
-    /// Replaces a daemon by a new one of its zone.
+    /// Replaces a daemon by a new one in the same zone.
     pub fn restart(&mut self, at: usize) {
         let zone = self.daemons[at].zone;
         self.daemons[at] = self.start(zone);
     }
 
-    /// Gives a daemon an edit.
+    /// Sends an operator's edit to a daemon.
     pub fn edit(&mut self, at: usize, proposal: Proposal) {
         self.daemons[at].inputs.push(Input::Edit(proposal));
     }
 
-    /// Drops all watches without breaking them.
+    /// Stops sending events to all watches without closing them.
     pub fn forget_watches(&mut self) {
         for daemon in &mut self.daemons {
             daemon.watches = false;
         }
     }
 
-    /// Ends all cuts and faults.
+    /// Ends all partitions and faults.
     pub fn heal(&mut self) {
-        self.unruly = false;
+        self.unreliable = false;
         self.cuts.fill(Cut::default());
         self.store.faults = super::data::Faults::default();
     }
 
-    /// Revision of the lists in the service.
+    /// Revision of the lists in the key-value service.
     pub fn head(&self) -> Revision {
-        self.store.data.get(HEAD).map_or(0, |held| held.changed)
+        self.store.data.get(HEAD).map_or(0, |stored| stored.changed)
     }
 
-    /// Whether the service's lists are in force everywhere.
+    /// Whether every daemon has applied the lists in the key-value service.
     pub fn is_settled(&self) -> bool {
         let head = self.head();
         let mut daemons = self.daemons.iter();
         daemons.all(|d| d.keeper.accepted().revision == head && !d.keeper.is_starting())
     }
 
-    /// Lets time pass; panics if a daemon goes back.
+    /// Advances the virtual time; panics if a daemon returns to an older revision.
     pub fn run(&mut self, time: Duration) {
         let until = self.now + time;
         while self.now < until {
@@ -136,10 +138,11 @@
         }
     }
 
-    /// Lets time pass until all is settled, and tells how long that took.
-    pub fn settle(&mut self, most: Duration) -> Option<Duration> {
+    /// Advances the virtual time until [`Self::is_settled`], and returns how long that took;
+    /// `None` if it takes `limit` or longer.
+    pub fn settle(&mut self, limit: Duration) -> Option<Duration> {
         let start = self.now;
-        while self.now < start + most {
+        while self.now < start + limit {
             if self.is_settled() {
                 return Some(self.now - start);
             }
@@ -149,8 +152,8 @@
     }
 
     fn start(&mut self, zone: usize) -> Daemon {
-        self.drawn += 1;
-        let incarnation = self.rng.u64(..) | self.drawn;
+        self.last_id += 1;
+        let incarnation = self.rng.u64(..) | self.last_id;
         let peer = Peer {
             incarnation,
             zone: format!("z{zone}").into(),
@@ -160,7 +163,7 @@
             peer,
             zone,
             watches: false,
-            round: self.now + ROUND.mul_f64(self.rng.f64()),
+            round: self.now + GOSSIP_INTERVAL.mul_f64(self.rng.f64()),
             inputs: Vec::new(),
             adopted: 0,
         }
@@ -177,7 +180,10 @@
             let inputs = std::mem::take(&mut daemon.inputs);
             let commands = daemon.keeper.tick(self.now, inputs);
             let revision = daemon.keeper.accepted().revision;
-            assert!(revision >= daemon.adopted, "a daemon went back");
+            assert!(
+                revision >= daemon.adopted,
+                "a daemon returned to an older revision"
+            );
             daemon.adopted = revision;
             for command in commands {
                 self.command(at, command);
@@ -187,48 +193,52 @@
 
     fn deliver(&mut self) {
         let now = self.now;
-        let (due, later) = std::mem::take(&mut self.mail)
+        let (due, later) = std::mem::take(&mut self.in_flight)
             .into_iter()
             .partition(|(at, _)| *at <= now);
-        self.mail = later;
-        let due: Vec<(Instant, Mail)> = due;
-        for (_, mail) in due {
-            match mail {
-                Mail::Input(to, input) => {
+        self.in_flight = later;
+        let due: Vec<(Instant, Message)> = due;
+        for (_, message) in due {
+            match message {
+                Message::Input(to, input) => {
                     if let Some(at) = self.find(to) {
                         self.daemons[at].inputs.push(input);
                     }
                 }
-                Mail::Pull(from, to, pull) => self.pull(from, to, &pull),
-                Mail::Call(from, sent, command) => self.call(from, sent, command),
-                Mail::Late(write) => {
+                Message::Pull(from, to, pull) => self.pull(from, to, &pull),
+                Message::Call(from, sent, command) => self.call(from, sent, command),
+                Message::Late(write) => {
                     self.store.write(write).ok();
-                    self.tell_watches();
+                    self.notify_watches();
                 }
             }
         }
     }
 
     fn gossip(&mut self, at: usize) {
-        self.daemons[at].round += ROUND;
+        self.daemons[at].round += GOSSIP_INTERVAL;
         let me = &self.daemons[at];
         let others = self.daemons.iter().filter(|d| d.peer != me.peer);
-        let reached = others.filter(|d| self.joined(me.zone, d.zone));
-        let (near, far): (Vec<_>, Vec<_>) = reached.partition(|d| d.zone == me.zone);
-        let bridge = 2.0 / (near.len() + 1) as f64;
-        let mut told = Vec::new();
-        told.extend(self.rng.choice(&near).map(|d| d.peer.incarnation));
+        let reached = others.filter(|d| self.connected(me.zone, d.zone));
+        let (local, remote): (Vec<_>, Vec<_>) = reached.partition(|d| d.zone == me.zone);
+        let bridge = 2.0 / (local.len() + 1) as f64;
+        let mut targets = Vec::new();
+        targets.extend(self.rng.choice(&local).map(|d| d.peer.incarnation));
         if self.rng.f64() < bridge {
-            told.extend(self.rng.choice(&far).map(|d| d.peer.incarnation));
+            targets.extend(self.rng.choice(&remote).map(|d| d.peer.incarnation));
         }
-        let peers = near.iter().chain(&far).map(|d| d.peer.clone()).collect();
-        let heard = Input::Heard {
+        let peers = local
+            .iter()
+            .chain(&remote)
+            .map(|d| d.peer.clone())
+            .collect();
+        let report = Input::Heard {
             peer: me.peer.incarnation,
             revision: me.keeper.accepted().revision,
             age: me.keeper.age(self.now),
         };
-        for to in told {
-            self.send(Mail::Input(to, heard.clone()));
+        for to in targets {
+            self.send(Message::Input(to, report.clone()));
         }
         self.daemons[at].inputs.push(Input::Peers(peers));
     }
@@ -237,26 +247,26 @@
         let me = self.daemons[at].peer.incarnation;
         match command {
             Command::Unwatch => self.daemons[at].watches = false,
-            Command::Pull { peer, pull } => self.send(Mail::Pull(me, peer, pull)),
+            Command::Pull { peer, pull } => self.send(Message::Pull(me, peer, pull)),
             Command::Adopt(_) => {}
             Command::Announce { peer, revision } => self.announce(at, peer, revision),
-            Command::Tell { edit, verdict } => self.told.push((edit.to_string(), verdict)),
-            call => self.send(Mail::Call(me, self.now, call)),
+            Command::Tell { edit, verdict } => self.verdicts.push((edit.to_string(), verdict)),
+            call => self.send(Message::Call(me, self.now, call)),
         }
     }
 
     fn announce(&mut self, at: usize, to: Incarnation, revision: Revision) {
         let from = &self.daemons[at];
         let reached = self.find(to).map(|to| self.daemons[to].zone);
-        if reached.is_some_and(|zone| self.joined(from.zone, zone)) {
+        if reached.is_some_and(|zone| self.connected(from.zone, zone)) {
             let peer = from.peer.incarnation;
             let age = None;
-            let heard = Input::Heard {
+            let report = Input::Heard {
                 peer,
                 revision,
                 age,
             };
-            self.send(Mail::Input(to, heard));
+            self.send(Message::Input(to, report));
         }
     }
 
@@ -264,10 +274,10 @@
         let asked = self.find(from).zip(self.find(to));
         let reached = asked.filter(|(a, b)| {
             let (a, b) = (&self.daemons[*a], &self.daemons[*b]);
-            self.joined(a.zone, b.zone)
+            self.connected(a.zone, b.zone)
         });
         let answer = reached.map(|(_, at)| self.daemons[at].keeper.answer(self.now, pull));
-        self.send(Mail::Input(from, Input::Pulled { peer: to, answer }));
+        self.send(Message::Input(from, Input::Pulled { peer: to, answer }));
     }
 
     fn call(&mut self, from: Incarnation, sent: Instant, command: Command) {
@@ -294,7 +304,7 @@
                 } else {
                     self.store.write(write)
                 };
-                self.tell_watches();
+                self.notify_watches();
                 Input::Written { edit, result }
             }
             Command::Watch(revision) => {
@@ -308,27 +318,29 @@
             _ => return,
         };
         let slow = Duration::from_millis(self.store.faults.slow_ms);
-        self.mail.push((self.now + slow, Mail::Input(from, input)));
+        self.in_flight
+            .push((self.now + slow, Message::Input(from, input)));
     }
 
     fn delay(&mut self, write: Write) {
-        if self.unruly && self.rng.bool() {
+        if self.unreliable && self.rng.bool() {
             let delay = Duration::from_millis(self.rng.u64(1..5_000));
-            self.mail.push((self.now + delay, Mail::Late(write)));
+            self.in_flight
+                .push((self.now + delay, Message::Late(write)));
         }
     }
 
     fn watch(&mut self, at: usize, from: Revision) {
         self.daemons[at].watches = true;
-        let held = self.store.data.get(HEAD).cloned();
-        if let Some(held) = held.filter(|held| held.changed >= from) {
+        let stored = self.store.data.get(HEAD).cloned();
+        if let Some(stored) = stored.filter(|stored| stored.changed >= from) {
             let to = self.daemons[at].peer.incarnation;
-            self.send(Mail::Input(to, Input::Watched(held)));
+            self.send(Message::Input(to, Input::Watched(stored)));
         }
     }
 
-    fn tell_watches(&mut self) {
-        let Some(held) = self.store.data.get(HEAD).cloned() else {
+    fn notify_watches(&mut self) {
+        let Some(stored) = self.store.data.get(HEAD).cloned() else {
             return;
         };
         if self.store.faults.down {
@@ -340,23 +352,27 @@
                 continue;
             }
             let to = daemon.peer.incarnation;
-            let times = if self.unruly { self.rng.u32(1..3) } else { 1 };
+            let times = if self.unreliable {
+                self.rng.u32(1..3)
+            } else {
+                1
+            };
             for _ in 0..times {
-                let most = if self.unruly { 2_000 } else { 10 };
-                let delay = Duration::from_millis(self.rng.u64(1..most));
-                let mail = Mail::Input(to, Input::Watched(held.clone()));
-                self.mail.push((self.now + delay, mail));
+                let max_ms = if self.unreliable { 2_000 } else { 10 };
+                let delay = Duration::from_millis(self.rng.u64(1..max_ms));
+                let message = Message::Input(to, Input::Watched(stored.clone()));
+                self.in_flight.push((self.now + delay, message));
             }
         }
     }
 
-    fn send(&mut self, mail: Mail) {
-        let most = if self.unruly { 1_500 } else { 5 };
-        let delay = Duration::from_millis(self.rng.u64(1..most));
-        self.mail.push((self.now + delay, mail));
+    fn send(&mut self, message: Message) {
+        let max_ms = if self.unreliable { 1_500 } else { 5 };
+        let delay = Duration::from_millis(self.rng.u64(1..max_ms));
+        self.in_flight.push((self.now + delay, message));
     }
 
-    fn joined(&self, a: usize, b: usize) -> bool {
+    fn connected(&self, a: usize, b: usize) -> bool {
         a == b || !(self.cuts[a].peers || self.cuts[b].peers)
     }
 
--- a/lib/testutils/src/platform/hosts.rs
+++ b/lib/testutils/src/platform/hosts.rs
@@ -1,6 +1,7 @@
-//! The platform's host list as a program, which tells what was so a while ago.
+//! HTTP stand-in for the platform's host list, whose answers are outdated by a set lag.
 //!
-//! `GET /hosts` answers as of the lag; `POST /orders` changes what is so now.
+//! `GET /hosts` returns the list as it was one lag ago; `POST /orders` changes the current list
+//! and the lag.
 
 use std::io;
 use std::net::TcpListener;
@@ -13,23 +14,23 @@
 use poplarvale_lib::protos::platform as wire;
 use serde::{Deserialize, Serialize};
 
-/// What the list is ordered to hold.
+/// Changes to the list, made by a test.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Orders {
-    /// Milliseconds by which the list lags; stays as it is if left out.
+    /// New lag in milliseconds; unchanged if absent.
     pub lag_ms: Option<u64>,
-    /// Hosts that are new or changed.
+    /// New or changed hosts.
     pub put: Vec<wire::ListedHost>,
-    /// Hosts that are gone.
+    /// Ids of removed hosts.
     pub gone: Vec<String>,
 }
 
 #[derive(Debug, Default)]
 struct List {
     lag: Duration,
-    /// What was so from each time on, oldest first.
-    past: Vec<(Instant, Vec<wire::ListedHost>)>,
+    /// Each version of the list with the time since which it was current, oldest first.
+    history: Vec<(Instant, Vec<wire::ListedHost>)>,
 }
 
 type State = web::Data<Mutex<List>>;
@@ -49,7 +50,7 @@
 
 async fn hosts(state: State) -> HttpResponse {
     let mut list = state.lock().unwrap_or_else(PoisonError::into_inner);
-    let hosts = list.seen(Instant::now());
+    let hosts = list.delayed(Instant::now());
     HttpResponse::Ok().json(wire::ListedHosts { hosts })
 }
 
@@ -64,23 +65,27 @@
         if let Some(ms) = orders.lag_ms {
             self.lag = Duration::from_millis(ms);
         }
-        let mut hosts = self.past.last().map(|(_, h)| h.clone()).unwrap_or_default();
+        let mut hosts = self
+            .history
+            .last()
+            .map(|(_, h)| h.clone())
+            .unwrap_or_default();
         let named =
             |id: &String| orders.gone.contains(id) || orders.put.iter().any(|p| p.id == *id);
         hosts.retain(|host| !named(&host.id));
         hosts.extend(orders.put);
         hosts.sort_by(|a, b| a.id.cmp(&b.id));
-        self.past.push((now, hosts));
+        self.history.push((now, hosts));
     }
 
-    /// The list as it was a lag ago; what is older is forgotten.
-    fn seen(&mut self, now: Instant) -> Vec<wire::ListedHost> {
+    /// The list as it was one lag ago; drops the older versions.
+    fn delayed(&mut self, now: Instant) -> Vec<wire::ListedHost> {
         let is_old = |(since, _): &(Instant, _)| now.duration_since(*since) >= self.lag;
-        let old = self.past.partition_point(is_old);
+        let old = self.history.partition_point(is_old);
         if old == 0 {
             return Vec::new();
         }
-        self.past.drain(..old - 1);
-        self.past[0].1.clone()
+        self.history.drain(..old - 1);
+        self.history[0].1.clone()
     }
 }
--- a/lib/testutils/src/platform/program.rs
+++ b/lib/testutils/src/platform/program.rs
@@ -1,4 +1,4 @@
-//! How a stand-in runs as a program of its own.
+//! Runs a stand-in as a separate program.
 
 use std::io;
 use std::net::TcpListener;
@@ -18,7 +18,7 @@
     }
 }
 
-/// Prints `listening ADDRESS` as the first line, then serves.
+/// Prints `listening ADDRESS` as the first line, then serves until the process is killed.
 pub fn run(serve: impl FnOnce(TcpListener) -> io::Result<Server>) -> io::Result<()> {
     let flags = StandIn::from_env_or_exit();
     let listen = flags.listen.unwrap_or_else(|| "127.0.0.1:0".to_owned());
--- a/lib/testutils/src/platform/store.rs
+++ b/lib/testutils/src/platform/store.rs
@@ -1,7 +1,7 @@
-//! The key-value service as a program: the JSON gateway over HTTP.
+//! HTTP stand-in for the key-value service: its JSON gateway over the model in `data`.
 //!
-//! Each order to `/faults` replaces the one before; `/counts` tells the calls
-//! so far. A watch tells the latest value of each key and no deletions.
+//! Each `POST /faults` replaces the previous faults; `GET /counts` returns the number of
+//! calls so far. A watch reports only the latest value of each key, and no deletions.
 
 use std::collections::VecDeque;
 use std::io;
@@ -23,21 +23,21 @@
 
 use super::data::{Data, Fake, Faults};
 
-/// A transaction of the largest values in base64, with some room.
-const MOST_BODY: usize = 3 * MAX_VALUE_BYTES;
+/// Largest request body in bytes: a transaction of the largest values in base64, with some room.
+const MAX_BODY_BYTES: usize = 3 * MAX_VALUE_BYTES;
 
-/// What all connections share.
+/// State that all connections share.
 #[derive(Debug)]
 struct Shared {
     fake: Mutex<Fake>,
-    /// Revision, and how often the watches were forgotten.
+    /// Revision, and how often the open watches were made to stop sending.
     changes: watch::Sender<(Revision, u64)>,
 }
 
 impl Shared {
     fn with<T>(&self, act: impl FnOnce(&mut Fake) -> T) -> T {
         let mut fake = self.fake.lock().unwrap_or_else(PoisonError::into_inner);
-        fake.data.lapse(Instant::now());
+        fake.data.expire_leases(Instant::now());
         let out = act(&mut fake);
         let revision = fake.data.revision();
         self.changes.send_if_modified(|seen| {
@@ -61,7 +61,7 @@
     let app = move || {
         App::new()
             .app_data(State::clone(&shared))
-            .app_data(web::JsonConfig::default().limit(MOST_BODY))
+            .app_data(web::JsonConfig::default().limit(MAX_BODY_BYTES))
             .route("/v3/kv/range", web::post().to(range))
             .route("/v3/kv/put", web::post().to(put))
             .route("/v3/kv/txn", web::post().to(txn))
@@ -79,39 +79,40 @@
     Ok(server.run())
 }
 
-async fn range(state: State, Json(ask): Json<wire::RangeRequest>) -> Answer {
-    state.with(|fake| match ask.range_end.as_str() {
+async fn range(state: State, Json(request): Json<wire::RangeRequest>) -> Answer {
+    state.with(|fake| match request.range_end.as_str() {
         "" => fake.counts.reads += 1,
         _ => fake.counts.ranges += 1,
     });
-    disturbed(&state).await?;
-    let found = state.with(|fake| found(&fake.data, &ask))?;
+    apply_faults(&state).await?;
+    let found = state.with(|fake| range_response(&fake.data, &request))?;
     Ok(HttpResponse::Ok().json(found))
 }
 
-async fn put(state: State, Json(ask): Json<wire::PutRequest>) -> Answer {
+async fn put(state: State, Json(request): Json<wire::PutRequest>) -> Answer {
     state.with(|fake| fake.counts.writes += 1);
-    disturbed(&state).await?;
-    let put = read_put(&ask)?;
-    let (revision, kept) = state.with(|fake| (fake.data.put(vec![put]), fake.keep_answer()));
+    apply_faults(&state).await?;
+    let put = read_put(&request)?;
+    let (revision, delivered) =
+        state.with(|fake| (fake.data.put(vec![put]), fake.deliver_answer()));
     let header = Some(header(revision));
-    Ok(answer(kept, &wire::PutResponse { header }))
+    Ok(answer(delivered, &wire::PutResponse { header }))
 }
 
-async fn txn(state: State, Json(ask): Json<wire::TxnRequest>) -> Answer {
+async fn txn(state: State, Json(request): Json<wire::TxnRequest>) -> Answer {
     state.with(|fake| fake.counts.writes += 1);
-    disturbed(&state).await?;
-    if ask.compare.len() > MAX_PUTS || ask.success.len() > MAX_PUTS {
-        return Err(bad("too many operations"));
+    apply_faults(&state).await?;
+    if request.compare.len() > MAX_PUTS || request.success.len() > MAX_PUTS {
+        return Err(bad_request("too many operations"));
     }
-    let conditions = ask.compare.iter().map(read_compare);
+    let conditions = request.compare.iter().map(read_compare);
     let conditions = conditions.collect::<Result<Vec<_>, _>>()?;
     let done = state.with(|fake| {
         let succeeded = conditions.iter().all(|c| fake.data.holds(c));
         let ops = if succeeded {
-            &ask.success
+            &request.success
         } else {
-            &ask.failure
+            &request.failure
         };
         let responses = run_ops(&mut fake.data, ops)?;
         let header = Some(header(fake.data.revision()));
@@ -120,49 +121,52 @@
             succeeded,
             responses,
         };
-        Ok::<_, actix_web::Error>((done, fake.keep_answer()))
+        Ok::<_, actix_web::Error>((done, fake.deliver_answer()))
     });
-    let (done, kept) = done?;
-    Ok(answer(kept, &done))
+    let (done, delivered) = done?;
+    Ok(answer(delivered, &done))
 }
 
-async fn grant(state: State, Json(ask): Json<wire::LeaseGrantRequest>) -> Answer {
+async fn grant(state: State, Json(request): Json<wire::LeaseGrantRequest>) -> Answer {
     state.with(|fake| fake.counts.leases += 1);
-    disturbed(&state).await?;
-    let lasts = Duration::from_secs(number(&ask.ttl)?);
-    let id = number(&ask.id)?;
-    let (id, kept, revision) = state.with(|fake| {
-        let id = fake.data.grant(Instant::now(), id, lasts);
-        (id, fake.keep_answer(), fake.data.revision())
+    apply_faults(&state).await?;
+    let duration = Duration::from_secs(number(&request.ttl)?);
+    let id = number(&request.id)?;
+    let (id, delivered, revision) = state.with(|fake| {
+        let id = fake.data.grant(Instant::now(), id, duration);
+        (id, fake.deliver_answer(), fake.data.revision())
     });
     let given = wire::LeaseGrantResponse {
         header: Some(header(revision)),
         id: id.to_string(),
-        ttl: ask.ttl,
+        ttl: request.ttl,
     };
-    Ok(answer(kept, &given))
+    Ok(answer(delivered, &given))
 }
 
-async fn renew(state: State, Json(ask): Json<wire::LeaseRequest>) -> Answer {
+async fn renew(state: State, Json(request): Json<wire::LeaseRequest>) -> Answer {
     state.with(|fake| fake.counts.leases += 1);
-    disturbed(&state).await?;
-    let id = number(&ask.id)?;
-    let lasts = state.with(|fake| fake.data.renew(Instant::now(), id));
-    let ttl = lasts.unwrap_or_default().as_secs().to_string();
-    let result = Some(wire::LeaseKeepAliveResult { id: ask.id, ttl });
+    apply_faults(&state).await?;
+    let id = number(&request.id)?;
+    let duration = state.with(|fake| fake.data.renew(Instant::now(), id));
+    let ttl = duration.unwrap_or_default().as_secs().to_string();
+    let result = Some(wire::LeaseKeepAliveResult {
+        id: request.id,
+        ttl,
+    });
     Ok(HttpResponse::Ok().json(wire::LeaseKeepAliveResponse { result }))
 }
 
-async fn revoke(state: State, Json(ask): Json<wire::LeaseRequest>) -> Answer {
+async fn revoke(state: State, Json(request): Json<wire::LeaseRequest>) -> Answer {
     state.with(|fake| fake.counts.leases += 1);
-    disturbed(&state).await?;
-    let id: LeaseId = number(&ask.id)?;
-    let (revision, kept) = state.with(|fake| {
+    apply_faults(&state).await?;
+    let id: LeaseId = number(&request.id)?;
+    let (revision, delivered) = state.with(|fake| {
         fake.data.revoke(id);
-        (fake.data.revision(), fake.keep_answer())
+        (fake.data.revision(), fake.deliver_answer())
     });
     let header = Some(header(revision));
-    Ok(answer(kept, &wire::LeaseRevokeResponse { header }))
+    Ok(answer(delivered, &wire::LeaseRevokeResponse { header }))
 }
 
 async fn faults(state: State, Json(faults): Json<Faults>) -> HttpResponse {
@@ -177,20 +181,20 @@
     HttpResponse::Ok().json(state.with(|fake| fake.counts))
 }
 
-/// A watch that stands.
-struct Standing {
+/// An open watch.
+struct OpenWatch {
     state: State,
-    ask: wire::WatchCreateRequest,
+    request: wire::WatchCreateRequest,
     next: Revision,
     changes: watch::Receiver<(Revision, u64)>,
     forgotten: u64,
     lines: VecDeque<Bytes>,
 }
 
-async fn watch_key(state: State, Json(ask): Json<wire::WatchRequest>) -> Answer {
+async fn watch_key(state: State, Json(request): Json<wire::WatchRequest>) -> Answer {
     state.with(|fake| fake.counts.watches += 1);
-    disturbed(&state).await?;
-    let ask = ask.create_request.unwrap_or_default();
+    apply_faults(&state).await?;
+    let request = request.create_request.unwrap_or_default();
     let created = wire::WatchResponse {
         header: Some(header(state.with(|fake| fake.data.revision()))),
         created: true,
@@ -198,51 +202,51 @@
     };
     let changes = state.changes.subscribe();
     let forgotten = changes.borrow().1;
-    let standing = Standing {
-        next: number(&ask.start_revision)?,
+    let open = OpenWatch {
+        next: number(&request.start_revision)?,
         changes,
         forgotten,
         lines: VecDeque::from([line(created)]),
         state,
-        ask,
+        request,
     };
-    let lines = stream::unfold(standing, next_line);
+    let lines = stream::unfold(open, next_line);
     Ok(HttpResponse::Ok().streaming(lines))
 }
 
-async fn next_line(mut standing: Standing) -> Option<(Result<Bytes, io::Error>, Standing)> {
+async fn next_line(mut open: OpenWatch) -> Option<(Result<Bytes, io::Error>, OpenWatch)> {
     loop {
-        if let Some(line) = standing.lines.pop_front() {
-            return Some((Ok(line), standing));
+        if let Some(line) = open.lines.pop_front() {
+            return Some((Ok(line), open));
         }
-        let forgotten = standing.changes.borrow_and_update().1;
-        if forgotten != standing.forgotten {
+        let forgotten = open.changes.borrow_and_update().1;
+        if forgotten != open.forgotten {
             std::future::pending::<()>().await;
         }
-        let ask = wire::RangeRequest {
-            key: standing.ask.key.clone(),
-            range_end: standing.ask.range_end.clone(),
+        let request = wire::RangeRequest {
+            key: open.request.key.clone(),
+            range_end: open.request.range_end.clone(),
         };
-        let (down, snapshot) = standing
+        let (down, snapshot) = open
             .state
-            .with(|fake| (fake.faults.down, read_range(&fake.data, &ask)));
+            .with(|fake| (fake.faults.down, read_range(&fake.data, &request)));
         if down {
             return None;
         }
         let mut rows = snapshot.ok()?.rows;
-        rows.retain(|row| row.changed >= standing.next);
+        rows.retain(|row| row.changed >= open.next);
         if let Some(last) = rows.iter().map(|row| row.changed).max() {
-            standing.next = last + 1;
+            open.next = last + 1;
             let events = rows.iter().map(|row| wire::Event {
-                kv: Some(written(row)),
+                kv: Some(key_value(row)),
             });
-            standing.lines.push_back(line(wire::WatchResponse {
+            open.lines.push_back(line(wire::WatchResponse {
                 header: Some(header(last)),
                 created: false,
                 events: events.collect(),
             }));
         } else {
-            standing.changes.changed().await.ok()?;
+            open.changes.changed().await.ok()?;
         }
     }
 }
@@ -254,8 +258,8 @@
     Bytes::from(text)
 }
 
-/// Lets the faults that are on act upon a call before it is done.
-async fn disturbed(state: &State) -> Result<(), actix_web::Error> {
+/// Applies the active faults to a call before it is executed.
+async fn apply_faults(state: &State) -> Result<(), actix_web::Error> {
     let faults = state.with(|fake| fake.faults.clone());
     if faults.down {
         return Err(actix_web::error::ErrorServiceUnavailable("down"));
@@ -269,9 +273,9 @@
     Ok(())
 }
 
-/// An answer, or a connection that breaks in the middle of one.
-fn answer(kept: Result<(), Failure>, body: &impl serde::Serialize) -> HttpResponse {
-    if kept.is_ok() {
+/// The answer, or if it is to be lost, a connection that breaks during the answer.
+fn answer(delivered: Result<(), Failure>, body: &impl serde::Serialize) -> HttpResponse {
+    if delivered.is_ok() {
         return HttpResponse::Ok().json(body);
     }
     let broken = stream::once(async { Err::<Bytes, _>(io::Error::other("lost")) });
@@ -290,7 +294,7 @@
     let mut responses = Vec::new();
     for op in ops {
         let response_range = match &op.request_range {
-            Some(ask) => Some(found(data, ask)?),
+            Some(request) => Some(range_response(data, request)?),
             None => None,
         };
         let header = Some(header(data.revision()));
@@ -303,23 +307,26 @@
     Ok(responses)
 }
 
-fn found(data: &Data, ask: &wire::RangeRequest) -> Result<wire::RangeResponse, actix_web::Error> {
-    let snapshot = read_range(data, ask)?;
+fn range_response(
+    data: &Data,
+    request: &wire::RangeRequest,
+) -> Result<wire::RangeResponse, actix_web::Error> {
+    let snapshot = read_range(data, request)?;
     Ok(wire::RangeResponse {
         header: Some(header(snapshot.revision)),
-        kvs: snapshot.rows.iter().map(written).collect(),
+        kvs: snapshot.rows.iter().map(key_value).collect(),
     })
 }
 
-fn read_range(data: &Data, ask: &wire::RangeRequest) -> Result<Snapshot, actix_web::Error> {
-    let end = from_base64(&ask.range_end).ok_or_else(|| bad("range_end"))?;
-    Ok(data.range(&text(&ask.key)?, &end))
+fn read_range(data: &Data, request: &wire::RangeRequest) -> Result<Snapshot, actix_web::Error> {
+    let end = from_base64(&request.range_end).ok_or_else(|| bad_request("range_end"))?;
+    Ok(data.range(&text(&request.key)?, &end))
 }
 
 fn read_put(put: &wire::PutRequest) -> Result<Put, actix_web::Error> {
-    let value = from_base64(&put.value).ok_or_else(|| bad("value"))?;
+    let value = from_base64(&put.value).ok_or_else(|| bad_request("value"))?;
     if value.len() > MAX_VALUE_BYTES {
-        return Err(bad("value too large"));
+        return Err(bad_request("value too large"));
     }
     Ok(Put {
         key: text(&put.key)?.into(),
@@ -335,11 +342,11 @@
     match (compare.result.as_str(), compare.target.as_str()) {
         ("EQUAL", "CREATE") if number(created)? == 0 => Ok(Condition::Absent(key)),
         ("EQUAL", "MOD") => Ok(Condition::Unchanged(key, number(changed)?)),
-        _ => Err(bad("compare")),
+        _ => Err(bad_request("compare")),
     }
 }
 
-fn written(row: &StoredValue) -> wire::KeyValue {
+fn key_value(row: &StoredValue) -> wire::KeyValue {
     wire::KeyValue {
         key: to_base64(row.key.as_bytes()),
         value: to_base64(&row.value),
@@ -356,18 +363,18 @@
 }
 
 fn text(base64: &str) -> Result<String, actix_web::Error> {
-    let bytes = from_base64(base64).ok_or_else(|| bad("base64"))?;
-    String::from_utf8(bytes).map_err(|_invalid| bad("key"))
+    let bytes = from_base64(base64).ok_or_else(|| bad_request("base64"))?;
+    String::from_utf8(bytes).map_err(|_invalid| bad_request("key"))
 }
 
-/// Reads a 64-bit number; an absent one is 0.
+/// Parses a 64-bit number; an empty text is 0.
 fn number(text: &str) -> Result<u64, actix_web::Error> {
     if text.is_empty() {
         return Ok(0);
     }
-    text.parse().map_err(|_invalid| bad("number"))
+    text.parse().map_err(|_invalid| bad_request("number"))
 }
 
-fn bad(what: &'static str) -> actix_web::Error {
+fn bad_request(what: &'static str) -> actix_web::Error {
     actix_web::error::ErrorBadRequest(what)
 }
--- a/lib/testutils/src/platform/weights.rs
+++ b/lib/testutils/src/platform/weights.rs
@@ -1,7 +1,7 @@
-//! The weight store as a program, which gives all readers one rate together.
+//! HTTP stand-in for the weight store; all readers together share one transfer rate.
 //!
 //! `GET /weights` lists the models, `GET /weights/{model}` sends the bytes, and
-//! `POST /orders` says what there is and how fast it goes.
+//! `POST /orders` sets the models and the rate.
 
 use std::io;
 use std::net::TcpListener;
@@ -15,23 +15,23 @@
 use poplarvale_lib::protos::platform as wire;
 use serde::{Deserialize, Serialize};
 
-/// Bytes sent at a time.
+/// Largest chunk of a response in bytes.
 const CHUNK: u64 = 64 << 10;
 
-/// What the store is ordered to hold.
+/// Contents and transfer rate of the store, set by a test.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Orders {
-    /// Bytes a second of all readers together; 0 for no limit.
+    /// Bytes per second over all readers; 0 for no limit.
     pub rate: u64,
-    /// Models and their sizes.
+    /// Models with their sizes.
     pub weights: Vec<wire::Weights>,
 }
 
 #[derive(Debug, Default)]
 struct Weights {
     orders: Orders,
-    /// When the next chunk may go, to whichever reader.
+    /// Earliest time of the next chunk to any reader.
     next: Option<Instant>,
 }
 
@@ -73,10 +73,12 @@
     let Some(bytes) = found else {
         return HttpResponse::NotFound().finish();
     };
-    HttpResponse::Ok().streaming(stream::unfold((state, bytes), next))
+    HttpResponse::Ok().streaming(stream::unfold((state, bytes), next_chunk))
 }
 
-async fn next((state, left): (State, u64)) -> Option<(Result<Bytes, io::Error>, (State, u64))> {
+async fn next_chunk(
+    (state, left): (State, u64),
+) -> Option<(Result<Bytes, io::Error>, (State, u64))> {
     if left == 0 {
         return None;
     }
@@ -88,7 +90,7 @@
 }
 
 impl Weights {
-    /// When a chunk may go; the chunks of all readers queue up.
+    /// Reserves the time at which a chunk may be sent; the chunks of all readers share one queue.
     fn reserve(&mut self, now: Instant, size: u64) -> Instant {
         let at = self.next.map_or(now, |next| next.max(now));
         if self.orders.rate > 0 {
