--- a/daemon/benches/path.rs
+++ b/daemon/benches/path.rs
@@ -23,7 +23,7 @@
 use awc::Client;
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
-use testutils::engine::{Engine, Pace};
+use testutils::engine::{Engine, EngineSpeed};
 use testutils::folder::Folder;
 use testutils::plain::Plain;
 use testutils::process::Process;
@@ -52,12 +52,12 @@
 }
 
 fn stand_in_engine() {
-    let pace = Pace {
+    let pace = EngineSpeed {
         block_us: 0,
         token_us: 0,
         slots: 64,
         cache: 4_096,
-        ..Pace::default()
+        ..EngineSpeed::default()
     };
     let engine = Engine::new(pace, "v1", true);
     stand_in(move |config| engine.routes(config));
--- a/lib/testutils/src/bin/engine.rs
+++ b/lib/testutils/src/bin/engine.rs
@@ -1,8 +1,8 @@
-//! A model engine's stand-in as a program.
+//! Runs the model engine's stand-in as a program.
 
 use std::net::SocketAddr;
 
-use testutils::engine::{Engine, Pace};
+use testutils::engine::{Engine, EngineSpeed};
 use testutils::serve::serve;
 
 mod flags {
@@ -33,15 +33,15 @@
     let listen = flags
         .listen
         .unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0)));
-    let mut pace = Pace::default();
+    let mut speed = EngineSpeed::default();
     if let Some(micros) = flags.token_us {
-        pace.token_us = micros;
+        speed.token_us = micros;
     }
     if let Some(rate) = flags.export {
-        pace.export = rate;
+        speed.export = rate;
     }
-    pace.import = !flags.no_import;
+    speed.import = !flags.no_import;
     let version = flags.version.unwrap_or_else(|| "v1".to_owned());
-    let engine = Engine::new(pace, &version, !flags.unfenced);
+    let engine = Engine::new(speed, &version, !flags.unfenced);
     serve(listen, move |config| engine.routes(config)).await
 }
--- a/lib/testutils/src/bin/plain.rs
+++ b/lib/testutils/src/bin/plain.rs
@@ -1,4 +1,4 @@
-//! A booking application's stand-in as a program.
+//! Runs the booking application's stand-in as a program.
 
 use std::net::SocketAddr;
 
--- a/lib/testutils/src/bin/weights.rs
+++ b/lib/testutils/src/bin/weights.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the platform's weight store.
+//! Runs the stand-in for the platform's weight store as a program.
 
 fn main() -> std::io::Result<()> {
     testutils::platform::program::run(testutils::platform::weights::serve)
--- a/lib/testutils/src/engine.rs
+++ b/lib/testutils/src/engine.rs
@@ -1,10 +1,10 @@
 //! Stand-in for a model engine.
 //!
-//! It speaks the OpenAI form with what poplarvale needs besides: an id for each
-//! attempt that every event carries, resuming after a number of tokens, cancel,
-//! priorities, load reports, cache events, KV export and import, and orders
-//! with a fencing number. Answers follow from the prompt (see `words`), so that
-//! a test knows each word of them.
+//! It implements the OpenAI completion API and the extensions that poplarvale needs: an
+//! attempt id in every event, resumption after a number of tokens, cancellation,
+//! priorities, load reports, cache events, KV cache export and import, and orders
+//! with a fencing token. Answers are a function of the prompt (see `words`), so that
+//! a test can compute each word.
 
 mod cache;
 mod faults;
@@ -13,4 +13,4 @@
 mod stream;
 
 pub use faults::Faults;
-pub use state::{Counts, Engine, Order, Pace};
+pub use state::{Counts, Engine, EngineSpeed, Order};
--- a/lib/testutils/src/engine/cache.rs
+++ b/lib/testutils/src/engine/cache.rs
@@ -1,24 +1,24 @@
-//! Prefix cache of limited size, and the events it publishes.
+//! Prefix cache of limited size with least-recently-used eviction, and its change events.
 
 use std::collections::VecDeque;
 
 use serde::{Deserialize, Serialize};
 
-/// Events kept for those who ask late.
-const KEPT_EVENTS: usize = 1024;
+/// Most recent events kept for readers that fall behind.
+const MAX_EVENTS: usize = 1024;
 
 /// A change of the cache.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Event {
-    /// Number of the event, without gaps unless events are lost.
+    /// Sequence number of the event; a gap means that events were lost.
     pub seq: u64,
-    /// Whether the block was added; else it was dropped.
+    /// Whether the block was added; otherwise it was evicted.
     pub added: bool,
-    /// Hash of the block and all before it.
+    /// Hash of the block and all blocks before it.
     pub block: u64,
 }
 
-/// Blocks in memory, the least recently used first.
+/// Cached blocks, the least recently used first.
 #[derive(Debug, Default)]
 pub(crate) struct Cache {
     blocks: VecDeque<u64>,
@@ -35,17 +35,18 @@
         }
     }
 
-    /// Leading blocks of a prompt that are cached.
-    pub(crate) fn hit(&self, chain: &[u64]) -> usize {
-        chain
+    /// Number of leading blocks of a prompt that are cached.
+    pub(crate) fn hit(&self, prefix_hashes: &[u64]) -> usize {
+        prefix_hashes
             .iter()
             .take_while(|block| self.blocks.contains(block))
             .count()
     }
 
-    /// Takes a prompt's blocks in and drops what no longer fits.
-    pub(crate) fn take_in(&mut self, chain: &[u64], missing: &mut u32) {
-        for block in chain {
+    /// Adds the blocks of a prompt and evicts what no longer fits. `missing` is the number of
+    /// events still to be lost by the fault order.
+    pub(crate) fn insert(&mut self, prefix_hashes: &[u64], missing: &mut u32) {
+        for block in prefix_hashes {
             if let Some(at) = self.blocks.iter().position(|b| b == block) {
                 self.blocks.remove(at);
             } else {
@@ -79,7 +80,7 @@
             added,
             block,
         });
-        if self.events.len() > KEPT_EVENTS {
+        if self.events.len() > MAX_EVENTS {
             self.events.pop_front();
         }
     }
--- a/lib/testutils/src/engine/faults.rs
+++ b/lib/testutils/src/engine/faults.rs
@@ -1,25 +1,25 @@
-//! Faults of an engine that can be ordered with `POST /faults`.
+//! Faults of an engine, set with `POST /faults`.
 
 use serde::{Deserialize, Serialize};
 
-/// What goes wrong; all of it off by default.
+/// Faults of an engine; all are off by default.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Breaks every stream off after this many tokens.
+    /// Breaks every stream off after this many tokens of an attempt.
     pub break_after: Option<u32>,
-    /// Answers every request with this status.
+    /// Answers every completion request with this status.
     pub status: Option<u16>,
-    /// Sends this many events under another attempt's id.
+    /// Number of coming events that are sent with the id of another attempt.
     pub swapped: u32,
-    /// Sends this many events twice.
+    /// Number of coming events that are sent twice.
     pub doubled: u32,
-    /// Stops sending without closing the stream.
+    /// Stops sending events without closing the streams.
     pub stalled: bool,
-    /// Milliseconds that each token takes longer.
+    /// Additional time per token in milliseconds.
     pub slow_ms: u64,
-    /// Leaves this many cache events out.
+    /// Number of coming cache events that are lost.
     pub missing: u32,
-    /// Milliseconds by which load reports lag.
+    /// Least time between two load reports in milliseconds; calls in between get the older one.
     pub lag_ms: u64,
 }
--- a/lib/testutils/src/engine/routes.rs
+++ b/lib/testutils/src/engine/routes.rs
@@ -1,4 +1,4 @@
-//! HTTP routes of an engine.
+//! HTTP API of an engine.
 
 use std::time::{Duration, Instant};
 
@@ -12,18 +12,18 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::faults::Faults;
-use super::state::{Engine, Order, Pace, State};
+use super::state::{Engine, EngineSpeed, Order, State};
 use super::stream::{Job, run};
 
-/// Bytes of a block; engines and daemons agree on it.
+/// Bytes of a prompt block; engines and daemons must use the same size.
 const BLOCK_BYTES: usize = 256;
-/// Tokens of an answer when the caller names no number.
+/// Length of an answer in tokens if the request sets none.
 const DEFAULT_TOKENS: u32 = 16;
-/// Events that wait for a slow reader before the engine waits too.
-const UNREAD: usize = 64;
+/// Events buffered for a slow reader before the stream waits for it.
+const EVENT_BUFFER: usize = 64;
 
 impl Engine {
-    /// Its HTTP routes.
+    /// Registers the HTTP routes of the engine.
     pub fn routes(&self, config: &mut web::ServiceConfig) {
         config
             .app_data(web::Data::new(self.clone()))
@@ -63,7 +63,7 @@
         return HttpResponse::build(status).json(json!({"error": "ordered"}));
     }
     let job = job(request, body, chat);
-    let (out, events) = tokio::sync::mpsc::channel(UNREAD);
+    let (out, events) = tokio::sync::mpsc::channel(EVENT_BUFFER);
     actix_web::rt::spawn(run(engine.clone(), job, out));
     sse::Sse::from_infallible_receiver(events)
         .respond_to(request)
@@ -78,7 +78,7 @@
         .unwrap_or(u64::from(DEFAULT_TOKENS));
     Job {
         attempt: header(request, "x-attempt-id").unwrap_or_default(),
-        chain: chain(prompt.as_bytes()),
+        prefix_hashes: prefix_hashes(prompt.as_bytes()),
         prompt,
         model: body["model"].as_str().unwrap_or_default().to_owned(),
         chat,
@@ -98,14 +98,14 @@
         .unwrap_or(0)
 }
 
-fn chain(prompt: &[u8]) -> Vec<u64> {
+fn prefix_hashes(prompt: &[u8]) -> Vec<u64> {
     let mut hash = 0;
-    let mut chain = Vec::new();
+    let mut prefix_hashes = Vec::new();
     for block in prompt.chunks_exact(BLOCK_BYTES) {
         hash = xxh3_64_with_seed(block, hash);
-        chain.push(hash);
+        prefix_hashes.push(hash);
     }
-    chain
+    prefix_hashes
 }
 
 async fn cancel(engine: web::Data<Engine>, attempt: web::Path<String>) -> HttpResponse {
@@ -113,7 +113,7 @@
     HttpResponse::NoContent().finish()
 }
 
-/// Reports the load, as it was when the last report was due.
+/// Returns the load as it was when the last report was due.
 async fn load(engine: web::Data<Engine>) -> HttpResponse {
     let mut state = engine.lock();
     let now = Instant::now();
@@ -122,11 +122,11 @@
         state.measured = now;
         state.report_due = now + Duration::from_millis(state.faults.lag_ms);
     }
-    HttpResponse::Ok().json(report(&state, &engine.pace, now))
+    HttpResponse::Ok().json(report(&state, &engine.speed, now))
 }
 
-fn report(state: &State, pace: &Pace, now: Instant) -> EngineLoad {
-    let token_us = pace.token_us + state.faults.slow_ms * 1_000;
+fn report(state: &State, speed: &EngineSpeed, now: Instant) -> EngineLoad {
+    let token_us = speed.token_us + state.faults.slow_ms * 1_000;
     let age = now.duration_since(state.measured);
     EngineLoad {
         epoch: state.epoch,
@@ -134,14 +134,14 @@
         running: state.reported.running as u32,
         waiting: state.reported.waiting as u32,
         pending: state.reported.pending as u32,
-        slots: pace.slots as u32,
-        prefill: rate(u64::from(BLOCK_TOKENS), pace.block_us),
+        slots: speed.slots as u32,
+        prefill: rate(u64::from(BLOCK_TOKENS), speed.block_us),
         decode: rate(1, token_us),
-        export: pace.export,
+        export: speed.export,
     }
 }
 
-/// Amount a second of what takes some microseconds.
+/// Rate per second of an amount that takes this many microseconds.
 fn rate(amount: u64, micros: u64) -> u32 {
     (amount * 1_000_000 / micros.max(1)) as u32
 }
@@ -152,29 +152,29 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct After {
+struct EventsQuery {
     #[serde(default)]
     after: u64,
 }
 
-async fn cache_events(engine: web::Data<Engine>, query: web::Query<After>) -> HttpResponse {
+async fn cache_events(engine: web::Data<Engine>, query: web::Query<EventsQuery>) -> HttpResponse {
     let events = engine.lock().cache.events(query.after);
     HttpResponse::Ok().json(events)
 }
 
-/// Gives out which of the asked blocks are in memory.
+/// Returns the leading requested blocks that are cached.
 async fn export(engine: web::Data<Engine>, blocks: web::Json<Vec<u64>>) -> HttpResponse {
     let hit = engine.lock().cache.hit(&blocks);
     HttpResponse::Ok().json(&blocks[..hit])
 }
 
 async fn import(engine: web::Data<Engine>, blocks: web::Json<Vec<u64>>) -> HttpResponse {
-    if !engine.pace.import {
+    if !engine.speed.import {
         return HttpResponse::InsufficientStorage().finish();
     }
     let mut state = engine.lock();
     let mut missing = state.faults.missing;
-    state.cache.take_in(&blocks, &mut missing);
+    state.cache.insert(&blocks, &mut missing);
     state.faults.missing = missing;
     HttpResponse::NoContent().finish()
 }
@@ -186,7 +186,7 @@
 
 async fn put_order(engine: web::Data<Engine>, order: web::Json<Order>) -> HttpResponse {
     let mut state = engine.lock();
-    if engine.fences && order.fence < state.order.fence {
+    if engine.checks_fence && order.fence < state.order.fence {
         return HttpResponse::Conflict().json(&state.order);
     }
     state.order = order.into_inner();
--- a/lib/testutils/src/engine/state.rs
+++ b/lib/testutils/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! What an engine holds.
+//! State of an engine: speed, current order, counts and the queue of waiting streams.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -7,24 +7,24 @@
 use super::cache::Cache;
 use super::faults::Faults;
 
-/// How fast an engine works.
+/// Speed and capacity of an engine.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
-    /// Microseconds for a prompt block that is not cached.
+pub struct EngineSpeed {
+    /// Time to prefill a prompt block that is not cached, in microseconds.
     pub block_us: u64,
-    /// Microseconds for a token of an answer.
+    /// Time per token of an answer, in microseconds.
     pub token_us: u64,
-    /// Streams worked on at once; others wait by priority.
+    /// Concurrent streams at most; others wait, ordered by priority.
     pub slots: usize,
-    /// Blocks that the prefix cache holds.
+    /// Capacity of the prefix cache in blocks.
     pub cache: usize,
-    /// Tokens of KV cache given out a second.
+    /// KV cache tokens exported per second.
     pub export: u32,
-    /// Whether it takes KV cache in.
+    /// Whether it accepts KV cache imports.
     pub import: bool,
 }
 
-impl Default for Pace {
+impl Default for EngineSpeed {
     fn default() -> Self {
         Self {
             block_us: 2_000,
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(default)]
 pub struct Order {
-    /// Fencing number; engines that check it refuse older ones.
+    /// Fencing token; engines that check it reject orders with a smaller one.
     pub fence: u64,
     /// Version to load.
     pub version: String,
@@ -49,25 +49,25 @@
     pub role: String,
 }
 
-/// What an engine did since it started.
+/// Counters of an engine since its start, and its current load.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Counts {
-    /// Attempts begun.
+    /// Attempts started.
     pub attempts: u64,
-    /// Attempts cancelled or left by the caller.
+    /// Attempts that ended early: cancelled, broken off by a fault or left by the caller.
     pub cancelled: u64,
-    /// Prompt blocks computed.
+    /// Prompt blocks prefilled.
     pub computed: u64,
     /// Prompt blocks found in the cache.
     pub cached: u64,
     /// Tokens sent.
     pub tokens: u64,
-    /// Streams in work.
+    /// Running streams.
     pub running: usize,
-    /// Streams that wait.
+    /// Waiting streams.
     pub waiting: usize,
-    /// Prompt tokens that wait to be computed.
+    /// Prompt tokens still to be prefilled.
     pub pending: u64,
 }
 
@@ -77,14 +77,16 @@
     pub(crate) faults: Faults,
     pub(crate) counts: Counts,
     pub(crate) order: Order,
-    /// Waiting streams: priority, then order of arrival.
+    /// Waiting streams, sorted by priority, then by order of arrival.
     pub(crate) queue: Vec<(std::cmp::Reverse<u8>, u64)>,
     pub(crate) cancelled: Vec<String>,
+    /// Counts in the current load report.
     pub(crate) reported: Counts,
+    /// When the next load report is taken.
     pub(crate) report_due: std::time::Instant,
     /// When the reported counts were taken.
     pub(crate) measured: std::time::Instant,
-    /// Drawn at the start, so that a restart shows.
+    /// Random number chosen at the start, by which a caller detects a restart.
     pub(crate) epoch: u64,
     arrivals: u64,
 }
@@ -92,20 +94,20 @@
 /// A model engine.
 #[derive(Clone, Debug)]
 pub struct Engine {
-    pub(crate) pace: Pace,
-    pub(crate) fences: bool,
+    pub(crate) speed: EngineSpeed,
+    pub(crate) checks_fence: bool,
     pub(crate) state: Arc<Mutex<State>>,
 }
 
 impl Engine {
-    /// An idle engine; `fences` says whether it checks fencing numbers.
-    pub fn new(pace: Pace, version: &str, fences: bool) -> Self {
+    /// Creates an idle engine; `checks_fence` says whether it checks fencing tokens.
+    pub fn new(speed: EngineSpeed, version: &str, checks_fence: bool) -> Self {
         let order = Order {
             version: version.to_owned(),
             ..Order::default()
         };
         let state = State {
-            cache: Cache::new(pace.cache),
+            cache: Cache::new(speed.cache),
             faults: Faults::default(),
             counts: Counts::default(),
             order,
@@ -118,8 +120,8 @@
             arrivals: 0,
         };
         Self {
-            pace,
-            fences,
+            speed,
+            checks_fence,
             state: Arc::new(Mutex::new(state)),
         }
     }
@@ -128,23 +130,24 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Joins the queue with prompt tokens; returns the place's number.
-    pub(crate) fn join(&self, priority: u8, tokens: u64) -> (std::cmp::Reverse<u8>, u64) {
+    /// Queues a stream with this many prompt tokens; returns its ticket: priority and number of
+    /// arrival.
+    pub(crate) fn enqueue(&self, priority: u8, tokens: u64) -> (std::cmp::Reverse<u8>, u64) {
         let mut state = self.lock();
         state.arrivals += 1;
-        let place = (std::cmp::Reverse(priority), state.arrivals);
-        let at = state.queue.partition_point(|other| *other < place);
-        state.queue.insert(at, place);
+        let ticket = (std::cmp::Reverse(priority), state.arrivals);
+        let at = state.queue.partition_point(|other| *other < ticket);
+        state.queue.insert(at, ticket);
         state.counts.waiting += 1;
         state.counts.pending += tokens;
-        place
+        ticket
     }
 
-    /// Takes a slot if one is free and nobody is before this place.
-    pub(crate) fn start(&self, place: (std::cmp::Reverse<u8>, u64)) -> bool {
+    /// Takes a slot if one is free and this ticket is the first in the queue.
+    pub(crate) fn try_start(&self, ticket: (std::cmp::Reverse<u8>, u64)) -> bool {
         let mut state = self.lock();
-        let free = state.counts.running < self.pace.slots;
-        if !free || state.queue.first() != Some(&place) {
+        let free = state.counts.running < self.speed.slots;
+        if !free || state.queue.first() != Some(&ticket) {
             return false;
         }
         state.queue.remove(0);
@@ -153,10 +156,10 @@
         true
     }
 
-    /// Leaves the queue without having started.
-    pub(crate) fn leave(&self, place: (std::cmp::Reverse<u8>, u64)) {
+    /// Removes a stream that has not started from the queue.
+    pub(crate) fn dequeue(&self, ticket: (std::cmp::Reverse<u8>, u64)) {
         let mut state = self.lock();
-        if let Ok(at) = state.queue.binary_search(&place) {
+        if let Ok(at) = state.queue.binary_search(&ticket) {
             state.queue.remove(at);
             state.counts.waiting -= 1;
         }
--- a/lib/testutils/src/engine/stream.rs
+++ b/lib/testutils/src/engine/stream.rs
@@ -1,4 +1,4 @@
-//! One attempt: waits for a slot, computes the prompt, sends tokens.
+//! One attempt: waits for a slot, prefills the prompt, sends the tokens.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -12,38 +12,38 @@
 use super::state::Engine;
 use crate::words::word;
 
-/// What an attempt is to do.
+/// An attempt to answer a prompt.
 #[derive(Clone, Debug)]
 pub(crate) struct Job {
     pub(crate) attempt: String,
     pub(crate) prompt: String,
-    pub(crate) chain: Vec<u64>,
+    pub(crate) prefix_hashes: Vec<u64>,
     pub(crate) model: String,
     pub(crate) chat: bool,
-    /// Tokens that the caller has already.
+    /// Tokens that the caller already has; the answer resumes after them.
     pub(crate) from: u32,
-    /// Tokens of the whole answer.
+    /// Length of the whole answer in tokens.
     pub(crate) count: u32,
     pub(crate) priority: u8,
 }
 
-/// Frees the slot or the place in the queue, also when the caller goes away.
-struct Hold {
+/// Slot or queue ticket of an attempt; freed on drop, also when the caller disconnects.
+struct Slot {
     engine: Engine,
-    place: (Reverse<u8>, u64),
-    /// Prompt tokens that are still to be computed.
+    ticket: (Reverse<u8>, u64),
+    /// Prompt tokens still counted as waiting for prefill.
     tokens: u64,
     started: bool,
     finished: bool,
 }
 
-impl Drop for Hold {
+impl Drop for Slot {
     fn drop(&mut self) {
-        self.computed();
+        self.end_prefill();
         if self.started {
             self.engine.lock().counts.running -= 1;
         } else {
-            self.engine.leave(self.place);
+            self.engine.dequeue(self.ticket);
         }
         if !self.finished {
             self.engine.lock().counts.cancelled += 1;
@@ -51,59 +51,59 @@
     }
 }
 
-impl Hold {
-    /// Notes that the prompt no longer waits.
-    fn computed(&mut self) {
+impl Slot {
+    /// Removes the prompt from the count of tokens that wait for prefill.
+    fn end_prefill(&mut self) {
         self.engine.lock().counts.pending -= self.tokens;
         self.tokens = 0;
     }
 }
 
-/// Works on an attempt until it is done, cancelled or broken.
+/// Runs an attempt until it is complete, cancelled or broken off by a fault.
 pub(crate) async fn run(engine: Engine, job: Job, out: Sender<sse::Event>) {
-    let tokens = job.chain.len() as u64 * u64::from(BLOCK_TOKENS);
-    let place = engine.join(job.priority, tokens);
-    let mut hold = Hold {
+    let tokens = job.prefix_hashes.len() as u64 * u64::from(BLOCK_TOKENS);
+    let ticket = engine.enqueue(job.priority, tokens);
+    let mut slot = Slot {
         engine: engine.clone(),
-        place,
+        ticket,
         tokens,
         started: false,
         finished: false,
     };
-    while !engine.start(place) {
+    while !engine.try_start(ticket) {
         if out.is_closed() {
             return;
         }
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
-    hold.started = true;
+    slot.started = true;
     prefill(&engine, &job).await;
-    hold.computed();
-    hold.finished = decode(&engine, &job, &out).await;
+    slot.end_prefill();
+    slot.finished = decode(&engine, &job, &out).await;
 }
 
 async fn prefill(engine: &Engine, job: &Job) {
     let uncached = {
         let mut state = engine.lock();
-        let hit = state.cache.hit(&job.chain);
-        let uncached = job.chain.len() - hit;
+        let hit = state.cache.hit(&job.prefix_hashes);
+        let uncached = job.prefix_hashes.len() - hit;
         state.counts.attempts += 1;
         state.counts.cached += hit as u64;
         state.counts.computed += uncached as u64;
         let mut missing = state.faults.missing;
-        state.cache.take_in(&job.chain, &mut missing);
+        state.cache.insert(&job.prefix_hashes, &mut missing);
         state.faults.missing = missing;
         uncached
     };
-    let micros = engine.pace.block_us * uncached as u64;
+    let micros = engine.speed.block_us * uncached as u64;
     tokio::time::sleep(Duration::from_micros(micros)).await;
 }
 
-/// Sends all tokens; says whether the answer became whole.
+/// Sends all tokens; returns whether the answer is complete.
 async fn decode(engine: &Engine, job: &Job, out: &Sender<sse::Event>) -> bool {
     for at in job.from..job.count {
         let faults = engine.lock().faults.clone();
-        let micros = engine.pace.token_us + faults.slow_ms * 1_000;
+        let micros = engine.speed.token_us + faults.slow_ms * 1_000;
         tokio::time::sleep(Duration::from_micros(micros)).await;
         if faults.stalled {
             out.closed().await;
@@ -127,7 +127,7 @@
     engine.lock().cancelled.contains(&job.attempt)
 }
 
-/// The event of a token, or what a fault makes of it.
+/// The events for a token: one, or what an active fault turns it into.
 fn events(engine: &Engine, job: &Job, at: u32) -> Vec<sse::Event> {
     let mut state = engine.lock();
     let mut attempt = job.attempt.clone();
