--- a/lib/tests/traces/driver.rs
+++ b/lib/tests/traces/driver.rs
@@ -12,7 +12,7 @@
     Outcome, Plan, Ran, Service, ServiceKind, Setup, World, issuer, joined,
 };
 use serde::{Deserialize, Serialize};
-use testutils::fake_endpoints::{Behaviour, Done, FakeEndpoints, Result};
+use testutils::fake_endpoints::{Behaviour, Done, FakeEndpoints, JobResult};
 
 /// Longest time between two ticks.
 const TICK: Duration = Duration::from_millis(50);
@@ -299,9 +299,9 @@
         let at = self.sendings.iter().position(|(id, _)| *id == done.id)?;
         let (attempt, request) = self.sendings.swap_remove(at);
         let outcome = match done.result {
-            Result::Whole => Outcome::Complete { status: 200 },
-            Result::Broken => Outcome::Failed { code: Code::Broken },
-            Result::Refused => Outcome::Unsent(NotSent),
+            JobResult::Complete => Outcome::Complete { status: 200 },
+            JobResult::Failed => Outcome::Failed { code: Code::Broken },
+            JobResult::Refused => Outcome::Unsent(NotSent),
         };
         let daemon = (issuer(attempt) - INCARNATION) as usize;
         let input = Input::Ended {
--- a/lib/testutils/src/fake_endpoints.rs
+++ b/lib/testutils/src/fake_endpoints.rs
@@ -1,42 +1,42 @@
-//! Endpoints on virtual time, as the deciding core meets them.
+//! Simulates endpoints on virtual time for the tests and benchmarks of the deciding core.
 //!
-//! Each endpoint shares its rate equally among the work it runs, and serves no
-//! single piece faster than its speed, as a batching engine does: up to the
-//! knee (rate over speed) more work costs nobody anything, past it everybody
-//! slows down. Nothing here knows of daemons, networks or real clocks.
+//! Like a batching engine, each endpoint shares its rate equally among its jobs and runs
+//! no single job faster than its speed: up to rate / speed concurrent jobs, another job
+//! slows down none; beyond that, all slow down. The module contains no daemons, networks
+//! or real clocks.
 
 use std::time::{Duration, Instant};
 
 /// How an endpoint behaves.
 #[derive(Clone, Debug)]
 pub struct Behaviour {
-    /// Units of work per second, all pieces together.
+    /// Units of work per second over all jobs.
     pub rate: f64,
-    /// Units of work per second of one piece at most.
+    /// Units of work per second of one job at most.
     pub speed: f64,
-    /// Share of the pieces that break when they are half done.
+    /// Fraction of the jobs that fail when they are half done.
     pub breaks: f64,
-    /// Pieces at once past which new ones break, as when memory runs out.
+    /// Number of concurrent jobs from which on new ones fail, as when memory runs out.
     pub crowd: Option<usize>,
-    /// Share of the connections that are refused.
+    /// Fraction of the connections that are refused.
     pub refuses: f64,
-    /// Span in which it runs slower or faster, and by which factor.
+    /// Period in which it runs slower or faster.
     pub slow: Option<Slow>,
 }
 
-/// A span of another rate.
+/// Period in which the rate and speed of an endpoint are multiplied by a factor.
 #[derive(Clone, Debug)]
 pub struct Slow {
-    /// Beginning.
+    /// Start of the period.
     pub from: Instant,
-    /// End.
+    /// End of the period.
     pub until: Instant,
-    /// Factor on rate and speed.
+    /// Factor for rate and speed.
     pub factor: f64,
 }
 
 impl Behaviour {
-    /// A sound endpoint.
+    /// An endpoint without faults.
     pub fn sound(rate: f64, speed: f64) -> Self {
         Self {
             rate,
@@ -49,40 +49,43 @@
     }
 }
 
-/// What became of a piece of work.
+/// Result of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Result {
-    /// Done in full.
-    Whole,
-    /// Broken after some of it ran.
-    Broken,
+pub enum JobResult {
+    /// Completed.
+    Complete,
+    /// Failed after a part of it ran.
+    Failed,
     /// Connection refused; nothing ran.
     Refused,
 }
 
-/// A piece of work that ended.
+/// A job that ended.
 #[derive(Clone, Debug)]
 pub struct Done {
-    /// Id it was sent with.
+    /// Id that it was sent with.
     pub id: u128,
-    /// What became of it.
-    pub result: Result,
+    /// Its result.
+    pub result: JobResult,
 }
 
 #[derive(Debug)]
-struct Piece {
+struct Job {
     id: u128,
-    tag: f64,
-    result: Result,
+    /// Value of the endpoint's `attained` at which the job ends.
+    end_mark: f64,
+    result: JobResult,
 }
 
 #[derive(Debug)]
 struct Endpoint {
     name: String,
     behaviour: Behaviour,
+    /// Work done so far for a job that has run since the start.
     attained: f64,
-    turned: Instant,
-    pieces: Vec<Piece>,
+    /// Time up to which `attained` is computed.
+    updated: Instant,
+    jobs: Vec<Job>,
 }
 
 impl Endpoint {
@@ -93,50 +96,50 @@
         }
     }
 
-    fn pace(&self, at: Instant) -> f64 {
-        let count = self.pieces.len().max(1) as f64;
+    fn job_rate(&self, at: Instant) -> f64 {
+        let count = self.jobs.len().max(1) as f64;
         let shared = self.behaviour.rate / count;
         shared.min(self.behaviour.speed) * self.factor(at)
     }
 
-    /// Next moment at which the pace changes by itself.
-    fn turn(&self) -> Option<Instant> {
+    /// Next time at which a slow period starts or ends.
+    fn next_change(&self) -> Option<Instant> {
         let slow = self.behaviour.slow.as_ref()?;
         [slow.from, slow.until]
             .into_iter()
-            .find(|at| *at > self.turned)
+            .find(|at| *at > self.updated)
     }
 
     fn next(&self) -> Option<Instant> {
-        let first = self.pieces.first()?;
-        let left = (first.tag - self.attained).max(0.0);
-        let wait = Duration::from_secs_f64(left / self.pace(self.turned));
-        let end = self.turned + wait + Duration::from_nanos(1);
-        Some(self.turn().map_or(end, |turn| end.min(turn)))
+        let first = self.jobs.first()?;
+        let left = (first.end_mark - self.attained).max(0.0);
+        let wait = Duration::from_secs_f64(left / self.job_rate(self.updated));
+        let end = self.updated + wait + Duration::from_nanos(1);
+        Some(self.next_change().map_or(end, |change| end.min(change)))
     }
 
     fn advance(&mut self, now: Instant) {
-        while let Some(turn) = self.turn().filter(|turn| *turn < now) {
-            self.advance_within(turn);
+        while let Some(change) = self.next_change().filter(|change| *change < now) {
+            self.advance_within(change);
         }
         self.advance_within(now);
     }
 
     fn advance_within(&mut self, now: Instant) {
-        let passed = now.saturating_duration_since(self.turned).as_secs_f64();
-        if !self.pieces.is_empty() {
-            self.attained += passed * self.pace(self.turned);
+        let passed = now.saturating_duration_since(self.updated).as_secs_f64();
+        if !self.jobs.is_empty() {
+            self.attained += passed * self.job_rate(self.updated);
         }
-        self.turned = self.turned.max(now);
+        self.updated = self.updated.max(now);
     }
 
-    fn put(&mut self, piece: Piece) {
-        let at = self.pieces.partition_point(|p| p.tag <= piece.tag);
-        self.pieces.insert(at, piece);
+    fn insert_job(&mut self, job: Job) {
+        let at = self.jobs.partition_point(|p| p.end_mark <= job.end_mark);
+        self.jobs.insert(at, job);
     }
 }
 
-/// All endpoints, and the work that they run.
+/// All endpoints with their jobs.
 #[derive(Debug)]
 pub struct FakeEndpoints {
     endpoints: Vec<Endpoint>,
@@ -145,14 +148,14 @@
 }
 
 impl FakeEndpoints {
-    /// Endpoints by name.
+    /// Creates endpoints from names and behaviours.
     pub fn new(behaviours: Vec<(String, Behaviour)>, now: Instant, seed: u64) -> Self {
         let endpoint = |(name, behaviour)| Endpoint {
             name,
             behaviour,
             attained: 0.0,
-            turned: now,
-            pieces: Vec::new(),
+            updated: now,
+            jobs: Vec::new(),
         };
         Self {
             endpoints: behaviours.into_iter().map(endpoint).collect(),
@@ -161,59 +164,63 @@
         }
     }
 
-    /// Sends a piece of work to an endpoint.
+    /// Sends a job to an endpoint.
     pub fn send(&mut self, now: Instant, name: &str, id: u128, work: f64) {
         let breaks = self.rng.f64();
         let refuses = self.rng.f64();
         let Some(endpoint) = self.endpoints.iter_mut().find(|e| e.name == name) else {
-            let result = Result::Refused;
+            let result = JobResult::Refused;
             self.done.push(Done { id, result });
             return;
         };
         endpoint.advance(now);
         if refuses < endpoint.behaviour.refuses {
-            let result = Result::Refused;
+            let result = JobResult::Refused;
             self.done.push(Done { id, result });
             return;
         }
         let crowd = endpoint.behaviour.crowd;
-        let crowded = crowd.is_some_and(|crowd| endpoint.pieces.len() >= crowd);
-        let broken = crowded || breaks < endpoint.behaviour.breaks;
+        let overloaded = crowd.is_some_and(|crowd| endpoint.jobs.len() >= crowd);
+        let broken = overloaded || breaks < endpoint.behaviour.breaks;
         let (part, result) = if broken {
-            (0.5, Result::Broken)
+            (0.5, JobResult::Failed)
         } else {
-            (1.0, Result::Whole)
+            (1.0, JobResult::Complete)
         };
-        let tag = endpoint.attained + work * part;
-        endpoint.put(Piece { id, tag, result });
+        let end_mark = endpoint.attained + work * part;
+        endpoint.insert_job(Job {
+            id,
+            end_mark,
+            result,
+        });
     }
 
-    /// Stops a piece of work.
+    /// Cancels a job.
     pub fn cancel(&mut self, now: Instant, id: u128) {
         for endpoint in &mut self.endpoints {
-            if endpoint.pieces.iter().any(|p| p.id == id) {
+            if endpoint.jobs.iter().any(|p| p.id == id) {
                 endpoint.advance(now);
-                endpoint.pieces.retain(|p| p.id != id);
+                endpoint.jobs.retain(|p| p.id != id);
             }
         }
     }
 
-    /// When something happens next by itself.
+    /// Time of the next event: a job ends or a rate changes.
     pub fn next(&self) -> Option<Instant> {
         if let (false, Some(first)) = (self.done.is_empty(), self.endpoints.first()) {
-            return Some(first.turned);
+            return Some(first.updated);
         }
         self.endpoints.iter().filter_map(Endpoint::next).min()
     }
 
-    /// Takes out what ended by now.
+    /// Removes and returns the jobs that ended by `now`.
     pub fn take(&mut self, now: Instant) -> Vec<Done> {
         for endpoint in &mut self.endpoints {
             endpoint.advance(now);
             let ended = endpoint
-                .pieces
-                .partition_point(|p| p.tag <= endpoint.attained + 1e-6);
-            let done = endpoint.pieces.drain(..ended).map(|p| Done {
+                .jobs
+                .partition_point(|p| p.end_mark <= endpoint.attained + 1e-6);
+            let done = endpoint.jobs.drain(..ended).map(|p| Done {
                 id: p.id,
                 result: p.result,
             });
--- a/lib/testutils/src/fake_engines.rs
+++ b/lib/testutils/src/fake_engines.rs
@@ -1,63 +1,63 @@
-//! A model engine on virtual time, as far as routing can tell.
+//! Model engine on virtual time, reduced to what routing observes of it.
 //!
-//! It prefills one prompt after the other, less what its prefix cache holds,
-//! streams tokens at a rate that falls as more streams run, keeps its blocks in a
-//! cache of limited size by last use, and numbers what it adds and removes.
+//! It prefills one prompt at a time and skips the blocks in its prefix cache, streams
+//! tokens at a rate that falls with the number of running streams, evicts the least
+//! recently used blocks from a cache of limited size, and numbers the changes of this cache.
 
 use std::collections::VecDeque;
 
 /// Tokens of a cache block.
-const BLOCK: usize = 64;
-/// By how much each running stream slows down all of them.
-const SLOWER: f64 = 0.01;
+const BLOCK_TOKENS: usize = 64;
+/// Relative increase of the time per token of all streams for each running stream.
+const SLOWDOWN_PER_STREAM: f64 = 0.01;
 
-/// What an engine can do.
+/// Speed and capacity of an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Speed {
-    /// Prompt tokens a second.
+    /// Prompt tokens prefilled per second.
     pub prefill: f64,
-    /// Tokens a second of one stream alone.
+    /// Tokens per second of a stream that runs alone.
     pub decode: f64,
-    /// Streams at once.
+    /// Concurrent streams at most.
     pub slots: usize,
-    /// Blocks in the prefix cache.
+    /// Capacity of the prefix cache in blocks.
     pub blocks: usize,
-    /// KV cache tokens given out a second.
+    /// KV cache tokens exported per second.
     pub export: f64,
 }
 
 /// A request at an engine.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// Id of the sending.
+    /// Id of the attempt.
     pub attempt: u128,
-    /// Hash chain over the prompt's blocks.
+    /// Chained hashes of the prompt's blocks.
     pub blocks: Vec<u64>,
-    /// Tokens of the prompt.
+    /// Prompt length in tokens.
     pub prompt: u32,
-    /// Tokens of the answer that exist already.
+    /// Tokens of the answer that an earlier attempt delivered.
     pub delivered: u32,
-    /// Tokens of the whole answer.
+    /// Length of the whole answer in tokens.
     pub answer: u32,
-    /// Whether its KV cache came along.
+    /// Whether its KV cache was migrated with it, so that no prefill is needed.
     pub carried: bool,
 }
 
-/// Tokens that an engine gave out.
+/// Progress of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Step {
-    /// Sending.
+    /// Id of the attempt.
     pub attempt: u128,
-    /// Tokens since the beginning of the answer.
+    /// Tokens of the answer delivered so far, including earlier attempts.
     pub delivered: u32,
-    /// Whether the answer is whole.
+    /// Whether the answer is complete.
     pub done: bool,
 }
 
 /// A change of the prefix cache.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Change {
-    /// Number of the change.
+    /// Sequence number of the change.
     pub sequence: u64,
     /// Blocks added.
     pub added: Vec<u64>,
@@ -71,74 +71,74 @@
     tokens: f64,
 }
 
-/// The engine.
+/// A model engine.
 #[derive(Clone, Debug)]
 pub struct Engine {
     speed: Speed,
     queue: VecDeque<Job>,
-    /// Prompt tokens still to compute of the first in the queue, once begun.
-    left: Option<f64>,
+    /// Prompt tokens that the first job of the queue still has to prefill, once started.
+    remaining: Option<f64>,
     streams: Vec<Stream>,
-    /// Blocks and their last use, sorted by block.
+    /// Blocks with the number of their last use, sorted by block.
     cache: Vec<(u64, u64)>,
-    uses: u64,
+    use_count: u64,
     sequence: u64,
     changes: Vec<Change>,
-    /// Prompt tokens computed so far.
+    /// Prompt tokens prefilled so far.
     pub computed: f64,
 }
 
 impl Engine {
-    /// An idle engine with an empty cache.
+    /// Creates an idle engine with an empty cache.
     pub fn new(speed: Speed) -> Self {
         Self {
             speed,
             queue: VecDeque::new(),
-            left: None,
+            remaining: None,
             streams: Vec::new(),
             cache: Vec::new(),
-            uses: 0,
+            use_count: 0,
             sequence: 0,
             changes: Vec::new(),
             computed: 0.0,
         }
     }
 
-    /// Takes a request.
+    /// Queues a request.
     pub fn send(&mut self, job: Job) {
         self.queue.push_back(job);
     }
 
-    /// Stops a request.
+    /// Cancels a request.
     pub fn cancel(&mut self, attempt: u128) {
         if self.queue.front().is_some_and(|job| job.attempt == attempt) {
-            self.left = None;
+            self.remaining = None;
         }
         self.queue.retain(|job| job.attempt != attempt);
         self.streams.retain(|stream| stream.job.attempt != attempt);
     }
 
-    /// Attempts that are there.
+    /// Queued and running attempts.
     pub fn attempts(&self) -> Vec<u128> {
         let queued = self.queue.iter().map(|job| job.attempt);
         let running = self.streams.iter().map(|stream| stream.job.attempt);
         queued.chain(running).collect()
     }
 
-    /// Prompt tokens that wait, as a load report tells.
+    /// Prompt tokens still to be prefilled, as a load report states them.
     pub fn pending(&self) -> f64 {
-        let first = self.left.unwrap_or(0.0);
-        let begun = usize::from(self.left.is_some());
+        let first = self.remaining.unwrap_or(0.0);
+        let begun = usize::from(self.remaining.is_some());
         let rest = self.queue.iter().skip(begun);
-        first + rest.map(|job| self.missing(job)).sum::<f64>()
+        first + rest.map(|job| self.uncached_tokens(job)).sum::<f64>()
     }
 
-    /// What changed in the cache since the last call.
+    /// Changes of the prefix cache since the last call.
     pub fn changes(&mut self) -> Vec<Change> {
         std::mem::take(&mut self.changes)
     }
 
-    /// Works for some seconds.
+    /// Advances the engine by some seconds; returns the progress of its streams.
     pub fn step(&mut self, seconds: f64) -> Vec<Step> {
         let steps = self.decode(seconds);
         self.prefill(seconds * self.speed.prefill);
@@ -146,7 +146,7 @@
     }
 
     fn decode(&mut self, seconds: f64) -> Vec<Step> {
-        let rate = self.speed.decode / (1.0 + SLOWER * self.streams.len() as f64);
+        let rate = self.speed.decode / (1.0 + SLOWDOWN_PER_STREAM * self.streams.len() as f64);
         let mut steps = Vec::new();
         for stream in &mut self.streams {
             let before = stream.tokens as u32;
@@ -170,25 +170,25 @@
             let Some(job) = self.queue.front() else {
                 return;
             };
-            let left = self.left.unwrap_or_else(|| self.missing(job));
-            let done = left.min(budget);
+            let remaining = self.remaining.unwrap_or_else(|| self.uncached_tokens(job));
+            let done = remaining.min(budget);
             budget -= done;
             self.computed += done;
-            if done < left {
-                self.left = Some(left - done);
+            if done < remaining {
+                self.remaining = Some(remaining - done);
                 return;
             }
-            self.left = None;
+            self.remaining = None;
             let Some(job) = self.queue.pop_front() else {
                 return;
             };
-            self.keep(&job.blocks);
+            self.cache_blocks(&job.blocks);
             let tokens = f64::from(job.delivered) + 1.0;
             self.streams.push(Stream { job, tokens });
         }
     }
 
-    fn missing(&self, job: &Job) -> f64 {
+    fn uncached_tokens(&self, job: &Job) -> f64 {
         if job.carried {
             return 0.0;
         }
@@ -197,18 +197,18 @@
                 .binary_search_by_key(*block, |(block, _)| *block)
                 .is_ok()
         });
-        let cached = (cached.count() * BLOCK) as f64;
+        let cached = (cached.count() * BLOCK_TOKENS) as f64;
         (f64::from(job.prompt) + f64::from(job.delivered) - cached).max(1.0)
     }
 
-    fn keep(&mut self, blocks: &[u64]) {
+    fn cache_blocks(&mut self, blocks: &[u64]) {
         let mut change = Change {
             sequence: self.sequence,
             ..Change::default()
         };
-        self.uses += 1;
+        self.use_count += 1;
         for (depth, &block) in blocks.iter().enumerate() {
-            let used = (self.uses << 16) | (0xffff - depth as u64);
+            let used = (self.use_count << 16) | (0xffff - depth as u64);
             match self.cache.binary_search_by_key(&block, |(block, _)| *block) {
                 Ok(at) => self.cache[at].1 = used,
                 Err(at) => {
@@ -225,13 +225,13 @@
     }
 
     fn evict(&mut self, change: &mut Change) {
-        let over = self.cache.len().saturating_sub(self.speed.blocks);
-        if over == 0 {
+        let excess = self.cache.len().saturating_sub(self.speed.blocks);
+        if excess == 0 {
             return;
         }
         let mut uses: Vec<u64> = self.cache.iter().map(|(_, used)| *used).collect();
         uses.sort_unstable();
-        let least = uses[over];
+        let least = uses[excess];
         let gone = self.cache.iter().filter(|(_, used)| *used < least);
         change.removed = gone.map(|(block, _)| *block).collect();
         self.cache.retain(|(_, used)| *used >= least);
--- a/lib/testutils/src/folder.rs
+++ b/lib/testutils/src/folder.rs
@@ -1,4 +1,4 @@
-//! A folder for the files of one test.
+//! Temporary folder for the files of one test.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -6,28 +6,28 @@
 
 static COUNT: AtomicU32 = AtomicU32::new(0);
 
-/// A folder that is removed when the test lets go of it.
+/// Temporary folder that is removed on drop.
 #[derive(Debug)]
 pub struct Folder(PathBuf);
 
 impl Folder {
-    /// New and empty.
+    /// Creates an empty folder with a name unique to this process and call.
     pub fn new() -> Self {
         let count = COUNT.fetch_add(1, Ordering::Relaxed);
         let name = format!("poplarvale-test-{}-{count}", std::process::id());
         let path = std::env::temp_dir().join(name);
-        fs::create_dir_all(&path).expect("a temporary folder can be made");
+        fs::create_dir_all(&path).expect("the temporary folder is created");
         Self(path)
     }
 
     /// Writes a file and returns its path.
     pub fn write(&self, name: &str, text: &str) -> PathBuf {
         let path = self.0.join(name);
-        fs::write(&path, text).expect("a file can be written");
+        fs::write(&path, text).expect("the file is written");
         path
     }
 
-    /// Its path.
+    /// Path of the folder.
     pub fn path(&self) -> &Path {
         &self.0
     }
@@ -41,7 +41,7 @@
 
 impl Drop for Folder {
     fn drop(&mut self) {
-        // A folder that stays behind does no harm.
+        // A folder that cannot be removed only takes disk space.
         let _ = fs::remove_dir_all(&self.0);
     }
 }
--- a/lib/testutils/src/lib.rs
+++ b/lib/testutils/src/lib.rs
@@ -1,8 +1,7 @@
-//! What the tests of all packages share.
+//! Test utilities shared by all packages.
 //!
-//! Stand-ins for the platform's services and the endpoints, which also run as
-//! small programs of their own, and settings that make property tests give the
-//! same verdict in every run.
+//! Stand-ins for the platform's services and the endpoints, which also run as separate
+//! programs, and settings that make property tests give the same result in every run.
 
 pub mod engine;
 pub mod fake_endpoints;
@@ -19,10 +18,10 @@
 
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
 
-/// Seed of every property test, so that a verdict never depends on the day.
+/// Seed of every property test, so that each run tests the same cases.
 pub const SEED: u64 = 0x706f_706c_6172;
 
-/// Property test settings with the fixed seed and a number of cases.
+/// Property test settings with the fixed seed and this number of cases.
 pub fn fixed(cases: u32) -> Config {
     Config {
         cases,
--- a/lib/testutils/src/plain.rs
+++ b/lib/testutils/src/plain.rs
@@ -1,7 +1,6 @@
 //! Stand-in for a plain service: a booking application.
 //!
-//! It counts how often each booking ran, which makes it the judge of whether
-//! one ran twice.
+//! It counts how often each booking ran, so that a test can check that none ran twice.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -10,26 +9,26 @@
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
-/// Faults that can be ordered with `POST /faults`.
+/// Faults, set with `POST /faults`.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Milliseconds that each call takes.
+    /// Time that each call takes in milliseconds.
     pub slow_ms: u64,
-    /// Runs the next calls but gives no answer to them.
+    /// Number of coming bookings that run but get no answer.
     pub mute: u32,
-    /// Breaks the connection in the middle of each answer.
+    /// Breaks the connection during each answer.
     pub cut: bool,
-    /// Status that all calls are answered with, without running them.
+    /// Answers all bookings with this status, without running them.
     pub status: Option<u16>,
 }
 
 /// How often a booking ran.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Count {
-    /// Booking.
+    /// Id of the booking.
     pub id: String,
-    /// Times it ran.
+    /// Number of times that it ran.
     pub ran: u32,
 }
 
@@ -51,12 +50,12 @@
 }
 
 impl Plain {
-    /// One without bookings and faults.
+    /// Creates an application without bookings and faults.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Its HTTP routes.
+    /// Registers the HTTP routes of the application.
     pub fn routes(&self, config: &mut web::ServiceConfig) {
         config
             .app_data(web::Data::new(self.clone()))
@@ -70,7 +69,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Runs a booking; returns how often it has run by now.
+    /// Runs a booking; returns how often it has run, including this time.
     fn run(&self, id: &str) -> u32 {
         let counts = &mut self.lock().counts;
         match counts.binary_search_by(|c| c.id.as_str().cmp(id)) {
@@ -91,7 +90,8 @@
         }
     }
 
-    fn is_mute(&self) -> bool {
+    /// Whether this booking gets no answer; counts it down from `mute`.
+    fn take_mute(&self) -> bool {
         let faults = &mut self.lock().faults;
         let mute = faults.mute > 0;
         faults.mute = faults.mute.saturating_sub(1);
@@ -119,17 +119,17 @@
     }
     let ran = plain.run(&booking.id);
     tokio::time::sleep(Duration::from_millis(faults.slow_ms)).await;
-    if plain.is_mute() {
+    if plain.take_mute() {
         std::future::pending::<()>().await;
     }
     if faults.cut {
-        return cut();
+        return broken_response();
     }
     HttpResponse::Created().json(json!({"booking": booking.id, "ran": ran}))
 }
 
-/// An answer in chunks that breaks off after the first one.
-fn cut() -> HttpResponse {
+/// A chunked response that breaks off after the first chunk.
+fn broken_response() -> HttpResponse {
     let half = Ok(web::Bytes::from_static(b"{\"booking\": "));
     let parts = [half, Err(std::io::Error::other("ordered"))];
     HttpResponse::Ok().streaming(futures::stream::iter(parts))
@@ -139,7 +139,7 @@
     let faults = plain.lock().faults.clone();
     tokio::time::sleep(Duration::from_millis(faults.slow_ms)).await;
     if faults.cut {
-        return cut();
+        return broken_response();
     }
     let state = plain.lock();
     match state.counts.binary_search_by(|c| c.id.as_str().cmp(&id)) {
--- a/lib/testutils/src/process.rs
+++ b/lib/testutils/src/process.rs
@@ -1,4 +1,4 @@
-//! Runs the real programs for a test and ends them with it.
+//! Runs the workspace's programs as child processes of a test.
 
 use std::fs::File;
 use std::io::{BufRead as _, BufReader, Read as _};
@@ -6,18 +6,18 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, ChildStdout, Command, ExitStatus, Stdio};
 
-/// A program that a test started; it is killed when the test lets go of it.
+/// A child process; it is killed on drop.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
-    /// What it writes, unless that goes to a file.
+    /// Its standard output, unless that goes to a file.
     out: Option<BufReader<ChildStdout>>,
-    /// First line that it wrote.
+    /// First line of its output; empty if the output goes to a file.
     pub first: String,
 }
 
 impl Process {
-    /// Starts a program and waits for its first line.
+    /// Starts a program and waits for its first line of output.
     pub fn start(program: &Path, args: &[&str]) -> Self {
         let mut child = Command::new(program)
             .args(args)
@@ -26,9 +26,10 @@
             .stderr(Stdio::inherit())
             .spawn()
             .unwrap_or_else(|error| panic!("{} does not start: {error}", program.display()));
-        let mut out = BufReader::new(child.stdout.take().expect("standard output is a pipe"));
+        let mut out = BufReader::new(child.stdout.take().expect("the standard output is a pipe"));
         let mut first = String::new();
-        out.read_line(&mut first).expect("the program writes text");
+        out.read_line(&mut first)
+            .expect("the first line of the output is text");
         Self {
             child,
             out: Some(out),
@@ -36,8 +37,8 @@
         }
     }
 
-    /// Starts a program with one more variable in its environment; what it writes is
-    /// added to a file.
+    /// Starts a program with one additional environment variable; its output is
+    /// appended to a file.
     pub fn start_logged(program: &Path, variable: (&str, &Path), log: &Path) -> Self {
         let file = File::options().create(true).append(true).open(log);
         let child = Command::new(program)
@@ -54,19 +55,21 @@
         }
     }
 
-    /// Whether it has ended.
+    /// Whether the process has exited.
     pub fn has_ended(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
 
-    /// The address behind a word of its first line.
+    /// The address that follows a word in the first line of output.
     pub fn address(&self, word: &str) -> SocketAddr {
         let mut words = self.first.split_whitespace();
         words
             .find(|w| *w == word)
             .unwrap_or_else(|| panic!("no {word} in {:?}", self.first));
-        let address = words.next().expect("an address follows");
-        address.parse().expect("it is an address")
+        let address = words.next().expect("an address follows the word");
+        address
+            .parse()
+            .expect("the text after the word is an address")
     }
 
     /// Its process id.
@@ -74,7 +77,7 @@
         self.child.id()
     }
 
-    /// Sends a signal by its name, such as `TERM`, `STOP` or `CONT`.
+    /// Sends a signal by name, such as `TERM`, `STOP` or `CONT`.
     pub fn signal(&self, name: &str) {
         let id = self.id().to_string();
         let sent = Command::new("kill").args(["-s", name, &id]).status();
@@ -84,21 +87,23 @@
         );
     }
 
-    /// Kills it at once.
+    /// Kills the process and waits until it has exited.
     pub fn kill(&mut self) {
-        // One that has ended already cannot be killed, which is as good.
+        // Killing fails only if the process has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Waits for its end.
+    /// Waits until the process exits.
     pub fn wait(&mut self) -> ExitStatus {
         let mut rest = String::new();
-        // Reading to the end keeps a full pipe from holding the program up.
+        // Reading to the end prevents the process from blocking on a full pipe.
         if let Some(out) = &mut self.out {
             let _ = out.read_to_string(&mut rest);
         }
-        self.child.wait().expect("the program was started here")
+        self.child
+            .wait()
+            .expect("the child process can be waited for")
     }
 }
 
@@ -108,7 +113,7 @@
     }
 }
 
-/// Program of the workspace, beside the one that a test knows the path of.
+/// Path of another program of the workspace, in the directory of the program `known`.
 pub fn beside(known: &str, name: &str) -> PathBuf {
     let program = Path::new(known).with_file_name(name);
     assert!(
--- a/lib/testutils/src/replay.rs
+++ b/lib/testutils/src/replay.rs
@@ -1,8 +1,8 @@
-//! Replays a trace against a few deciding cores and fake engines.
+//! Replays a trace against a few deciding cores and fake engines on virtual time.
 //!
-//! Stands for the borders only: it carries commands to the engines and their
-//! answers, late load reports and cache events with gaps back, and passes tokens
-//! on to the caller by their offsets.
+//! It replaces only the input and output of the daemons: it delivers commands to the
+//! engines, returns their answers, delayed load reports and cache events with gaps, and
+//! forwards tokens to the callers by offset.
 
 use std::time::{Duration, Instant};
 
@@ -15,115 +15,116 @@
 
 use crate::fake_engines::{Engine, Job, Speed};
 
-/// Length of a step.
-const STEP: f64 = 0.010;
-/// Time after the last arrival in which everything should have ended.
-const REST: f64 = 40.0;
+/// Step of the virtual time in seconds.
+const STEP_S: f64 = 0.010;
+/// Time after the last arrival until which all requests should have ended, in seconds.
+const DRAIN_S: f64 = 40.0;
 
-/// What the trace is replayed against.
+/// Fleet that a trace is replayed against.
 #[derive(Clone, Copy, Debug)]
 pub struct Scene {
-    /// How endpoints are chosen.
+    /// Policy for the choice of endpoints.
     pub policy: Policy,
-    /// Availability zones.
+    /// Number of availability zones.
     pub zones: usize,
-    /// Endpoints in each.
+    /// Endpoints in each zone.
     pub endpoints: usize,
-    /// Daemons in each.
+    /// Daemons in each zone.
     pub daemons: usize,
-    /// What the engines can do.
+    /// Speed and capacity of the engines.
     pub speed: Speed,
-    /// Seconds between load reports.
+    /// Interval between load reports in seconds.
     pub every: f64,
-    /// Seconds by which load reports and cache events are late.
+    /// Delay of load reports, and mean delay of cache events, in seconds.
     pub lag: f64,
-    /// Share of the cache events that never comes.
+    /// Fraction of the cache events that is lost.
     pub lost: f64,
 }
 
 /// A request of the trace.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// When, in seconds.
+    /// Time of arrival in seconds.
     pub at: f64,
-    /// Daemon it comes to.
+    /// Index of the daemon that receives it.
     pub daemon: usize,
-    /// Hash chain over the prompt's blocks.
+    /// Chained hashes of the prompt's blocks.
     pub blocks: Vec<u64>,
-    /// Tokens of the answer.
+    /// Length of the answer in tokens.
     pub answer: u32,
 }
 
-/// A zone that is reclaimed.
+/// Reclaim of a zone's endpoints.
 #[derive(Clone, Copy, Debug)]
 pub struct Reclaim {
-    /// When its notice comes, in seconds.
+    /// Time of the reclaim notice in seconds.
     pub at: f64,
-    /// Seconds of notice.
+    /// Time between notice and reclaim in seconds.
     pub notice: f64,
-    /// Zone.
+    /// Index of the zone.
     pub zone: usize,
 }
 
-/// What callers got, and what it took.
+/// Results for the callers, and the work they took.
 #[derive(Clone, Debug, Default)]
 pub struct Outcomes {
-    /// Seconds to the first token, sorted.
-    pub firsts: Vec<f64>,
-    /// Answers in full.
+    /// Times to the first token in seconds, sorted.
+    pub ttft_s: Vec<f64>,
+    /// Complete answers.
     pub whole: usize,
-    /// Requests that ended otherwise.
+    /// Requests that ended without a complete answer.
     pub failed: usize,
-    /// Sendings that broke as their endpoint went away.
+    /// Attempts that failed because their endpoint was reclaimed.
     pub broken: usize,
-    /// Sendings made after the endpoint's notice.
+    /// Attempts sent after their endpoint's reclaim notice.
     pub late: usize,
-    /// Streams carried with their KV cache.
+    /// Streams migrated with their KV cache.
     pub carried: usize,
-    /// Answers whose text was not each token once.
+    /// Complete answers that had missing tokens.
     pub torn: usize,
-    /// Prompt tokens computed.
+    /// Prompt tokens prefilled.
     pub computed: f64,
-    /// Prompt tokens computed beyond each distinct block once.
+    /// Prompt tokens prefilled beyond one prefill of each distinct block.
     pub recomputed: f64,
-    /// Most over mean of the endpoints' streams, averaged over time.
+    /// Ratio of the most to the mean streams per endpoint, averaged over time.
     pub imbalance: f64,
-    /// Most streams at one endpoint.
+    /// Most streams at one endpoint at any time.
     pub most: usize,
 }
 
 impl Outcomes {
-    /// Seconds within which a share of the first tokens came.
+    /// Quantile `share` of the time to the first token, in seconds.
     pub fn first(&self, share: f64) -> f64 {
-        let at = (self.firsts.len() as f64 * share) as usize;
-        self.firsts
-            .get(at.min(self.firsts.len().saturating_sub(1)))
+        let at = (self.ttft_s.len() as f64 * share) as usize;
+        self.ttft_s
+            .get(at.min(self.ttft_s.len().saturating_sub(1)))
             .copied()
             .unwrap_or(f64::NAN)
     }
 }
 
-/// A trace of conversations: each goes on with its whole history, comes to any
-/// daemon, and shares the beginning of its prompt with others of its kind.
+/// Generates a trace of conversations. Each request repeats the whole history of its
+/// conversation and arrives at a random daemon; conversations of the same kind share a
+/// prompt prefix.
 ///
-/// `rate` requests a second for `seconds`; `hot` is the share of the requests
-/// that belong to one kind.
+/// `rate` is in requests per second, over `seconds`; `hot` is the fraction of the new
+/// conversations that belong to one kind.
 pub fn conversations(seed: u64, rate: f64, seconds: f64, daemons: usize, hot: f64) -> Vec<Arrival> {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut talks: Vec<(Vec<u64>, u32)> = Vec::new();
+    let mut sessions: Vec<(Vec<u64>, u32)> = Vec::new();
     let mut arrivals = Vec::new();
     let mut at = 0.0;
     while at < seconds {
         at += -(1.0 - rng.f64()).ln() / rate;
-        let old = !talks.is_empty() && rng.f64() < 0.75;
-        let talk = if old {
-            rng.usize(..talks.len())
+        let old = !sessions.is_empty() && rng.f64() < 0.75;
+        let session = if old {
+            rng.usize(..sessions.len())
         } else {
             let kind = if rng.f64() < hot { 0 } else { rng.u64(1..40) };
-            talks.push((chain(&mut rng, kind, 12), 0));
-            talks.len() - 1
+            sessions.push((chain(&mut rng, kind, 12), 0));
+            sessions.len() - 1
         };
-        let (blocks, turns) = &mut talks[talk];
+        let (blocks, turns) = &mut sessions[session];
         let fresh = rng.usize(4..20);
         extend(blocks, &mut rng, fresh);
         *turns += 1;
@@ -134,7 +135,7 @@
             answer: rng.u32(30..270),
         });
         if *turns >= 8 {
-            talks.swap_remove(talk);
+            sessions.swap_remove(session);
         }
     }
     arrivals
@@ -152,18 +153,18 @@
     blocks.extend(std::iter::repeat_with(|| rng.u64(..)).take(count));
 }
 
-struct Post {
+struct Delivery {
     due: f64,
     event: Event,
 }
 
 struct Caller {
-    passed: u32,
+    received: u32,
     torn: bool,
     arrival: usize,
 }
 
-struct Stand {
+struct Endpoint {
     id: CompactString,
     zone: usize,
     engine: Engine,
@@ -179,9 +180,9 @@
     now: f64,
     worlds: Vec<World>,
     inputs: Vec<Vec<Input>>,
-    stands: Vec<Stand>,
+    endpoints: Vec<Endpoint>,
     callers: Vec<(u128, Caller)>,
-    posts: Vec<Post>,
+    deliveries: Vec<Delivery>,
     rng: fastrand::Rng,
     out: Outcomes,
     samples: u32,
@@ -190,19 +191,19 @@
 /// Replays a trace.
 pub fn replay(scene: &Scene, arrivals: &[Arrival], reclaims: &[Reclaim]) -> Outcomes {
     let mut replay = Replay::new(scene, arrivals);
-    let end = arrivals.last().map_or(0.0, |arrival| arrival.at) + REST;
+    let end = arrivals.last().map_or(0.0, |arrival| arrival.at) + DRAIN_S;
     let mut next = 0;
     let mut count = 0_u64;
     while replay.now < end {
         count += 1;
-        replay.now = count as f64 * STEP;
+        replay.now = count as f64 * STEP_S;
         while next < arrivals.len() && arrivals[next].at <= replay.now {
             replay.arrive(next);
             next += 1;
         }
         replay.reclaim(reclaims);
         replay.work();
-        if count.is_multiple_of((scene.every / STEP).max(1.0) as u64) {
+        if count.is_multiple_of((scene.every / STEP_S).max(1.0) as u64) {
             replay.report();
         }
         replay.deliver();
@@ -223,9 +224,9 @@
             world.routing.policy = scene.policy;
             worlds.push(world);
         }
-        let mut stands = Vec::new();
+        let mut endpoints = Vec::new();
         for at in 0..scene.zones * scene.endpoints {
-            stands.push(Stand {
+            endpoints.push(Endpoint {
                 id: format_compact!("e{at:04}"),
                 zone: at % scene.zones,
                 engine: Engine::new(scene.speed),
@@ -235,7 +236,11 @@
             });
         }
         let mut first = vec![Input::Lists(lists())];
-        first.extend(stands.iter().map(|stand| Input::Endpoint(known(stand))));
+        first.extend(
+            endpoints
+                .iter()
+                .map(|endpoint| Input::Endpoint(listed_endpoint(endpoint))),
+        );
         for world in &mut worlds {
             world.tick(start, first.clone());
         }
@@ -246,9 +251,9 @@
             now: 0.0,
             inputs: vec![Vec::new(); worlds.len()],
             worlds,
-            stands,
+            endpoints,
             callers: Vec::new(),
-            posts: Vec::new(),
+            deliveries: Vec::new(),
             rng: fastrand::Rng::with_seed(crate::SEED),
             out: Outcomes::default(),
             samples: 0,
@@ -274,13 +279,13 @@
             prompt: arrival.blocks.len() as u32 * 64,
             answer: arrival.answer,
             arrived: now,
-            deadline: now + Duration::from_secs_f64(REST - 1.0),
+            deadline: now + Duration::from_secs_f64(DRAIN_S - 1.0),
         };
         self.inputs[arrival.daemon].push(Input::Arrived(order));
         self.callers.push((
             id,
             Caller {
-                passed: 0,
+                received: 0,
                 torn: false,
                 arrival: at,
             },
@@ -290,73 +295,73 @@
     fn reclaim(&mut self, reclaims: &[Reclaim]) {
         for reclaim in reclaims {
             let until = self.time(reclaim.at + reclaim.notice);
-            for at in 0..self.stands.len() {
-                if self.stands[at].zone != reclaim.zone {
+            for at in 0..self.endpoints.len() {
+                if self.endpoints[at].zone != reclaim.zone {
                     continue;
                 }
-                if self.stands[at].notice.is_none() && reclaim.at <= self.now {
-                    self.stands[at].notice = Some(self.now);
-                    let endpoint = self.stands[at].id.clone();
-                    self.tell(&Input::Leaving { endpoint, until });
+                if self.endpoints[at].notice.is_none() && reclaim.at <= self.now {
+                    self.endpoints[at].notice = Some(self.now);
+                    let endpoint = self.endpoints[at].id.clone();
+                    self.broadcast(&Input::Leaving { endpoint, until });
                 }
                 let end = reclaim.at + reclaim.notice;
-                if self.stands[at].gone.is_none() && end <= self.now {
-                    self.stands[at].gone = Some(self.now);
-                    self.vanish(at);
+                if self.endpoints[at].gone.is_none() && end <= self.now {
+                    self.endpoints[at].gone = Some(self.now);
+                    self.remove_endpoint(at);
                 }
             }
         }
     }
 
-    fn vanish(&mut self, at: usize) {
-        for attempt in self.stands[at].engine.attempts() {
-            self.stands[at].engine.cancel(attempt);
+    fn remove_endpoint(&mut self, at: usize) {
+        for attempt in self.endpoints[at].engine.attempts() {
+            self.endpoints[at].engine.cancel(attempt);
             self.out.broken += 1;
-            self.end(attempt, Outcome::Failed { code: Code::Broken });
+            self.end_attempt(attempt, Outcome::Failed { code: Code::Broken });
         }
-        self.tell(&Input::Gone(self.stands[at].id.clone()));
+        self.broadcast(&Input::Gone(self.endpoints[at].id.clone()));
     }
 
-    fn tell(&mut self, input: &Input) {
+    fn broadcast(&mut self, input: &Input) {
         for inputs in &mut self.inputs {
             inputs.push(input.clone());
         }
     }
 
-    /// Lets the engines work and passes their tokens on.
+    /// Advances the engines by one step and forwards their tokens.
     fn work(&mut self) {
-        for at in 0..self.stands.len() {
-            if self.stands[at].gone.is_some() {
+        for at in 0..self.endpoints.len() {
+            if self.endpoints[at].gone.is_some() {
                 continue;
             }
-            for step in self.stands[at].engine.step(STEP) {
-                self.pass(step.attempt, step.delivered);
+            for step in self.endpoints[at].engine.step(STEP_S) {
+                self.forward_tokens(step.attempt, step.delivered);
                 if step.done {
-                    self.end(step.attempt, Outcome::Complete { status: 200 });
+                    self.end_attempt(step.attempt, Outcome::Complete { status: 200 });
                 }
             }
-            let epoch = self.stands[at].epoch;
-            for change in self.stands[at].engine.changes() {
+            let epoch = self.endpoints[at].epoch;
+            for change in self.endpoints[at].engine.changes() {
                 if self.rng.f64() < self.scene.lost {
                     continue;
                 }
                 let event = CacheEvent {
-                    endpoint: self.stands[at].id.clone(),
+                    endpoint: self.endpoints[at].id.clone(),
                     epoch,
                     sequence: change.sequence,
                     added: change.added,
                     removed: change.removed,
                 };
-                // Some are later than others, so that they pass each other.
+                // Random delays reorder the events.
                 let due = self.now + self.scene.lag * (0.5 + self.rng.f64());
                 let event = Event::Cache(event);
-                self.posts.push(Post { due, event });
+                self.deliveries.push(Delivery { due, event });
             }
         }
     }
 
-    /// Passes tokens of the current attempt on, each offset once.
-    fn pass(&mut self, attempt: u128, delivered: u32) {
+    /// Forwards the tokens of the current attempt, each offset once.
+    fn forward_tokens(&mut self, attempt: u128, delivered: u32) {
         let Some(daemon) = self.daemon(attempt) else {
             return;
         };
@@ -367,11 +372,11 @@
         let Some(caller) = find(&mut self.callers, id) else {
             return;
         };
-        if caller.passed == 0 && delivered > 0 {
+        if caller.received == 0 && delivered > 0 {
             let waited = now - self.arrivals[caller.arrival].at;
-            self.out.firsts.push(waited);
+            self.out.ttft_s.push(waited);
         }
-        caller.passed = caller.passed.max(delivered);
+        caller.received = caller.received.max(delivered);
         self.inputs[daemon].push(Input::Progress {
             attempt,
             request: id,
@@ -379,7 +384,7 @@
         });
     }
 
-    fn end(&mut self, attempt: u128, outcome: Outcome) {
+    fn end_attempt(&mut self, attempt: u128, outcome: Outcome) {
         let Some(daemon) = self.daemon(attempt) else {
             return;
         };
@@ -407,19 +412,23 @@
 
     fn report(&mut self) {
         let at = self.time(self.now);
-        for stand in self.stands.iter().filter(|stand| stand.gone.is_none()) {
+        for endpoint in self
+            .endpoints
+            .iter()
+            .filter(|endpoint| endpoint.gone.is_none())
+        {
             let speed = self.scene.speed;
             let report = LoadReport {
-                endpoint: stand.id.clone(),
+                endpoint: endpoint.id.clone(),
                 at,
-                running: stand.engine.attempts().len() as u32,
-                pending: stand.engine.pending(),
+                running: endpoint.engine.attempts().len() as u32,
+                pending: endpoint.engine.pending(),
                 slots: speed.slots as u32,
                 prefill: speed.prefill,
                 decode: speed.decode,
                 export: speed.export,
             };
-            self.posts.push(Post {
+            self.deliveries.push(Delivery {
                 due: self.now + self.scene.lag,
                 event: Event::Load(report),
             });
@@ -428,12 +437,13 @@
 
     fn deliver(&mut self) {
         let now = self.now;
-        let posts = std::mem::take(&mut self.posts);
-        let (due, later): (Vec<Post>, Vec<Post>) =
-            posts.into_iter().partition(|post| post.due <= now);
-        self.posts = later;
-        for post in due {
-            self.tell(&Input::Routing(post.event));
+        let deliveries = std::mem::take(&mut self.deliveries);
+        let (due, later): (Vec<Delivery>, Vec<Delivery>) = deliveries
+            .into_iter()
+            .partition(|delivery| delivery.due <= now);
+        self.deliveries = later;
+        for delivery in due {
+            self.broadcast(&Input::Routing(delivery.event));
         }
     }
 
@@ -445,36 +455,36 @@
                 continue;
             }
             for command in self.worlds[daemon].tick(now, inputs) {
-                self.carry_out(command);
+                self.execute(command);
             }
         }
     }
 
-    fn carry_out(&mut self, command: Command) {
+    fn execute(&mut self, command: Command) {
         match command {
             Command::Send(send) => self.send(&send),
-            Command::Cancel(attempt) => self.stop(attempt),
+            Command::Cancel(attempt) => self.cancel(attempt),
             Command::Move { .. } => {}
-            Command::Finish { request, ending } => self.close(request, &ending),
+            Command::Finish { request, ending } => self.finish_request(request, &ending),
         }
     }
 
-    fn stop(&mut self, attempt: u128) {
-        for stand in &mut self.stands {
-            stand.engine.cancel(attempt);
+    fn cancel(&mut self, attempt: u128) {
+        for endpoint in &mut self.endpoints {
+            endpoint.engine.cancel(attempt);
         }
     }
 
     fn send(&mut self, send: &Send) {
         if let Some(from) = send.cache_from {
             self.out.carried += 1;
-            self.stop(from);
+            self.cancel(from);
         }
         let Some(caller) = find(&mut self.callers, send.request) else {
             return;
         };
-        // An answer that goes on beyond what the caller has would lose tokens.
-        caller.torn |= send.delivered > caller.passed;
+        // Resuming at an offset beyond the received tokens would lose tokens.
+        caller.torn |= send.delivered > caller.received;
         let arrival = &self.arrivals[caller.arrival];
         let job = Job {
             attempt: send.attempt,
@@ -485,32 +495,35 @@
             carried: send.cache_from.is_some(),
         };
         let at = self
-            .stands
-            .binary_search_by(|stand| stand.id.cmp(&send.endpoint));
+            .endpoints
+            .binary_search_by(|endpoint| endpoint.id.cmp(&send.endpoint));
         if let Ok(at) = at {
-            let stand = &mut self.stands[at];
-            self.out.late += usize::from(stand.notice.is_some_and(|notice| notice < self.now));
-            if stand.gone.is_none() {
-                stand.engine.send(job);
+            let endpoint = &mut self.endpoints[at];
+            self.out.late += usize::from(endpoint.notice.is_some_and(|notice| notice < self.now));
+            if endpoint.gone.is_none() {
+                endpoint.engine.send(job);
             }
         }
     }
 
-    fn close(&mut self, request: u128, ending: &Ending) {
+    fn finish_request(&mut self, request: u128, ending: &Ending) {
         let Some(caller) = find(&mut self.callers, request) else {
             return;
         };
         let answer = self.arrivals[caller.arrival].answer;
         if matches!(ending, Ending::Complete { .. }) {
             self.out.whole += 1;
-            self.out.torn += usize::from(caller.torn || caller.passed != answer);
+            self.out.torn += usize::from(caller.torn || caller.received != answer);
         } else {
             self.out.failed += 1;
         }
     }
 
     fn sample(&mut self) {
-        let live = self.stands.iter().filter(|stand| stand.notice.is_none());
+        let live = self
+            .endpoints
+            .iter()
+            .filter(|endpoint| endpoint.notice.is_none());
         let loads: Vec<usize> = live.map(|s| s.engine.attempts().len()).collect();
         let most = loads.iter().copied().max().unwrap_or(0);
         let mean = loads.iter().sum::<usize>() as f64 / loads.len().max(1) as f64;
@@ -529,11 +542,11 @@
             .collect();
         blocks.sort_unstable();
         blocks.dedup();
-        let least = blocks.len() as f64 * 64.0;
-        self.out.computed = self.stands.iter().map(|s| s.engine.computed).sum();
-        self.out.recomputed = (self.out.computed - least).max(0.0);
+        let min_tokens = blocks.len() as f64 * 64.0;
+        self.out.computed = self.endpoints.iter().map(|s| s.engine.computed).sum();
+        self.out.recomputed = (self.out.computed - min_tokens).max(0.0);
         self.out.imbalance /= f64::from(self.samples.max(1));
-        self.out.firsts.sort_by(f64::total_cmp);
+        self.out.ttft_s.sort_by(f64::total_cmp);
         self.out
     }
 }
@@ -543,11 +556,11 @@
     Some(&mut callers[at].1)
 }
 
-fn known(stand: &Stand) -> ListedEndpoint {
+fn listed_endpoint(endpoint: &Endpoint) -> ListedEndpoint {
     ListedEndpoint {
-        id: stand.id.clone(),
+        id: endpoint.id.clone(),
         service: "pool".into(),
-        zone: format_compact!("z{}", stand.zone),
+        zone: format_compact!("z{}", endpoint.zone),
         address: ([127, 0, 0, 1], 9000).into(),
         version: "v1".into(),
     }
--- a/lib/testutils/src/serve.rs
+++ b/lib/testutils/src/serve.rs
@@ -1,15 +1,15 @@
-//! Starts a stand-in as a program of its own.
+//! Serves a stand-in that runs as a separate program.
 
 use std::io::{self, Write as _};
 use std::net::{SocketAddr, TcpListener};
 
 use actix_web::{App, HttpServer, web};
 
-/// Serves routes at an address and prints `listening ADDRESS` as the first
-/// line, so that port 0 can be asked for.
+/// Serves routes at an address. Prints `listening ADDRESS` as the first line, so that the
+/// caller learns the port if it asked for port 0.
 ///
 /// # Errors
-/// If the address cannot be listened at.
+/// Fails if it cannot listen at the address.
 pub async fn serve<C>(listen: SocketAddr, routes: C) -> io::Result<()>
 where
     C: Fn(&mut web::ServiceConfig) + Clone + Send + 'static,
