--- a/daemon/src/peers/actor.rs
+++ b/daemon/src/peers/actor.rs
@@ -14,7 +14,9 @@
 };
 use compact_str::CompactString;
 use futures::future::join_all;
-use poplarvale_lib::gossip::{self, Call, Change, GossipError, Key, Kind, Peer, ROUND, Replica};
+use poplarvale_lib::gossip::{
+    self, Call, Change, GossipError, Key, Kind, Peer, ROUND_INTERVAL, Replica,
+};
 use poplarvale_lib::protos::peer::{Answer, Delta, Digest, Push};
 use poplarvale_lib::{Code, Incarnation};
 
@@ -55,7 +57,7 @@
     /// together would else call all at the same moment, round after round.
     fn schedule(&mut self, ctx: &mut Context<Self>) {
         let part = 0.9 + 0.2 * self.rng.f64();
-        ctx.run_later(ROUND.mul_f64(part), |gossip, ctx| {
+        ctx.run_later(ROUND_INTERVAL.mul_f64(part), |gossip, ctx| {
             ctx.notify(Round);
             gossip.schedule(ctx);
         });
--- a/daemon/src/peers/client.rs
+++ b/daemon/src/peers/client.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 use poplarvale_lib::Revision;
-use poplarvale_lib::gossip::EXCHANGE_LIMIT;
+use poplarvale_lib::gossip::EXCHANGE_TIMEOUT;
 use poplarvale_lib::protos::peer::{Answer, Delta, Digest, Push};
 use prost::Message as _;
 use tarpc::client::{Config, RpcError};
@@ -191,6 +191,6 @@
 /// Context of a call whose answer is of no use after the limit.
 fn in_time() -> Context {
     let mut context = context::current();
-    context.deadline = Instant::now() + EXCHANGE_LIMIT;
+    context.deadline = Instant::now() + EXCHANGE_TIMEOUT;
     context
 }
--- a/daemon/src/peers/server.rs
+++ b/daemon/src/peers/server.rs
@@ -8,7 +8,7 @@
 use actix::Addr;
 use actix::dev::ToEnvelope;
 use futures::{Stream, StreamExt as _};
-use poplarvale_lib::gossip::ORIGINS;
+use poplarvale_lib::gossip::MAX_ORIGINS;
 use poplarvale_lib::{Code, Revision};
 use prost::Message as _;
 use tarpc::context::Context;
@@ -32,7 +32,7 @@
 pub(crate) const FRAME_BYTES: usize = 128 * 1024;
 
 /// Most connections at once; each peer keeps one.
-const CONNECTIONS: usize = ORIGINS;
+const CONNECTIONS: usize = MAX_ORIGINS;
 
 /// Time after which a connection without a call is closed.
 ///
--- a/daemon/src/run.rs
+++ b/daemon/src/run.rs
@@ -160,7 +160,7 @@
     let replica = gossip::Setup {
         me,
         seeds: settings.seeds.clone(),
-        delta_bytes: gossip::DELTA_BYTES,
+        delta_bytes: gossip::MAX_DELTA_BYTES,
     };
     let replica = gossip::Replica::new(replica, Instant::now());
     let client = peers::Client::new(token.clone());
--- a/daemon/src/shares.rs
+++ b/daemon/src/shares.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use actix::{Actor, ActorFutureExt as _, Addr, AsyncContext as _, Context, WrapFuture as _};
-use poplarvale_lib::gossip::{Kind, ROUND};
+use poplarvale_lib::gossip::{Kind, ROUND_INTERVAL};
 use poplarvale_lib::load::shares::{self, ShareRow};
 use poplarvale_lib::protos::peer::{Amounts, Share};
 use poplarvale_lib::{CustomerId, Incarnation};
@@ -20,7 +20,7 @@
 use crate::peers::{Gossip, Put, Remove};
 
 /// Time between two rounds: gossip carries rows no faster.
-const GAP: Duration = ROUND;
+const GAP: Duration = ROUND_INTERVAL;
 /// Name of the row that ends a round; no customer has it.
 const END: &str = "";
 
--- a/daemon/tests/test_peers.rs
+++ b/daemon/tests/test_peers.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use actix::{Actor, Addr, Context, Handler};
-use poplarvale_lib::gossip::{Change, DELTA_BYTES, Kind, Peer, Replica, Setup};
+use poplarvale_lib::gossip::{Change, Kind, MAX_DELTA_BYTES, Peer, Replica, Setup};
 use poplarvale_lib::protos::peer::{Answer, Delta, Digest, Lane, Push};
 use poplarvaled::peers::{
     Changed, Client, Get, Gossip, Listener, Live, Parts, PeerError, Put, Round, Server, Token,
@@ -54,7 +54,7 @@
             address: listener.address,
         },
         seeds,
-        delta_bytes: DELTA_BYTES,
+        delta_bytes: MAX_DELTA_BYTES,
     };
     let (sender, changes) = mpsc::unbounded_channel();
     let watcher = Watcher(sender).start().recipient();
--- a/lib/benches/gossip.rs
+++ b/lib/benches/gossip.rs
@@ -16,7 +16,7 @@
 
 use poplarvale_lib::Incarnation;
 use poplarvale_lib::gossip::{
-    Call, DELTA_BYTES, Key, Kind, Message, Peer, ROUND, Replica, Scope, Setup,
+    Call, Key, Kind, MAX_DELTA_BYTES, Message, Peer, ROUND_INTERVAL, Replica, Scope, Setup,
 };
 use poplarvale_lib::protos::peer::{Answer, Delta, Digest};
 use prost::Message as _;
@@ -101,7 +101,7 @@
             // Both warm up by deltas, which end in the same state.
             mode: Mode::Delta,
             delta_bytes: match mode {
-                Mode::Delta => DELTA_BYTES,
+                Mode::Delta => MAX_DELTA_BYTES,
                 Mode::Whole => usize::MAX,
             },
             now: Instant::now(),
@@ -137,7 +137,7 @@
         Slot {
             replica: Replica::new(setup, self.now),
             started: self.now,
-            next_round: self.now + self.offset(ROUND),
+            next_round: self.now + self.offset(ROUND_INTERVAL),
             next_demand: self.now + self.offset(Duration::from_secs(5)),
             next_evidence: self.now + self.offset(Duration::from_secs(15)),
             sent: 0,
@@ -168,7 +168,7 @@
         for slot in 0..self.slots.len() {
             self.write(slot);
             if self.slots[slot].next_round <= self.now {
-                self.slots[slot].next_round += ROUND;
+                self.slots[slot].next_round += ROUND_INTERVAL;
                 self.round(slot);
             }
         }
@@ -369,7 +369,7 @@
     seconds.sort_by(f64::total_cmp);
     let median = seconds.get(seconds.len() / 2).copied().unwrap_or(f64::NAN);
     let worst = seconds.last().copied().unwrap_or(f64::NAN);
-    let rounds = worst / ROUND.as_secs_f64();
+    let rounds = worst / ROUND_INTERVAL.as_secs_f64();
     format!("median {median:.1} s, worst {worst:.1} s = {rounds:.1} rounds")
 }
 
--- a/lib/src/gossip/change.rs
+++ b/lib/src/gossip/change.rs
@@ -1,14 +1,14 @@
-//! What a replica reports of changes that others made.
+//! Changes to the rows of other daemons, as a replica reports them.
 
 use crate::gossip::{Key, Peer};
 use crate::ids::Incarnation;
 
-/// One change of what a replica holds.
+/// One change to what a replica holds.
 #[proc_macros::row]
 pub enum Change {
-    /// A daemon is known now.
+    /// A daemon became known.
     Joined(Peer),
-    /// Everything of a daemon is forgotten.
+    /// A daemon and all its rows were removed.
     Departed(Incarnation),
     /// A row is new or has a new value.
     Put {
@@ -19,7 +19,7 @@
         /// Its value.
         value: Box<[u8]>,
     },
-    /// A row is gone.
+    /// A row was removed.
     Removed {
         /// Its writer.
         origin: Incarnation,
--- a/lib/src/gossip/digest.rs
+++ b/lib/src/gossip/digest.rs
@@ -1,19 +1,20 @@
-//! Digests: what a replica has seen, in few bytes.
+//! Digests: a compact summary of what a replica has received.
 //!
-//! At 400 daemons a digest names some 450 lanes, and is sent in each exchange,
-//! also if nothing changed. With whole incarnations, digests were a third of all
-//! that is sent. So an origin stands in a digest as a tag of three bytes: part
-//! of its hash under a salt that each digest draws anew.
+//! With 400 daemons a digest lists some 450 lanes, and one is sent in each
+//! exchange, even if nothing changed. With whole incarnations, digests were a
+//! third of all bytes sent. A digest therefore identifies an origin by a tag of
+//! three bytes: part of its hash, with a salt that differs in each digest.
 //!
-//! Two origins may share a tag. Then a lane is sent that starts above what the
-//! asker holds, which the asker passes over as a gap, or rows are sent that it
-//! holds already. The salt makes it a different pair in the next exchange; else
-//! one unlucky pair would keep a row from a daemon as long as both live.
+//! Two origins may have the same tag. The answerer then sends a lane that
+//! starts above what the asker holds, which the asker ignores as a gap, or rows
+//! that the asker holds already. Because of the salt, a different pair collides
+//! in the next exchange; with a fixed hash, one colliding pair would keep a row
+//! from a daemon for as long as both daemons run.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::gossip::lane::Lane;
-use crate::gossip::limits::ORIGINS;
+use crate::gossip::limits::MAX_ORIGINS;
 use crate::gossip::origin::Origin;
 use crate::gossip::{GossipError, Peer, Scope};
 use crate::ids::Incarnation;
@@ -31,7 +32,7 @@
     [hash[0], hash[1], hash[2]]
 }
 
-/// Prefix of a lane whose origin is known by its tag.
+/// Prefix of a lane whose origin is identified by its tag.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Entry {
     pub(crate) scope: Scope,
@@ -40,7 +41,7 @@
 }
 
 /// Adds an entry to a digest.
-pub(crate) fn note(digest: &mut peer::Digest, entry: Entry) {
+pub(crate) fn add_entry(digest: &mut peer::Digest, entry: Entry) {
     let column = match entry.scope {
         Scope::Zone => &mut digest.zone,
         Scope::Region => &mut digest.region,
@@ -51,46 +52,48 @@
     column.sequences.push(entry.prefix);
 }
 
-/// A digest as read from its message.
-pub(crate) struct Seen {
+/// A digest that was received and parsed.
+pub(crate) struct AskerDigest {
     pub(crate) from: Peer,
     pub(crate) salt: u64,
-    pub(crate) only: bool,
-    /// Sorted; of entries with one tag, the lowest prefix comes first.
+    /// Whether the asker wants only the lanes that the digest lists.
+    pub(crate) listed_only: bool,
+    /// Sorted; among entries with the same tag, the lowest prefix comes first.
     pub(crate) entries: Vec<Entry>,
 }
 
-impl Seen {
-    /// Reads a digest.
-    pub(crate) fn read(digest: &peer::Digest) -> Result<Self, GossipError> {
+impl AskerDigest {
+    /// Parses a digest.
+    pub(crate) fn parse(digest: &peer::Digest) -> Result<Self, GossipError> {
         let from = digest.from.as_ref().ok_or(GossipError::BadField("from"))?;
         let mut entries = Vec::new();
         for scope in Scope::ALL {
             if let Some(column) = column(digest, scope) {
-                read_column(scope, column, &mut entries)?;
+                parse_column(scope, column, &mut entries)?;
             }
         }
         entries.sort_unstable();
         Ok(Self {
             from: Peer::try_from(from)?,
             salt: digest.salt,
-            only: digest.only,
+            listed_only: digest.only,
             entries,
         })
     }
 
-    /// Prefix that the asker has of a lane; none if it does not want the lane.
-    pub(crate) fn after(&self, origin: &Origin, lane: &Lane) -> Option<u64> {
+    /// Prefix that the asker holds of a lane; `None` if it does not want the
+    /// lane.
+    pub(crate) fn prefix_of(&self, origin: &Origin, lane: &Lane) -> Option<u64> {
         let id = origin.peer.incarnation;
         match lowest(&self.entries, lane.scope, tag(id, self.salt)) {
             Some(prefix) => Some(prefix),
-            None if self.only || id == self.from.incarnation => None,
+            None if self.listed_only || id == self.from.incarnation => None,
             None => Some(0),
         }
     }
 }
 
-/// Lowest prefix of the entries with a tag.
+/// Lowest prefix among the entries with a tag.
 pub(crate) fn lowest(entries: &[Entry], scope: Scope, tag: Tag) -> Option<u64> {
     let at = entries.partition_point(|e| (e.scope, e.tag) < (scope, tag));
     let entry = entries.get(at)?;
@@ -105,7 +108,7 @@
     }
 }
 
-fn read_column(
+fn parse_column(
     scope: Scope,
     column: &peer::Prefixes,
     entries: &mut Vec<Entry>,
@@ -114,7 +117,7 @@
     if tags.len() != column.sequences.len() || !rest.is_empty() {
         return Err(GossipError::BadField("tags"));
     }
-    if tags.len() > ORIGINS {
+    if tags.len() > MAX_ORIGINS {
         return Err(GossipError::ManyOrigins);
     }
     let pairs = tags.iter().zip(&column.sequences);
--- a/lib/src/gossip/key.rs
+++ b/lib/src/gossip/key.rs
@@ -1,9 +1,9 @@
-//! Keys of rows, and which daemons a kind of row concerns.
+//! Keys of rows, and the kinds that decide which daemons receive a row.
 //!
 //! A kind fixes its scope and whether it is urgent, so that two places in the
-//! code can't spread the same rows differently. Rows carry only the number: a
-//! daemon passes rows of kinds it does not know on unread, which lets versions
-//! of the daemon run side by side.
+//! code can't distribute the same rows differently. Rows carry only the number
+//! of their kind: a daemon forwards rows of unknown kinds without interpreting
+//! them, so different versions of the daemon can run side by side.
 
 use std::time::Duration;
 
@@ -12,11 +12,11 @@
 /// Which daemons hold a row.
 #[proc_macros::kind]
 pub enum Scope {
-    /// Those in the availability zone of its writer.
+    /// Daemons in the availability zone of the writer.
     Zone,
-    /// Those in the region of its writer.
+    /// Daemons in the region of the writer.
     Region,
-    /// All.
+    /// All daemons.
     Everywhere,
 }
 
@@ -24,12 +24,13 @@
     /// All scopes, the narrowest first.
     pub const ALL: [Self; 3] = [Self::Zone, Self::Region, Self::Everywhere];
 
-    /// Time between beats in a lane of this scope.
+    /// Time between heartbeats in a lane of this scope.
     ///
-    /// Each beat travels to all that the scope concerns, so a wider scope beats
-    /// less often; at 400 daemons the widest would else take the whole share of
-    /// network that control may use.
-    pub const fn beat(self) -> Duration {
+    /// Each heartbeat is sent to all daemons in the scope, so a wider scope has
+    /// a longer interval; with 400 daemons, heartbeats in the widest scope
+    /// would otherwise use the whole share of the network that control traffic
+    /// may take.
+    pub const fn heartbeat_interval(self) -> Duration {
         match self {
             Self::Zone => Duration::from_secs(2),
             Self::Region => Duration::from_secs(5),
@@ -37,12 +38,12 @@
         }
     }
 
-    /// Silence after which a writer no longer counts as live.
+    /// Time without a heartbeat after which a writer no longer counts as live.
     ///
-    /// Covers two lost beats and the rounds that one takes to arrive. Shorter,
-    /// and a slow round empties the list of live daemons; longer, and work is
-    /// still forwarded to a daemon that is gone.
-    pub const fn silence(self) -> Duration {
+    /// Covers two lost heartbeats and the rounds that one takes to arrive. If
+    /// it were shorter, a slow round would empty the list of live daemons; if
+    /// it were longer, work would still be forwarded to a daemon that is gone.
+    pub const fn timeout(self) -> Duration {
         match self {
             Self::Zone => Duration::from_secs(15),
             Self::Region => Duration::from_secs(40),
@@ -62,7 +63,7 @@
 /// Kind of row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Kind {
-    /// Number in messages; never given a new meaning.
+    /// Number in messages; never reused with a new meaning.
     pub number: u32,
     /// Which daemons hold rows of this kind.
     pub scope: Scope,
@@ -73,18 +74,19 @@
 impl Kind {
     /// The writer is shutting down.
     pub const LEAVING: Self = Self::new(1, Scope::Everywhere, true);
-    /// Revision of the lists that the writer has adopted.
+    /// Revision of the lists that is in force at the writer.
     pub const REVISION: Self = Self::new(2, Scope::Everywhere, true);
-    /// An endpoint that is leaving; work goes across the zones of a region.
+    /// An endpoint that is draining; its scope is the region, as work is sent
+    /// across the zones of a region.
     pub const ENDPOINT: Self = Self::new(3, Scope::Region, true);
-    /// A version found bad.
+    /// A version that was found to be bad.
     pub const VERDICT: Self = Self::new(4, Scope::Everywhere, true);
-    /// What the writer saw of a version.
+    /// What the writer observed of a version.
     pub const EVIDENCE: Self = Self::new(5, Scope::Region, false);
-    /// Demand of a customer and the share taken of its plan.
+    /// Demand of a customer, and the share of its plan that the writer uses.
     pub const DEMAND: Self = Self::new(6, Scope::Region, false);
 
-    /// A kind; embedders number theirs from 1,000 on.
+    /// Creates a kind; embedders use numbers from 1,000 on.
     pub const fn new(number: u32, scope: Scope, urgent: bool) -> Self {
         Self {
             number,
@@ -102,11 +104,11 @@
     }
 }
 
-/// Key of a row among those of its writer in one scope.
+/// Key of a row, unique among the rows of its writer in one scope.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Key {
     /// Number of its kind.
     pub kind: u32,
-    /// What it is about; empty if there is just one of the kind.
+    /// What the row is about; empty if there is just one row of the kind.
     pub name: CompactString,
 }
--- a/lib/src/gossip/lane.rs
+++ b/lib/src/gossip/lane.rs
@@ -1,19 +1,19 @@
-//! One origin's rows in one scope.
+//! A lane: the rows of one origin in one scope.
 //!
-//! A lane's prefix says that of all dots up to it the newest row of each key is
-//! here. Rows that were pushed may be ahead of the prefix; they are sent again
-//! by the next exchange, which is cheaper than keeping the set of single dots
-//! beside the prefix that the paper's §3.3 has.
+//! The prefix of a lane means that the newest row of every key written up to
+//! that sequence is held. Rows that were pushed may be above the prefix; the
+//! next exchange sends them again, which is cheaper than storing the set of
+//! single dots beside the prefix as in §3.3 of the paper.
 //!
-//! A removed row leaves a mark with a sequence of its own, else a replica that
-//! lacks the removal would keep the row. The mark goes some time after the
-//! horizon: a replica whose prefix is still below it has then removed the whole
-//! lane.
+//! A removed row leaves a tombstone with a sequence of its own; without it, a
+//! replica that missed the removal would keep the row. The tombstone is kept
+//! for longer than [`LANE_TTL`]: a replica whose prefix is still below it has
+//! then removed the whole lane.
 
 use std::time::{Duration, Instant};
 
-use crate::gossip::limits::{LANE_BYTES, LANE_ROWS, MARK};
-use crate::gossip::{GossipError, HORIZON, Key, RETURN, Scope};
+use crate::gossip::limits::{MAX_LANE_BYTES, MAX_LANE_ROWS, TOMBSTONE_TTL};
+use crate::gossip::{GossipError, Key, LANE_TTL, MIN_LANE_TTL, Scope};
 use crate::protos::peer;
 use crate::table::{self, Table};
 
@@ -22,7 +22,7 @@
 pub(crate) enum Content {
     /// A value.
     Value(Box<[u8]>),
-    /// Nothing any more; the mark goes at a time.
+    /// No value: a tombstone, dropped at this time.
     Removed(Instant),
 }
 
@@ -60,11 +60,11 @@
         }
     }
 
-    /// Row as messages carry it.
+    /// The row as messages carry it.
     pub(crate) fn message(&self, now: Instant) -> peer::Row {
         let (value, removed_ms) = match &self.content {
             Content::Value(value) => (value.to_vec(), None),
-            Content::Removed(until) => (Vec::new(), Some(millis(left(*until, now)))),
+            Content::Removed(expires) => (Vec::new(), Some(millis(time_left(*expires, now)))),
         };
         peer::Row {
             kind: self.key.kind,
@@ -75,10 +75,10 @@
         }
     }
 
-    /// Row from a message that was sent at a time or later.
+    /// Row from a message that was sent at `sent` or later.
     pub(crate) fn from_message(message: peer::Row, sent: Instant) -> Self {
         let content = match message.removed_ms {
-            Some(ms) => Content::Removed(sent + Duration::from_millis(ms).min(MARK)),
+            Some(ms) => Content::Removed(sent + Duration::from_millis(ms).min(TOMBSTONE_TTL)),
             None => Content::Value(message.value.into()),
         };
         Self {
@@ -98,53 +98,55 @@
     pub(crate) scope: Scope,
     pub(crate) prefix: u64,
     /// When the lane is removed.
-    pub(crate) until: Instant,
+    pub(crate) expires: Instant,
     pub(crate) rows: Table<Row>,
 }
 
 impl Lane {
-    /// Lane that has seen nothing.
-    pub(crate) fn new(scope: Scope, until: Instant) -> Self {
+    /// Lane without rows.
+    pub(crate) fn new(scope: Scope, expires: Instant) -> Self {
         Self {
             scope,
             prefix: 0,
-            until,
+            expires,
             rows: Table::new(),
         }
     }
 
     /// Whether the lane is not yet past its deadline.
-    pub(crate) fn is_held(&self, now: Instant) -> bool {
-        now < self.until
+    pub(crate) fn is_unexpired(&self, now: Instant) -> bool {
+        now < self.expires
     }
 
-    /// Whether the origin was heard recently enough to count as live.
+    /// Whether the last heartbeat is recent enough for the origin to count as
+    /// live.
     pub(crate) fn is_fresh(&self, now: Instant) -> bool {
-        now + HORIZON.saturating_sub(self.scope.silence()) < self.until
+        now + LANE_TTL.saturating_sub(self.scope.timeout()) < self.expires
     }
 
-    /// Whether a replica that does not hold the lane may still take it up.
-    pub(crate) fn may_return(&self, now: Instant) -> bool {
-        now + RETURN <= self.until
+    /// Whether a replica that does not hold the lane may still add it.
+    pub(crate) fn may_be_added(&self, now: Instant) -> bool {
+        now + MIN_LANE_TTL <= self.expires
     }
 
     /// Rows above a sequence, the oldest first.
-    pub(crate) fn newer(&self, after: u64) -> Vec<&Row> {
+    pub(crate) fn rows_after(&self, after: u64) -> Vec<&Row> {
         let mut rows: Vec<_> = self.rows.iter().filter(|r| r.sequence > after).collect();
         rows.sort_unstable_by_key(|r| r.sequence);
         rows
     }
 
-    /// Whether a row is newer than all that was seen of its key.
+    /// Whether a row is newer than everything received for its key.
     ///
-    /// A dot under the prefix that is not here was overwritten or removed; to
-    /// take it would bring the old row back.
-    pub(crate) fn is_news(&self, row: &Row) -> bool {
+    /// A dot below the prefix that is not held was overwritten or removed;
+    /// applying it would restore the old row.
+    pub(crate) fn is_newer(&self, row: &Row) -> bool {
         let held = self.rows.get(&row.key).map_or(0, |r| r.sequence);
         row.sequence > self.prefix.max(held)
     }
 
-    /// Checks that the lane has room for rows that replace those of their keys.
+    /// Checks that the lane has room for rows, each of which replaces the row
+    /// of its key.
     pub(crate) fn check_room<'a>(
         &self,
         rows: impl Iterator<Item = &'a Row>,
@@ -158,21 +160,21 @@
             }
             bytes += row.bytes();
         }
-        if count > LANE_ROWS || bytes > LANE_BYTES {
+        if count > MAX_LANE_ROWS || bytes > MAX_LANE_BYTES {
             return Err(GossipError::FullLane);
         }
         Ok(())
     }
 
-    /// Drops the marks whose time has passed.
-    pub(crate) fn sweep(&mut self, now: Instant) {
+    /// Removes the tombstones that have expired.
+    pub(crate) fn remove_tombstones(&mut self, now: Instant) {
         self.rows.retain(|row| match row.content {
-            Content::Removed(until) => now < until,
+            Content::Removed(expires) => now < expires,
             Content::Value(_) => true,
         });
     }
 
-    /// Bytes of memory that the lane takes beside its own fields.
+    /// Bytes of memory that the lane takes beyond its own fields.
     pub(crate) fn memory(&self) -> usize {
         let rows = self.rows.len() * size_of::<Row>();
         rows + self.rows.iter().map(Row::bytes).sum::<usize>()
@@ -180,11 +182,11 @@
 }
 
 /// Time left until a deadline.
-pub(crate) fn left(until: Instant, now: Instant) -> Duration {
-    until.saturating_duration_since(now)
+pub(crate) fn time_left(expires: Instant, now: Instant) -> Duration {
+    expires.saturating_duration_since(now)
 }
 
-/// Whole milliseconds of a time.
+/// Whole milliseconds of a duration.
 pub(crate) fn millis(time: Duration) -> u64 {
     time.as_millis() as u64
 }
--- a/lib/src/gossip/limits.rs
+++ b/lib/src/gossip/limits.rs
@@ -1,83 +1,87 @@
-//! Limits of rows and exchanges, and the errors beyond them.
+//! Limits of rows and exchanges, and the errors when they are exceeded.
 //!
-//! All memory and traffic of this part is bounded here. Without limits one
-//! daemon with a fault (a row for each request, say) would fill the memory of
-//! every other one. One would notice it as all daemons growing together.
+//! They bound all memory and traffic of gossip. Without limits, one faulty
+//! daemon (that writes a row for each request, say) would fill the memory of
+//! every other one; the symptom would be that all daemons grow together.
 
 use std::time::Duration;
 
 use crate::code::Code;
 
-/// Time after an origin's last beat at which its lane is removed.
+/// Time after the last heartbeat of an origin at which its lane is removed.
 ///
-/// Long enough that a restart of a switch forgets nobody, short enough that
-/// with 950 replacements a day only about a dozen departed daemons are held.
-pub const HORIZON: Duration = Duration::from_mins(20);
+/// Long enough that no daemon is removed while a switch restarts, short enough
+/// that with 950 replacements a day only about a dozen departed daemons are
+/// held.
+pub const LANE_TTL: Duration = Duration::from_mins(20);
 
-/// Part of the horizon that must be left for a lane to be taken up anew.
-pub const RETURN: Duration = Duration::from_mins(10);
+/// Time that must be left of a lane's TTL for a replica to add the lane.
+pub const MIN_LANE_TTL: Duration = Duration::from_mins(10);
 
-/// Time for which the mark of a removed row is kept.
+/// Time for which the tombstone of a removed row is kept.
 ///
-/// Longer than the horizon by as much as may add up on the way: marks and lanes
-/// age a little with each exchange, and a replica whose lane aged less than the
-/// mark did elsewhere must still find the mark.
-pub(crate) const MARK: Duration = HORIZON.saturating_add(RETURN);
+/// Longer than [`LANE_TTL`] by the delays that may add up on the way: the
+/// deadlines of tombstones and lanes move a little with each exchange, and a
+/// replica whose lane aged less than the tombstone did elsewhere must still
+/// receive the tombstone.
+pub(crate) const TOMBSTONE_TTL: Duration = LANE_TTL.saturating_add(MIN_LANE_TTL);
 
-/// Time from sending a digest within which its answer is taken.
-pub const EXCHANGE_LIMIT: Duration = Duration::from_secs(4);
+/// Time from sending a digest within which its answer is accepted.
+pub const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Most bytes of a row's value.
-pub const VALUE_BYTES: usize = 4 * 1024;
+/// Largest value of a row in bytes.
+pub const MAX_VALUE_BYTES: usize = 4 * 1024;
 
-/// Most bytes of a row's name.
-pub const NAME_BYTES: usize = 128;
+/// Longest name of a row in bytes.
+pub const MAX_NAME_BYTES: usize = 128;
 
-/// Most rows of a lane, marks of removed rows among them.
-pub const LANE_ROWS: usize = 256;
+/// Most rows of a lane, including tombstones.
+pub const MAX_LANE_ROWS: usize = 256;
 
 /// Most bytes of names and values in a lane.
-pub const LANE_BYTES: usize = 16 * 1024;
+pub const MAX_LANE_BYTES: usize = 16 * 1024;
 
-/// Most origins that a replica holds: twice the size planned for.
+/// Most origins that a replica holds: twice the planned size.
 ///
-/// With the limits above, lanes of all origins everywhere take 12.5 MiB at
-/// most, so that the whole stays below the 32 MB a daemon has for control.
-pub const ORIGINS: usize = 800;
+/// With the limits above, the lanes with scope
+/// [`Everywhere`](crate::gossip::Scope::Everywhere) of all origins take 12.5
+/// MiB at most, so that the total stays below the 32 MB that a daemon has for
+/// control.
+pub const MAX_ORIGINS: usize = 800;
 
-/// Most bytes of rows in one delta; what is left over follows in the next.
-pub const DELTA_BYTES: usize = 48 * 1024;
+/// Most bytes of rows in one delta; the remaining rows follow in the next ones.
+pub const MAX_DELTA_BYTES: usize = 48 * 1024;
 
-/// Why something was refused.
+/// Why a row or message was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum GossipError {
-    /// Name or value over its limit.
-    #[error("a row has {bytes} bytes, {most} are allowed")]
+    /// A name or value is over its limit.
+    #[error("name or value of a row has {bytes} bytes; at most {max} are allowed")]
     LargeRow {
-        /// Bytes found.
+        /// Actual bytes.
         bytes: usize,
-        /// Bytes allowed.
-        most: usize,
+        /// Allowed bytes.
+        max: usize,
     },
     /// A lane is full.
-    #[error("a lane holds at most {LANE_ROWS} rows and {LANE_BYTES} bytes")]
+    #[error("lane is full: at most {MAX_LANE_ROWS} rows and {MAX_LANE_BYTES} bytes are allowed")]
     FullLane,
-    /// Too many daemons.
-    #[error("more than {ORIGINS} daemons are known")]
+    /// Too many daemons are known.
+    #[error("too many daemons: at most {MAX_ORIGINS} are allowed")]
     ManyOrigins,
-    /// A field of a message is missing or not allowed.
-    #[error("field {0} cannot be read")]
+    /// A field of a message is missing or invalid.
+    #[error("field {0} is missing or invalid")]
     BadField(&'static str),
     /// An answer was meant for another daemon.
     #[error("the answer is for another daemon")]
     Misdirected,
-    /// An answer came after [`EXCHANGE_LIMIT`].
-    #[error("the answer came too late")]
+    /// An answer came after [`EXCHANGE_TIMEOUT`].
+    #[error("the answer came after the exchange timeout")]
     Late,
 }
 
 impl GossipError {
-    /// Numbered code that goes to the other side.
+    /// Numbered code that is sent to the other side.
     pub fn code(self) -> Code {
         match self {
             Self::LargeRow { .. } => Code::LargeRow,
--- a/lib/src/gossip/origin.rs
+++ b/lib/src/gossip/origin.rs
@@ -1,31 +1,31 @@
-//! A daemon that writes rows, and its lanes.
+//! An origin: a daemon as the writer of rows, and its lanes.
 
 use std::net::SocketAddr;
 use std::time::Instant;
 
 use crate::gossip::lane::{Content, Lane, Row};
-use crate::gossip::limits::NAME_BYTES;
+use crate::gossip::limits::MAX_NAME_BYTES;
 use crate::gossip::{GossipError, Key, Kind, Scope};
 use crate::ids::{Incarnation, RegionId, ZoneId};
 use crate::protos::peer;
 use crate::table;
 
-/// A daemon in one of its lives.
+/// A daemon in one incarnation.
 #[proc_macros::row]
 pub struct Peer {
-    /// Random id of this life.
+    /// Random id of this incarnation.
     pub incarnation: Incarnation,
     /// Its availability zone.
     pub zone: ZoneId,
     /// Its region.
     pub region: RegionId,
-    /// Its address for other daemons.
+    /// Address at which other daemons reach it.
     pub address: SocketAddr,
 }
 
 impl Peer {
-    /// Whether rows that a daemon writes in a scope concern this one.
-    pub(crate) fn hears(&self, scope: Scope, writer: &Self) -> bool {
+    /// Whether this daemon receives the rows that `writer` writes in a scope.
+    pub(crate) fn receives(&self, scope: Scope, writer: &Self) -> bool {
         match scope {
             Scope::Zone => self.zone == writer.zone && self.region == writer.region,
             Scope::Region => self.region == writer.region,
@@ -33,16 +33,16 @@
         }
     }
 
-    /// Whether both are in one availability zone.
-    pub(crate) fn is_near(&self, other: &Self) -> bool {
-        self.hears(Scope::Zone, other)
+    /// Whether both are in the same availability zone.
+    pub(crate) fn is_same_zone(&self, other: &Self) -> bool {
+        self.receives(Scope::Zone, other)
     }
 
-    /// Narrowest scope that holds both.
-    pub(crate) fn nearest(&self, other: &Self) -> Scope {
+    /// Narrowest scope that includes both.
+    pub(crate) fn narrowest_scope(&self, other: &Self) -> Scope {
         let mut scopes = Scope::ALL.into_iter();
         scopes
-            .find(|scope| self.hears(*scope, other))
+            .find(|scope| self.receives(*scope, other))
             .unwrap_or(Scope::Everywhere)
     }
 
@@ -60,7 +60,7 @@
     type Error = GossipError;
 
     fn try_from(message: &peer::Peer) -> Result<Self, GossipError> {
-        if message.zone.len() > NAME_BYTES || message.region.len() > NAME_BYTES {
+        if message.zone.len() > MAX_NAME_BYTES || message.region.len() > MAX_NAME_BYTES {
             return Err(GossipError::BadField("peer"));
         }
         let address = message.address.parse();
@@ -73,7 +73,7 @@
     }
 }
 
-/// A daemon and what is held of its rows.
+/// A daemon and the rows that are held of it.
 #[proc_macros::row]
 pub(crate) struct Origin {
     pub(crate) peer: Peer,
@@ -95,25 +95,25 @@
         self.lanes.iter().find(|l| l.scope == scope)
     }
 
-    /// Lane of a scope, which is made if there is none.
-    pub(crate) fn lane_mut(&mut self, scope: Scope, until: Instant) -> &mut Lane {
+    /// Lane of a scope, created if there is none.
+    pub(crate) fn lane_mut(&mut self, scope: Scope, expires: Instant) -> &mut Lane {
         let at = self.lanes.iter().position(|l| l.scope == scope);
         let at = at.unwrap_or_else(|| {
-            self.lanes.push(Lane::new(scope, until));
+            self.lanes.push(Lane::new(scope, expires));
             self.lanes.len() - 1
         });
         &mut self.lanes[at]
     }
 
-    /// Row with a key, unless it is removed.
+    /// Value of the row with a key, unless it is removed.
     pub(crate) fn get(&self, key: &Key) -> Option<&[u8]> {
         let mut rows = self.lanes.iter().filter_map(|l| l.rows.get(key));
         rows.find_map(Row::value)
     }
 
-    /// Whether the daemon is live as another one sees it.
+    /// Whether the daemon counts as live for `me`.
     pub(crate) fn is_live(&self, me: &Peer, now: Instant) -> bool {
-        let lane = self.lane(me.nearest(&self.peer));
+        let lane = self.lane(me.narrowest_scope(&self.peer));
         lane.is_some_and(|l| l.is_fresh(now)) && !self.is_leaving()
     }
 
--- a/lib/src/gossip/push.rs
+++ b/lib/src/gossip/push.rs
@@ -1,31 +1,32 @@
-//! Urgent rows, sent at once.
+//! Urgent rows, pushed at once.
 //!
-//! Rounds bring a row to everybody within some seconds, which is too slow for
-//! a leaving endpoint or a bad version: each second of delay is requests sent
-//! to the wrong place. The writer pushes such rows to its whole zone and to the
-//! bridges of every other zone that they concern; a daemon that gets one from
-//! another zone pushes it on to its own. Two bridges, because one may have
-//! died within the time in which nobody notices.
+//! Gossip rounds bring a row to all daemons within some seconds, which is too
+//! slow for an endpoint that drains or a bad version: during each second of
+//! delay, requests are sent to the wrong place. The writer pushes such rows to
+//! all daemons of its zone and to the bridges of every other zone within the
+//! scope; a daemon that receives one from another zone pushes it on to its own
+//! zone. There are two bridges, because one may have died and not be detected
+//! yet.
 //!
-//! A push is not answered and may be lost; the next rounds bring the row then.
-//! Nor did the receiver ask for it, so how late it is can't be known: a push
-//! renews no deadline, and is passed over for a lane that is not held.
+//! A push is not answered and may be lost; the next rounds deliver the row
+//! then. The receiver did not ask for it either, so its age is unknown: a push
+//! renews no deadline, and is ignored for a lane that is not held.
 
 use std::time::Instant;
 
-use crate::gossip::exchange::{read_row, take};
+use crate::gossip::exchange::{apply_row, parse_row};
 use crate::gossip::lane::Row;
 use crate::gossip::{Call, Change, GossipError, Message, Peer, Replica, Scope};
 use crate::protos::peer;
 
 impl Replica {
-    /// Takes pushed rows, and adds what changed to `changes`; returns the pushes
-    /// to pass on.
+    /// Applies pushed rows, and adds what changed to `changes`; returns the
+    /// pushes to forward.
     ///
     /// # Errors
     ///
-    /// Refuses a push that cannot be read or is over the limits. Rows before
-    /// the one that was refused are taken and reported.
+    /// Rejects a push that cannot be parsed or is over the limits. Rows before
+    /// the rejected one are applied and reported.
     pub fn receive(
         &mut self,
         now: Instant,
@@ -35,35 +36,36 @@
         let from = push.from.as_ref().ok_or(GossipError::BadField("from"))?;
         let from = Peer::try_from(from)?;
         changes.extend(self.expire(now));
-        let mut news = Vec::new();
+        let mut newer = Vec::new();
         for pushed in push.rows {
-            if self.take_pushed(now, &pushed, changes)? {
-                news.push(pushed);
+            if self.apply_pushed(now, &pushed, changes)? {
+                newer.push(pushed);
             }
         }
-        if news.is_empty() || from.is_near(self.me()) {
+        if newer.is_empty() || from.is_same_zone(self.me()) {
             return Ok(Vec::new());
         }
-        let near = self.near(now);
-        Ok(self.calls(&near, &news))
+        let near = self.live_zone_peers(now);
+        Ok(self.calls(&near, &newer))
     }
 
-    /// Pushes of an own row: to the zone, and to bridges of other zones.
+    /// Pushes of a row written by this daemon: to its zone, and to bridges of
+    /// other zones.
     pub(crate) fn pushes(&self, now: Instant, scope: Scope, row: &Row) -> Vec<Call> {
         let pushed = peer::Pushed {
             origin: self.me().incarnation,
             scope: scope.number(),
             row: Some(row.message(now)),
         };
-        let mut to = self.near(now);
-        for zone in self.other_zones(now, scope) {
+        let mut to = self.live_zone_peers(now);
+        for zone in self.bridges_by_zone(now, scope) {
             to.extend(zone);
         }
         self.calls(&to, &[pushed])
     }
 
-    /// Takes one pushed row; whether it was news.
-    fn take_pushed(
+    /// Applies one pushed row; returns whether it was newer than what is held.
+    fn apply_pushed(
         &mut self,
         now: Instant,
         pushed: &peer::Pushed,
@@ -72,7 +74,7 @@
         let id = pushed.origin;
         let message = pushed.row.clone().ok_or(GossipError::BadField("row"))?;
         let scope = Scope::from_number(pushed.scope).ok_or(GossipError::BadField("scope"))?;
-        let row = read_row(message, now)?;
+        let row = parse_row(message, now)?;
         if id == self.me().incarnation {
             return Ok(false);
         }
@@ -82,19 +84,19 @@
         let Some(lane) = origin.lanes.iter_mut().find(|l| l.scope == scope) else {
             return Ok(false);
         };
-        if !lane.is_news(&row) {
+        if !lane.is_newer(&row) {
             return Ok(false);
         }
         lane.check_room(std::iter::once(&row))?;
-        take(lane, id, row, changes);
+        apply_row(lane, id, row, changes);
         Ok(true)
     }
 
-    /// Live daemons of the own zone but oneself.
-    fn near(&self, now: Instant) -> Vec<&Peer> {
+    /// Live daemons of the own zone without this one.
+    fn live_zone_peers(&self, now: Instant) -> Vec<&Peer> {
         let me = self.me();
         self.live(now)
-            .filter(|p| p.is_near(me) && p.incarnation != me.incarnation)
+            .filter(|p| p.is_same_zone(me) && p.incarnation != me.incarnation)
             .collect()
     }
 
--- a/lib/src/gossip/replica.rs
+++ b/lib/src/gossip/replica.rs
@@ -1,23 +1,25 @@
-//! A daemon's copy of the rows that concern it, and the rows of its own.
+//! A daemon's replica: its own rows, and copies of the rows whose scope
+//! includes it.
 
 use std::net::SocketAddr;
 use std::time::Instant;
 
 use crate::gossip::lane::{Content, Row};
-use crate::gossip::limits::{MARK, NAME_BYTES, VALUE_BYTES};
+use crate::gossip::limits::{MAX_NAME_BYTES, MAX_VALUE_BYTES, TOMBSTONE_TTL};
 use crate::gossip::origin::Origin;
-use crate::gossip::{Call, Change, GossipError, HORIZON, Key, Kind, Peer, Scope};
+use crate::gossip::{Call, Change, GossipError, Key, Kind, LANE_TTL, Peer, Scope};
 use crate::ids::Incarnation;
 use crate::table::Table;
 
-/// What a replica is set to.
+/// Settings of a replica.
 #[proc_macros::row]
 pub struct Setup {
     /// The daemon itself.
     pub me: Peer,
-    /// Addresses to ask when no other daemon is known.
+    /// Addresses to call when no other daemon is known.
     pub seeds: Vec<SocketAddr>,
-    /// Most bytes of rows in one delta; [`DELTA_BYTES`](super::DELTA_BYTES).
+    /// Most bytes of rows in one delta;
+    /// [`MAX_DELTA_BYTES`](super::MAX_DELTA_BYTES).
     pub delta_bytes: usize,
 }
 
@@ -25,11 +27,11 @@
 #[derive(Clone, Debug)]
 pub struct Replica {
     pub(crate) setup: Setup,
-    /// What stamps count from.
-    pub(crate) born: Instant,
+    /// Start of the replica, from which stamps count.
+    pub(crate) started: Instant,
     pub(crate) origins: Table<Origin>,
-    /// Next beats, one for each scope.
-    beats: [Instant; 3],
+    /// Time of the next heartbeat in each scope.
+    next_heartbeats: [Instant; 3],
 }
 
 impl Replica {
@@ -37,9 +39,9 @@
     pub fn new(setup: Setup, now: Instant) -> Self {
         let mut replica = Self {
             setup,
-            born: now,
+            started: now,
             origins: Table::new(),
-            beats: [now; 3],
+            next_heartbeats: [now; 3],
         };
         replica.advance(now);
         replica
@@ -50,18 +52,18 @@
         &self.setup.me
     }
 
-    /// Sets the addresses to ask when no other daemon is known.
+    /// Sets the addresses to call when no other daemon is known.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.setup.seeds = seeds;
     }
 
-    /// Writes a row of one's own; returns the pushes if the kind is urgent.
+    /// Writes a row of this daemon; returns the pushes if the kind is urgent.
     ///
-    /// A value that is the same as before writes nothing.
+    /// Writes nothing if the value is the same as before.
     ///
     /// # Errors
     ///
-    /// Refuses a name, value or number of rows over the limits.
+    /// Rejects a name, value or number of rows over the limits.
     pub fn put(
         &mut self,
         now: Instant,
@@ -69,8 +71,8 @@
         name: &str,
         value: &[u8],
     ) -> Result<Vec<Call>, GossipError> {
-        check_size(name.len(), NAME_BYTES)?;
-        check_size(value.len(), VALUE_BYTES)?;
+        check_size(name.len(), MAX_NAME_BYTES)?;
+        check_size(value.len(), MAX_VALUE_BYTES)?;
         let key = kind.key(name);
         if self.get(self.me().incarnation, &key) == Some(value) {
             return Ok(Vec::new());
@@ -78,11 +80,11 @@
         self.write(now, kind, key, Content::Value(value.into()))
     }
 
-    /// Removes a row of one's own; returns the pushes if the kind is urgent.
+    /// Removes a row of this daemon; returns the pushes if the kind is urgent.
     ///
     /// # Errors
     ///
-    /// None in practice: a mark takes no more room than the row did.
+    /// None in practice: a tombstone takes no more room than the row did.
     pub fn remove(
         &mut self,
         now: Instant,
@@ -93,32 +95,35 @@
         if self.get(self.me().incarnation, &key).is_none() {
             return Ok(Vec::new());
         }
-        self.write(now, kind, key, Content::Removed(now + MARK))
+        self.write(now, kind, key, Content::Removed(now + TOMBSTONE_TTL))
     }
 
-    /// Beats if it is time, and removes what is past its deadline.
+    /// Takes the heartbeats that are due, and removes what is past its
+    /// deadline.
     ///
-    /// To be called each round, before anything else of the round. After a
-    /// pause this forgets first whom the daemon has not heard for too long.
+    /// To be called each round, before anything else in the round. After a
+    /// pause of the process, this first removes the daemons without a recent
+    /// heartbeat.
     pub fn advance(&mut self, now: Instant) -> Vec<Change> {
-        self.beat(now);
+        self.heartbeat(now);
         self.expire(now)
     }
 
     /// Removes what is past its deadline.
     ///
-    /// Also called before anything is taken from a peer. After a pause, a lane
-    /// past its deadline may hold a row whose removal all others have forgotten
-    /// by now; brought up to date instead of removed, it would keep the row.
+    /// Also called before anything from a peer is applied. After a pause of the
+    /// process, a lane past its deadline may hold a row whose tombstone all
+    /// others have dropped by now; if the lane were updated and not removed, it
+    /// would keep the row.
     pub(crate) fn expire(&mut self, now: Instant) -> Vec<Change> {
         let me = self.setup.me.incarnation;
         let mut changes = Vec::new();
         for origin in &mut self.origins {
-            // One's own lanes stay: without them the sequence would start again.
+            // The own lanes stay: without them the sequence would start again.
             let is_own = origin.peer.incarnation == me;
-            origin.lanes.retain(|l| is_own || l.is_held(now));
+            origin.lanes.retain(|l| is_own || l.is_unexpired(now));
             for lane in &mut origin.lanes {
-                lane.sweep(now);
+                lane.remove_tombstones(now);
             }
             if origin.lanes.is_empty() {
                 changes.push(Change::Departed(origin.peer.incarnation));
@@ -133,7 +138,7 @@
         self.origins.get(&origin)?.get(key)
     }
 
-    /// All rows of a kind with their writers, be these live or not.
+    /// All rows of a kind with their writers, whether these are live or not.
     pub fn rows(&self, kind: Kind) -> impl Iterator<Item = (&Peer, &Key, &[u8])> {
         self.origins.iter().flat_map(move |origin| {
             let rows = origin.lane(kind.scope).into_iter().flat_map(|l| &l.rows);
@@ -142,19 +147,19 @@
         })
     }
 
-    /// Live daemons, oneself among them, in the order of their incarnations.
+    /// Live daemons including this one, ordered by incarnation.
     pub fn live(&self, now: Instant) -> impl Iterator<Item = &Peer> {
         let me = self.me();
         let live = self.origins.iter().filter(move |o| o.is_live(me, now));
         live.map(|o| &o.peer)
     }
 
-    /// All daemons that are held, live or not.
+    /// All known daemons, live or not.
     pub fn known(&self) -> impl Iterator<Item = &Peer> {
         self.origins.iter().map(|o| &o.peer)
     }
 
-    /// Rows and sequences of what is held, for comparing replicas.
+    /// Keys and sequences of all rows held, for comparing replicas.
     pub fn sequences(&self) -> Vec<(Incarnation, Key, u64)> {
         let mut all = Vec::new();
         for origin in &self.origins {
@@ -172,18 +177,18 @@
         size_of::<Self>() + self.origins.iter().map(Origin::memory).sum::<usize>()
     }
 
-    fn beat(&mut self, now: Instant) {
+    fn heartbeat(&mut self, now: Instant) {
         for scope in Scope::ALL {
-            if now < self.beats[scope as usize] {
+            if now < self.next_heartbeats[scope as usize] {
                 continue;
             }
-            self.beats[scope as usize] = now + scope.beat();
-            self.next_dot(now, scope);
+            self.next_heartbeats[scope as usize] = now + scope.heartbeat_interval();
+            self.next_sequence(now, scope);
         }
     }
 
-    /// Takes the next sequence of one's own lane, which renews the lane too.
-    fn next_dot(&mut self, now: Instant, scope: Scope) -> u64 {
+    /// Takes the next sequence of an own lane, which also renews the lane.
+    fn next_sequence(&mut self, now: Instant, scope: Scope) -> u64 {
         let me = &self.setup.me;
         if !self.origins.contains(&me.incarnation) {
             self.origins.insert(Origin {
@@ -192,9 +197,9 @@
             });
         }
         let own = self.origins.get_mut(&me.incarnation);
-        let own = own.expect("it was put in just above if it was not there");
-        let lane = own.lane_mut(scope, now + HORIZON);
-        lane.until = now + HORIZON;
+        let own = own.expect("inserted above if it was missing");
+        let lane = own.lane_mut(scope, now + LANE_TTL);
+        lane.expires = now + LANE_TTL;
         lane.prefix += 1;
         lane.prefix
     }
@@ -216,9 +221,9 @@
         if let Some(lane) = lane {
             lane.check_room(std::iter::once(&row))?;
         }
-        row.sequence = self.next_dot(now, kind.scope);
+        row.sequence = self.next_sequence(now, kind.scope);
         if let Some(own) = self.origins.get_mut(&me) {
-            let lane = own.lane_mut(kind.scope, now + HORIZON);
+            let lane = own.lane_mut(kind.scope, now + LANE_TTL);
             lane.rows.insert(row.clone());
         }
         if kind.urgent {
@@ -229,10 +234,10 @@
     }
 }
 
-/// Checks the bytes of a name or value.
-pub(crate) fn check_size(bytes: usize, most: usize) -> Result<(), GossipError> {
-    if bytes > most {
-        return Err(GossipError::LargeRow { bytes, most });
+/// Checks the size of a name or value.
+pub(crate) fn check_size(bytes: usize, max: usize) -> Result<(), GossipError> {
+    if bytes > max {
+        return Err(GossipError::LargeRow { bytes, max });
     }
     Ok(())
 }
