--- a/daemon/src/config.rs
+++ b/daemon/src/config.rs
@@ -14,7 +14,7 @@
     SpawnHandle, WrapFuture as _,
 };
 use poplarvale_lib::config::{
-    Command, EditId, HEAD, Input, Keeper, PREFIX, Peer, Proposal, Pull, Verdict,
+    Command, EditId, HEAD_KEY, Input, KEY_PREFIX, Keeper, Peer, Proposal, Pull, Verdict,
 };
 use poplarvale_lib::gossip::{self, Kind};
 use poplarvale_lib::protos::peer::{Adopted, Part};
@@ -102,8 +102,8 @@
                     ctx.cancel_future(watch);
                 }
             }
-            Command::Glance => self.glance(ctx),
-            Command::Read => self.read(ctx),
+            Command::ReadHead => self.glance(ctx),
+            Command::ReadLists => self.read(ctx),
             Command::Write { edit, write } => {
                 let store = Rc::clone(&self.parts.store);
                 let call = async move {
@@ -116,7 +116,7 @@
             // The row of an adopted revision is urgent: gossip pushes it at once.
             Command::Announce { .. } => {}
             Command::Adopt(accepted) => self.adopt(accepted),
-            Command::Tell { edit, verdict } => self.answer(&edit, &verdict),
+            Command::Reply { edit, verdict } => self.answer(&edit, &verdict),
         }
     }
 
@@ -130,8 +130,8 @@
         let store = Rc::clone(&self.parts.store);
         let sent = Instant::now();
         let call = async move {
-            let result = store.get(HEAD).await;
-            Input::Glanced { sent, result }
+            let result = store.get(HEAD_KEY).await;
+            Input::HeadRead { sent, result }
         };
         self.call(call, ctx);
     }
@@ -140,8 +140,8 @@
         let store = Rc::clone(&self.parts.store);
         let sent = Instant::now();
         let call = async move {
-            let result = store.range(PREFIX).await;
-            Input::Read { sent, result }
+            let result = store.range(KEY_PREFIX).await;
+            Input::ListsRead { sent, result }
         };
         self.call(call, ctx);
     }
@@ -153,8 +153,8 @@
         let store = Rc::clone(&self.parts.store);
         let me = ctx.address();
         let watch = async move {
-            let tell = |held| me.do_send(Hear(Input::Watched(held)));
-            let failure = store.watch(HEAD, from, tell).await;
+            let tell = |held| me.do_send(Hear(Input::HeadChanged(held)));
+            let failure = store.watch(HEAD_KEY, from, tell).await;
             log::info!("config: the watch ended: {failure}.");
         };
         let ended = |(), config: &mut Self, ctx: &mut Context<Self>| {
--- a/daemon/src/fleet.rs
+++ b/daemon/src/fleet.rs
@@ -166,7 +166,7 @@
         let daemon = self.daemon(origin);
         daemon.revision = daemon.revision.max(row.revision);
         if let Some(config) = &self.config {
-            config.do_send(Hear(config::Input::Heard {
+            config.do_send(Hear(config::Input::PeerRevision {
                 peer: origin,
                 revision: row.revision,
                 age: row.age_ms.map(Duration::from_millis),
--- a/daemon/src/operators/lists.rs
+++ b/daemon/src/operators/lists.rs
@@ -101,7 +101,7 @@
             let what = difference.map_or_else(String::new, |d| show(&d));
             Err(Problem::new(Code::Conflict).detail(head + &what))
         }
-        Verdict::Refused(mistakes) => Err(Problem::new(Code::BadLists).detail(lines(&mistakes))),
+        Verdict::Invalid(mistakes) => Err(Problem::new(Code::BadLists).detail(lines(&mistakes))),
         Verdict::NotDone => Err(Problem::new(Code::StoreOut).detail("the edit was not accepted")),
         Verdict::Unknown => {
             let mut problem = Problem::new(Code::StoreOut);
--- a/daemon/src/platform/perform.rs
+++ b/daemon/src/platform/perform.rs
@@ -5,7 +5,7 @@
 
 use std::time::Instant;
 
-use poplarvale_lib::config::{self, HEAD, PREFIX};
+use poplarvale_lib::config::{self, HEAD_KEY, KEY_PREFIX};
 use poplarvale_lib::store::Store;
 use poplarvale_lib::{Revision, claims};
 
@@ -18,13 +18,13 @@
     command: config::Command,
 ) -> Result<config::Input, config::Command> {
     match command {
-        config::Command::Glance => {
-            let result = store.get(HEAD).await;
-            Ok(config::Input::Glanced { sent, result })
+        config::Command::ReadHead => {
+            let result = store.get(HEAD_KEY).await;
+            Ok(config::Input::HeadRead { sent, result })
         }
-        config::Command::Read => {
-            let result = store.range(PREFIX).await;
-            Ok(config::Input::Read { sent, result })
+        config::Command::ReadLists => {
+            let result = store.range(KEY_PREFIX).await;
+            Ok(config::Input::ListsRead { sent, result })
         }
         config::Command::Write { edit, write } => {
             let result = store.write(write).await;
@@ -40,8 +40,8 @@
     from: Revision,
     mut tell: impl FnMut(config::Input),
 ) -> config::Input {
-    let on_change = |held| tell(config::Input::Watched(held));
-    store.watch(HEAD, from, on_change).await;
+    let on_change = |held| tell(config::Input::HeadChanged(held));
+    store.watch(HEAD_KEY, from, on_change).await;
     config::Input::WatchEnded
 }
 
--- a/daemon/tests/test_platform.rs
+++ b/daemon/tests/test_platform.rs
@@ -334,7 +334,7 @@
         lists: Lists::default(),
     });
     let told = settled(&mut first, &client, now, vec![edit]).await;
-    let verdict = config::Command::Tell {
+    let verdict = config::Command::Reply {
         edit: "first".into(),
         verdict: config::Verdict::Accepted(1),
     };
--- a/lib/benches/config.rs
+++ b/lib/benches/config.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use poplarvale_lib::config::{HEAD, Input, Keeper, Peer, Proposal, Pull, Pulled, Update};
+use poplarvale_lib::config::{HEAD_KEY, Input, Keeper, Peer, Proposal, Pull, Pulled, Update};
 use poplarvale_lib::store::{Snapshot, StoredValue};
 use poplarvale_lib::{Accepted, Customer, Lists, Plan};
 use testutils::platform::fleet::Fleet;
@@ -93,7 +93,7 @@
     let lists = sized(customers, 0);
     let whole = Accepted { revision: 1, lists };
     keeper.tick(now, vec![pulled(whole)]);
-    let glanced = Input::Glanced {
+    let glanced = Input::HeadRead {
         sent: now,
         result: Ok(head(1)),
     };
@@ -140,7 +140,7 @@
 /// What the service answers for a head at a revision.
 fn head(revision: u64) -> Snapshot {
     let held = StoredValue {
-        key: HEAD.into(),
+        key: HEAD_KEY.into(),
         value: Bytes::new(),
         created: revision,
         changed: revision,
--- a/lib/src/config.rs
+++ b/lib/src/config.rs
@@ -1,16 +1,18 @@
-//! The two lists: edits, acceptance and how they reach every daemon.
+//! Configuration of the fleet: the lists of customers and plans, edits of them,
+//! and their distribution to every daemon.
 //!
 //! An edit is accepted by one compare-and-swap in the platform's key-value
-//! service; from then on it has to come into force everywhere within seconds and
-//! never be undone, through partitions, outages and restarts. Two daemons of
-//! each zone watch the service; the others learn of a new revision from peers
-//! and pull it from one, so the calls to the service grow with the zones and
-//! not with the daemons. A daemon adopts only higher revisions, in one place
-//! ([`Keeper`]), so nothing goes back.
+//! service; from then on it has to come into force at every daemon within
+//! seconds and must never be reverted, through partitions, outages and
+//! restarts. Two daemons of each zone watch the service; the others learn of a
+//! new revision from peers and pull it from one of them, so that the number of
+//! calls to the service grows with the zones and not with the daemons. A daemon
+//! adopts only higher revisions, in one place ([`Keeper`]), so no daemon goes
+//! back to older lists.
 //!
-//! What travels is the changes since the reader's revision where they are
-//! known, and the whole lists where they are not: the lists can have a megabyte
-//! and change every few seconds.
+//! A peer sends the changes since the reader's revision if they are known, and
+//! the whole lists otherwise: the lists can have a megabyte and change every
+//! few seconds.
 
 mod changes;
 mod edit;
@@ -28,15 +30,15 @@
 use crate::lists::{Accepted, Lists, Mistake};
 use crate::store::{Failure, Snapshot, StoredValue, Write, Written};
 
-pub use changes::{Changes, Difference, Passage};
-pub use head::{HEAD, PREFIX};
-pub use keeper::{ASK_RATE, GLANCE_GAP, Keeper, STALE};
-pub use watchers::{WATCHERS, watchers};
+pub use changes::{Changes, Difference, RevisionDelta};
+pub use head::{HEAD_KEY, KEY_PREFIX};
+pub use keeper::{FLEET_READS_PER_S, HEAD_READ_INTERVAL, Keeper, STALE_AGE};
+pub use watchers::{WATCHERS_PER_ZONE, watchers};
 
-/// Edit of the lists, named by whoever sends it; repeats keep the name.
+/// Id of an edit, chosen by its sender; retries keep the id.
 pub type EditId = CompactString;
 
-/// A daemon that is alive, as gossip knows it.
+/// A live daemon, as gossip reports it.
 #[proc_macros::row]
 #[derive(Eq)]
 pub struct Peer {
@@ -46,40 +48,42 @@
     pub zone: ZoneId,
 }
 
-/// An edit as an operator sends it: both lists, and what they were made from.
+/// An edit as an operator sends it: both lists, and the revision they are based
+/// on.
 #[proc_macros::row]
 pub struct Proposal {
-    /// Id, by which a lost answer is settled.
+    /// Id by which the outcome is found if the answer is lost.
     pub id: EditId,
-    /// Revision that the operator saw.
+    /// Revision that the operator edited.
     pub base: Revision,
-    /// Both lists as they shall be.
+    /// Both lists as they should become.
     pub lists: Lists,
 }
 
-/// What came of an edit.
+/// Outcome of an edit.
 #[proc_macros::row]
 pub enum Verdict {
     /// Accepted at this revision.
     Accepted(Revision),
-    /// Another edit came first.
+    /// Another edit was accepted first.
     Conflict {
-        /// Revision that the edit was made upon.
+        /// Revision that the edit is based on.
         base: Revision,
         /// Revision that is in force.
         revision: Revision,
-        /// What changed since the edit's base; none if that is not known.
+        /// What changed since the edit's base; `None` if that is not known.
         difference: Option<Difference>,
     },
-    /// The lists have mistakes.
-    Refused(Vec<Mistake>),
-    /// The service could not be reached; provably not accepted.
+    /// The lists failed validation.
+    Invalid(Vec<Mistake>),
+    /// The service could not be reached; the edit was certainly not accepted.
     NotDone,
-    /// The service could not be asked again; it may be accepted.
+    /// The outcome could not be read back from the service; the edit may have
+    /// been accepted.
     Unknown,
 }
 
-/// Question to a peer for what it has above a revision.
+/// Request to a peer for what it has above a revision.
 #[proc_macros::setting]
 #[derive(Eq)]
 pub struct Pull {
@@ -87,13 +91,13 @@
     pub have: Revision,
 }
 
-/// A peer's answer.
+/// A peer's answer to a [`Pull`].
 #[proc_macros::setting]
 pub struct Pulled {
-    /// Revision that it has.
+    /// Revision that the peer has.
     pub revision: Revision,
-    /// How long ago it had proof that there was none higher; between hosts no
-    /// instants can be exchanged.
+    /// Time since the peer last had proof that no higher revision exists; a
+    /// duration, as instants can't be exchanged between hosts.
     pub age: Option<Duration>,
     /// What the asker lacks.
     pub update: Update,
@@ -102,30 +106,30 @@
 /// What brings a daemon to a higher revision.
 #[proc_macros::setting]
 pub enum Update {
-    /// Nothing is lacking.
+    /// Nothing is missing.
     None,
-    /// Changes that join on to the revision one has, in order.
-    Changes(Vec<Passage>),
+    /// Consecutive changes that start at the asker's revision.
+    Changes(Vec<RevisionDelta>),
     /// The whole lists.
     Whole(Accepted),
 }
 
-/// What a keeper is told.
+/// Input of a [`Keeper`].
 #[proc_macros::row]
 pub enum Input {
-    /// The peers that live, without oneself.
+    /// The live peers, without the daemon itself.
     Peers(Vec<Peer>),
-    /// A peer told its revision: each round of gossip anew, and at once when it
-    /// announced one.
-    Heard {
+    /// A peer reported its revision: in each round of gossip, and at once when
+    /// it announced a new one.
+    PeerRevision {
         /// The peer.
         peer: Incarnation,
         /// Its revision.
         revision: Revision,
-        /// Age of its proof that there is none higher.
+        /// Age of its proof that no higher revision exists.
         age: Option<Duration>,
     },
-    /// A peer answered a pull, or did not.
+    /// A peer answered a pull, or failed to.
     Pulled {
         /// The peer.
         peer: Incarnation,
@@ -133,21 +137,21 @@
         answer: Option<Pulled>,
     },
     /// A read of the head ended.
-    Glanced {
+    HeadRead {
         /// When it was sent.
         sent: Instant,
-        /// How it ended.
+        /// Its result.
         result: Result<Snapshot, Failure>,
     },
     /// A read of both lists ended.
-    Read {
+    ListsRead {
         /// When it was sent.
         sent: Instant,
-        /// How it ended.
+        /// Its result.
         result: Result<Snapshot, Failure>,
     },
-    /// The watch told a value of the head.
-    Watched(StoredValue),
+    /// The watch delivered a new value of the head.
+    HeadChanged(StoredValue),
     /// The watch broke.
     WatchEnded,
     /// An operator sent an edit.
@@ -156,37 +160,38 @@
     Written {
         /// The edit.
         edit: EditId,
-        /// How it ended.
+        /// Its result.
         result: Result<Written, Failure>,
     },
 }
 
-/// What a keeper asks for.
+/// Command of a [`Keeper`] to its caller.
 #[proc_macros::row]
 pub enum Command {
-    /// Hold a watch on [`HEAD`] from this revision on, in place of any other.
+    /// Watch [`HEAD_KEY`] from this revision on, in place of any other watch.
     Watch(Revision),
-    /// Give up the watch.
+    /// End the watch.
     Unwatch,
-    /// Read [`HEAD`].
-    Glance,
-    /// Read all under [`PREFIX`].
-    Read,
-    /// Write for an edit.
+    /// Read [`HEAD_KEY`].
+    ReadHead,
+    /// Read all keys under [`KEY_PREFIX`].
+    ReadLists,
+    /// Write to the service for an edit.
     Write {
         /// The edit.
         edit: EditId,
         /// The write.
         write: Write,
     },
-    /// Ask a peer.
+    /// Send a pull to a peer.
     Pull {
         /// The peer.
         peer: Incarnation,
-        /// The question.
+        /// The request.
         pull: Pull,
     },
-    /// Tell a peer at once; it hears this as [`Input::Heard`].
+    /// Notify a peer at once; the peer receives this as
+    /// [`Input::PeerRevision`].
     Announce {
         /// The peer.
         peer: Incarnation,
@@ -195,11 +200,11 @@
     },
     /// Bring these lists into force.
     Adopt(Accepted),
-    /// Tell the operator what came of an edit.
-    Tell {
+    /// Report the outcome of an edit to the operator.
+    Reply {
         /// The edit.
         edit: EditId,
-        /// What came of it.
+        /// Its outcome.
         verdict: Verdict,
     },
 }
--- a/lib/src/config/changes.rs
+++ b/lib/src/config/changes.rs
@@ -1,8 +1,8 @@
-//! What differs between two states of the lists.
+//! Differences between two states of the lists.
 //!
-//! [`Changes`] can be applied, so that a daemon one edit behind needs a few rows
-//! and not a megabyte; [`Difference`] names ids only and is for people, who are
-//! shown it when another edit came before theirs.
+//! [`Changes`] can be applied, so that a daemon that is one edit behind needs a
+//! few rows and not a megabyte; [`Difference`] contains only ids and is shown
+//! to operators when another edit was accepted before theirs.
 
 use compact_str::CompactString;
 
@@ -10,12 +10,12 @@
 use crate::lists::{Customer, Lists, Plan};
 use crate::table::Row;
 
-/// Rows to put in and ids to take out, of one list.
+/// Rows to put and ids to remove, of one list.
 #[proc_macros::setting]
 pub struct ListChanges<R, I> {
     /// Rows that are new or changed.
     pub put: Vec<R>,
-    /// Ids that are gone.
+    /// Ids that were removed.
     pub gone: Vec<I>,
 }
 
@@ -28,19 +28,19 @@
     }
 }
 
-/// What leads from one state of the lists to another.
+/// Changes from one state of the lists to another.
 #[proc_macros::setting]
 #[derive(Default)]
 pub struct Changes {
-    /// Of the customers.
+    /// Changes of the customers.
     pub customers: ListChanges<Customer, CustomerId>,
-    /// Of the plans.
+    /// Changes of the plans.
     pub plans: ListChanges<Plan, PlanId>,
 }
 
 /// Changes between two revisions.
 #[proc_macros::setting]
-pub struct Passage {
+pub struct RevisionDelta {
     /// Revision that they apply to.
     pub base: Revision,
     /// Revision that they lead to.
@@ -49,7 +49,7 @@
     pub changes: Changes,
 }
 
-/// Ids in one list that differ.
+/// Ids of one list that differ.
 #[proc_macros::setting]
 #[derive(Default, Eq)]
 pub struct ListDifference {
@@ -57,11 +57,11 @@
     pub added: Vec<CompactString>,
     /// Only in the earlier state.
     pub removed: Vec<CompactString>,
-    /// In both, with other contents.
+    /// In both, with different contents.
     pub changed: Vec<CompactString>,
 }
 
-/// Ids in both lists that differ.
+/// Ids of both lists that differ.
 #[proc_macros::setting]
 #[derive(Default, Eq)]
 pub struct Difference {
@@ -72,7 +72,7 @@
 }
 
 impl Changes {
-    /// What leads from `old` to `new`.
+    /// Changes from `old` to `new`.
     pub fn between(old: &Lists, new: &Lists) -> Self {
         Self {
             customers: list_changes(&old.customers, &new.customers),
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The lists after these changes; rows come out sorted by id.
+    /// The lists after these changes, with rows sorted by id.
     pub fn apply(&self, lists: &Lists) -> Lists {
         Lists {
             customers: applied(&self.customers, &lists.customers),
@@ -90,7 +90,7 @@
 }
 
 impl ListDifference {
-    /// This difference and a later one as a single one.
+    /// This difference and a later one, combined.
     fn then(&self, later: &Self) -> Self {
         let mut joined = Self::default();
         let ids = [self, later];
@@ -122,7 +122,7 @@
 }
 
 impl Difference {
-    /// This difference and a later one as a single one.
+    /// This difference and a later one, combined.
     #[must_use]
     pub fn then(&self, later: &Self) -> Self {
         Self {
@@ -131,7 +131,7 @@
         }
     }
 
-    /// What differs between `old` and the lists after some changes.
+    /// Difference between `old` and the lists after some changes.
     pub fn of(old: &Lists, changes: &Changes) -> Self {
         Self {
             customers: list_difference(&old.customers, &changes.customers),
@@ -140,15 +140,16 @@
     }
 }
 
-/// The lists with their rows sorted by id, so that equal lists are equal bytes.
+/// The lists with their rows sorted by id, so that equal lists have equal
+/// bytes.
 pub(crate) fn sorted(mut lists: Lists) -> Lists {
     lists.customers.sort_by(|a, b| a.id.cmp(&b.id));
     lists.plans.sort_by(|a, b| a.id.cmp(&b.id));
     lists
 }
 
-/// Rows in the order of their ids. Lists in force are in that order already, so
-/// this is one walk; a table filled row by row would move most rows each time.
+/// Rows sorted by id. Lists in force are sorted already, so this is one pass;
+/// inserting row by row into a table would move most rows each time.
 fn by_id<R: Row>(rows: &[R]) -> Vec<&R> {
     let mut rows: Vec<_> = rows.iter().collect();
     rows.sort_by(|a, b| a.id().cmp(b.id()));
--- a/lib/src/config/keeper.rs
+++ b/lib/src/config/keeper.rs
@@ -1,18 +1,19 @@
-//! Keeps a daemon's lists at the highest revision there is.
+//! Keeps a daemon's lists at the highest revision that exists.
 //!
-//! It answers the changes of a day's ten thousand edits, and the partitions and
-//! outages in between. Without it a daemon that missed a change would go on
-//! under old plans unseen. It knows two things: the revision it has, and when
-//! there was last proof that none is higher. Proof comes from the service, to
-//! the watchers of a zone, and travels with its age through gossip. A daemon
-//! whose proof grows older than [`STALE`] asks two peers and then the service.
+//! It handles ten thousand edits a day, and the partitions and outages in
+//! between. Without it, a daemon that missed a change would keep using old
+//! plans unnoticed. It tracks two things: the revision it has, and when there
+//! was last proof that none is higher. Watchers of a zone get the proof from
+//! the service, and gossip distributes it with its age. A daemon whose proof is
+//! older than [`STALE_AGE`] asks two peers and then the service.
 //!
-//! Thresholds: a watch can be forgotten without breaking, so watchers also read
-//! the small head every [`GLANCE_GAP`], which leaves gossip most of the 17 s in
-//! which a change has to be in force. [`STALE`] is above the age that proof
-//! reaches by gossip in a healthy fleet of 400, so that a healthy fleet asks for
-//! nothing. What daemons that are no watchers ask of the service is paced by the
-//! number of peers, to stay near [`ASK_RATE`] a second together.
+//! Thresholds: the service can lose a watch without breaking it, so watchers
+//! also read the small head every [`HEAD_READ_INTERVAL`], which leaves gossip
+//! most of the 17 s in which a change has to be in force. [`STALE_AGE`] is
+//! above the age that proof reaches through gossip in a healthy fleet of 400
+//! daemons, so that a healthy fleet sends no extra requests. Daemons that are
+//! not watchers space their reads of the service by the number of peers, so
+//! that all of them together stay near [`FLEET_READS_PER_S`].
 
 mod edits;
 mod peers;
@@ -29,54 +30,59 @@
 use crate::store::Failure;
 
 /// Time between a watcher's reads of the head.
-pub const GLANCE_GAP: Duration = Duration::from_secs(4);
-/// Age of proof from which a daemon asks for itself.
-pub const STALE: Duration = Duration::from_secs(12);
-/// Reads a second of all that are stale or start, together; a hundredth of what
-/// the service is stated to serve.
-pub const ASK_RATE: f64 = 20.0;
-
-/// Time for a peer's answer.
-const PULL_TIME: Duration = Duration::from_secs(1);
-/// Time after which an answer of the service is no longer waited for; its
-/// client gives up earlier.
-const CALL_TIME: Duration = Duration::from_secs(3);
-/// Peers told at once of a new revision: with three each, some 6 in 100 of a
-/// large zone are missed, and hear of it in the next rounds of gossip.
-const TOLD: usize = 3;
-/// Pause before a broken watch is asked for again, or a failed read repeated.
-const PAUSE: Duration = Duration::from_secs(1);
-/// Peers asked at the start and when stale: one may be cut off as well.
-const ASKED: usize = 2;
-
-/// A call to the service, one at a time.
+pub const HEAD_READ_INTERVAL: Duration = Duration::from_secs(4);
+/// Age of the proof above which a daemon sends requests of its own.
+pub const STALE_AGE: Duration = Duration::from_secs(12);
+/// Reads per second of all daemons that are stale or starting, together; a
+/// hundredth of the rate that the service is stated to sustain.
+pub const FLEET_READS_PER_S: f64 = 20.0;
+
+/// Timeout of a pull from a peer.
+const PULL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time after which a call to the service counts as failed; the client of the
+/// service times out earlier.
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
+/// Peers that are notified at once of a new revision: with three each, some 6
+/// in 100 daemons of a large zone are missed, and learn of it in the next
+/// rounds of gossip.
+const ANNOUNCE_FANOUT: usize = 3;
+/// Delay before a broken watch is opened again or a failed read is retried.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Peers that are asked at the start and when stale: one of them may be
+/// partitioned as well.
+const PULL_FANOUT: usize = 2;
+
+/// A call to the service; only one runs at a time.
 #[derive(Debug, Default)]
 struct Call {
+    // When the next call is due.
     due: Option<Instant>,
-    running: Option<Instant>,
+    // Timeout of the running call.
+    running_until: Option<Instant>,
 }
 
 impl Call {
-    fn want(&mut self, at: Instant) {
+    /// Schedules a call, or moves a scheduled one to an earlier time.
+    fn schedule(&mut self, at: Instant) {
         self.due = Some(self.due.map_or(at, |due| due.min(at)));
     }
 
-    /// Whether it is to be sent now, and notes that it was.
-    fn send(&mut self, now: Instant) -> bool {
-        if self.running.is_some() || self.due.is_none_or(|due| due > now) {
+    /// Whether the call is to be sent now; if so, records it as running.
+    fn start(&mut self, now: Instant) -> bool {
+        if self.running_until.is_some() || self.due.is_none_or(|due| due > now) {
             return false;
         }
         self.due = None;
-        self.running = Some(now + CALL_TIME);
+        self.running_until = Some(now + CALL_TIMEOUT);
         true
     }
 
-    fn is_late(&self, now: Instant) -> bool {
-        self.running.is_some_and(|until| until <= now)
+    fn has_timed_out(&self, now: Instant) -> bool {
+        self.running_until.is_some_and(|until| until <= now)
     }
 }
 
-/// Keeper of a daemon's lists.
+/// Keeps a daemon's lists up to date.
 #[derive(Debug)]
 pub struct Keeper {
     me: Peer,
@@ -85,19 +91,23 @@
     start: Option<Start>,
     peers: Vec<Peer>,
     /// Latest time at which no higher revision existed.
-    fresh: Option<Instant>,
+    verified_at: Option<Instant>,
     /// Whether this daemon is one of the zone's watchers.
-    chosen: bool,
-    watches: bool,
-    rewatch: Option<Instant>,
-    glance: Call,
-    read: Call,
-    /// Highest revision heard of, and from whom.
-    wanted: (Revision, Incarnation),
-    pull: Option<Instant>,
-    /// When the next of the two askings of a stale daemon is due.
-    ask_peers: Option<Instant>,
-    ask_store: Option<Instant>,
+    is_watcher: bool,
+    // Whether a watch is open.
+    watching: bool,
+    // When a broken watch may be opened again.
+    rewatch_at: Option<Instant>,
+    head_call: Call,
+    lists_call: Call,
+    /// Highest revision that a peer reported, and that peer.
+    newest_seen: (Revision, Incarnation),
+    // Timeout of the running pull.
+    pull_deadline: Option<Instant>,
+    /// When a stale daemon next asks its peers.
+    next_peer_query: Option<Instant>,
+    // When a stale daemon next asks the service.
+    next_store_query: Option<Instant>,
     edits: Vec<AnyEdit>,
     rng: fastrand::Rng,
     commands: Vec<Command>,
@@ -112,43 +122,46 @@
             history: History::default(),
             start: Some(Start::new()),
             peers: Vec::new(),
-            fresh: None,
-            chosen: true,
-            watches: false,
-            rewatch: None,
-            glance: Call::default(),
-            read: Call::default(),
-            wanted: (0, 0),
-            pull: None,
-            ask_peers: None,
-            ask_store: None,
+            verified_at: None,
+            is_watcher: true,
+            watching: false,
+            rewatch_at: None,
+            head_call: Call::default(),
+            lists_call: Call::default(),
+            newest_seen: (0, 0),
+            pull_deadline: None,
+            next_peer_query: None,
+            next_store_query: None,
             edits: Vec::new(),
             rng: fastrand::Rng::with_seed(seed),
             commands: Vec::new(),
         }
     }
 
-    /// The daemon that it keeps the lists of.
+    /// The daemon whose lists it keeps.
     pub fn me(&self) -> &Peer {
         &self.me
     }
 
-    /// Lists in force; revision 0 before any, when nobody may be served.
+    /// Lists in force; revision 0 before the first lists, when no request may
+    /// be served.
     pub fn accepted(&self) -> &Accepted {
         &self.accepted
     }
 
-    /// Whether the first answers are still awaited.
+    /// Whether the daemon is still waiting for its first lists.
     pub fn is_starting(&self) -> bool {
         self.start.is_some()
     }
 
-    /// Age of the proof that no higher revision exists, as gossip tells it.
+    /// Age of the proof that no higher revision exists, as it is sent through
+    /// gossip.
     pub fn age(&self, now: Instant) -> Option<Duration> {
-        self.fresh.map(|fresh| now.duration_since(fresh))
+        self.verified_at
+            .map(|verified_at| now.duration_since(verified_at))
     }
 
-    /// Answers a peer.
+    /// Answers a pull of a peer.
     pub fn answer(&self, now: Instant, pull: &Pull) -> Pulled {
         Pulled {
             revision: self.accepted.revision,
@@ -157,43 +170,43 @@
         }
     }
 
-    /// Takes what happened and tells what is to be done.
+    /// Handles inputs and returns the commands to carry out.
     pub fn tick(&mut self, now: Instant, inputs: Vec<Input>) -> Vec<Command> {
         for input in inputs {
-            self.take(now, input);
+            self.handle(now, input);
         }
         self.expire(now);
-        self.go_on_starting(now);
-        self.wake_edits(now);
-        self.choose_watch(now);
-        self.ask_when_stale(now);
+        self.continue_start(now);
+        self.retry_edits(now);
+        self.update_watch(now);
+        self.query_when_stale(now);
         self.catch_up(now);
-        self.call(now);
+        self.start_calls(now);
         std::mem::take(&mut self.commands)
     }
 
-    fn take(&mut self, now: Instant, input: Input) {
+    fn handle(&mut self, now: Instant, input: Input) {
         match input {
             Input::Peers(peers) => self.set_peers(peers),
-            Input::Heard {
+            Input::PeerRevision {
                 peer,
                 revision,
                 age,
-            } => self.heard(now, peer, revision, age),
-            Input::Pulled { peer, answer } => self.pulled(now, peer, answer),
-            Input::Glanced { sent, result } => self.glanced(now, sent, result),
-            Input::Read { sent, result } => self.read(now, sent, &result),
-            Input::Watched(held) => self.watched(now, &held),
+            } => self.record_revision(now, peer, revision, age),
+            Input::Pulled { peer, answer } => self.handle_pulled(now, peer, answer),
+            Input::HeadRead { sent, result } => self.handle_head(now, sent, result),
+            Input::ListsRead { sent, result } => self.handle_lists(now, sent, &result),
+            Input::HeadChanged(stored) => self.handle_watch(now, &stored),
             Input::WatchEnded => self.watch_ended(now),
-            Input::Edit(proposal) => self.edit(now, proposal),
-            Input::Written { edit, result } => self.written(now, &edit, &result),
+            Input::Edit(proposal) => self.start_edit(now, proposal),
+            Input::Written { edit, result } => self.handle_written(now, &edit, &result),
         }
     }
 
     fn set_peers(&mut self, peers: Vec<Peer>) {
         let mut live = peers.clone();
         live.push(self.me.clone());
-        self.chosen = watchers(&self.me.zone, &live).contains(&self.me.incarnation);
+        self.is_watcher = watchers(&self.me.zone, &live).contains(&self.me.incarnation);
         self.peers = peers;
     }
 
@@ -209,22 +222,22 @@
         self.announce();
     }
 
-    /// Notes that no revision above this one existed at a time.
-    fn prove(&mut self, revision: Revision, at: Option<Instant>) {
+    /// Records that no revision above this one existed at a time.
+    fn record_proof(&mut self, revision: Revision, at: Option<Instant>) {
         if revision <= self.accepted.revision {
-            self.fresh = self.fresh.max(at);
+            self.verified_at = self.verified_at.max(at);
         }
     }
 
-    /// Takes calls whose answers never came for failed.
+    /// Treats calls that timed out as failed.
     fn expire(&mut self, now: Instant) {
         let result = Err(Failure::Unknown);
-        if self.glance.is_late(now) {
-            self.glanced(now, now, result.clone());
+        if self.head_call.has_timed_out(now) {
+            self.handle_head(now, now, result.clone());
         }
-        if self.read.is_late(now) {
-            self.read(now, now, &result);
+        if self.lists_call.has_timed_out(now) {
+            self.handle_lists(now, now, &result);
         }
-        self.pull = self.pull.filter(|until| now < *until);
+        self.pull_deadline = self.pull_deadline.filter(|until| now < *until);
     }
 }
--- a/lib/src/config/keeper/edits.rs
+++ b/lib/src/config/keeper/edits.rs
@@ -1,36 +1,36 @@
-//! Edits that operators sent through this daemon.
+//! Edits that operators sent to this daemon.
 
 use std::time::Instant;
 
 use super::Keeper;
 use crate::config::changes::sorted;
-use crate::config::edit::{AnyEdit, Step, begin};
+use crate::config::edit::{AnyEdit, Step, new_edit};
 use crate::config::head::check_size;
 use crate::config::{Command, EditId, Proposal, Verdict};
 use crate::lists::Accepted;
 use crate::store::{Failure, Snapshot, Written};
 
 impl Keeper {
-    pub(super) fn edit(&mut self, now: Instant, proposal: Proposal) {
+    pub(super) fn start_edit(&mut self, now: Instant, proposal: Proposal) {
         let mut mistakes = proposal.lists.check();
         mistakes.extend(check_size(&proposal.lists));
         if !mistakes.is_empty() {
-            let verdict = Verdict::Refused(mistakes);
+            let verdict = Verdict::Invalid(mistakes);
             let edit = proposal.id;
-            self.commands.push(Command::Tell { edit, verdict });
+            self.commands.push(Command::Reply { edit, verdict });
             return;
         }
         if self.edits.iter().any(|e| e.proposal().id == proposal.id) {
             return;
         }
         let lists = sorted(proposal.lists);
-        let edit = begin(now, Proposal { lists, ..proposal });
+        let edit = new_edit(now, Proposal { lists, ..proposal });
         self.edits.push(AnyEdit::Reading(edit));
-        self.read.want(now);
+        self.lists_call.schedule(now);
     }
 
-    /// Passes a read on to the edits that waited for it.
-    pub(super) fn tell_edits(
+    /// Passes the result of a read to the edits that waited for it.
+    pub(super) fn resume_edits(
         &mut self,
         now: Instant,
         sent: Instant,
@@ -39,12 +39,12 @@
         for edit in std::mem::take(&mut self.edits) {
             let id = edit.proposal().id.clone();
             match edit {
-                AnyEdit::Reading(edit) if edit.is_told(sent) => {
+                AnyEdit::Reading(edit) if edit.accepts_read(sent) => {
                     let step = edit.read(now, result.as_ref().map_err(|failure| *failure));
-                    self.follow(now, id, step);
+                    self.apply_step(now, id, step);
                 }
                 AnyEdit::Reading(edit) => {
-                    self.read.want(now);
+                    self.lists_call.schedule(now);
                     self.edits.push(AnyEdit::Reading(edit));
                 }
                 other => self.edits.push(other),
@@ -52,18 +52,23 @@
         }
     }
 
-    pub(super) fn written(&mut self, now: Instant, id: &EditId, result: &Result<Written, Failure>) {
+    pub(super) fn handle_written(
+        &mut self,
+        now: Instant,
+        id: &EditId,
+        result: &Result<Written, Failure>,
+    ) {
         let is_it = |e: &AnyEdit| matches!(e, AnyEdit::Writing(e) if e.proposal.id == *id);
         let Some(at) = self.edits.iter().position(is_it) else {
             return;
         };
         if let AnyEdit::Writing(edit) = self.edits.remove(at) {
             let step = edit.written(now, result);
-            self.follow(now, id.clone(), step);
+            self.apply_step(now, id.clone(), step);
         }
     }
 
-    pub(super) fn follow(&mut self, now: Instant, id: EditId, step: Step) {
+    pub(super) fn apply_step(&mut self, now: Instant, id: EditId, step: Step) {
         match step {
             Step::Write(edit, write) => {
                 self.edits.push(AnyEdit::Writing(edit));
@@ -71,11 +76,11 @@
             }
             Step::Wait(edit) => {
                 if matches!(edit, AnyEdit::Reading(_)) {
-                    self.read.want(now);
+                    self.lists_call.schedule(now);
                 }
                 self.edits.push(edit);
             }
-            Step::Over(verdict, lists) => self.finish_edit(id, verdict, lists),
+            Step::Done(verdict, lists) => self.finish_edit(id, verdict, lists),
         }
     }
 
@@ -94,15 +99,15 @@
         {
             *difference = self.history.difference(*base);
         }
-        self.commands.push(Command::Tell { edit, verdict });
+        self.commands.push(Command::Reply { edit, verdict });
     }
 
-    pub(super) fn wake_edits(&mut self, now: Instant) {
+    pub(super) fn retry_edits(&mut self, now: Instant) {
         for edit in std::mem::take(&mut self.edits) {
             match edit {
                 AnyEdit::Pausing(edit) if edit.due() <= now => {
-                    self.edits.push(AnyEdit::Reading(edit.read_again(now)));
-                    self.read.want(now);
+                    self.edits.push(AnyEdit::Reading(edit.retry(now)));
+                    self.lists_call.schedule(now);
                 }
                 other => self.edits.push(other),
             }
--- a/lib/src/config/keeper/service.rs
+++ b/lib/src/config/keeper/service.rs
@@ -1,59 +1,66 @@
-//! What is read from the key-value service: by the start, by the zone's
-//! watchers, and by whoever is stale.
+//! Reads of the key-value service: by a starting daemon, by the zone's
+//! watchers, and by daemons whose proof is stale.
 
 use std::time::{Duration, Instant};
 
-use super::{ASK_RATE, GLANCE_GAP, Keeper, PAUSE, PULL_TIME, STALE};
+use super::{FLEET_READS_PER_S, HEAD_READ_INTERVAL, Keeper, PULL_TIMEOUT, RETRY_DELAY, STALE_AGE};
 use crate::config::Command;
 use crate::config::head::{Head, read_lists};
-use crate::config::history::passed;
+use crate::config::history::apply_delta;
 use crate::config::start::{Next, Start};
 use crate::store::{Failure, Snapshot, StoredValue};
 
 impl Keeper {
-    pub(super) fn glanced(
+    pub(super) fn handle_head(
         &mut self,
         now: Instant,
         sent: Instant,
         result: Result<Snapshot, Failure>,
     ) {
-        self.glance.running = None;
+        self.head_call.running_until = None;
         let Ok(snapshot) = result else {
             return;
         };
-        let head = Head::find(&snapshot);
+        let head = Head::from_snapshot(&snapshot);
         if let Some(start) = &mut self.start {
             start.head = Some(head.revision);
             return;
         }
-        if self.watches && head.revision > self.accepted.revision {
-            // The watch should have told of it: the service has forgotten it.
+        if self.watching && head.revision > self.accepted.revision {
+            // The watch should have delivered this revision: the service lost
+            // it.
             self.commands.push(Command::Watch(head.revision + 1));
         }
-        self.learn(now, &head);
-        self.prove(head.revision, Some(sent));
+        self.apply_head(now, &head);
+        self.record_proof(head.revision, Some(sent));
     }
 
-    pub(super) fn watched(&mut self, now: Instant, held: &StoredValue) {
+    pub(super) fn handle_watch(&mut self, now: Instant, stored: &StoredValue) {
         if self.start.is_none() {
-            self.learn(now, &Head::read(held));
+            self.apply_head(now, &Head::from_value(stored));
         }
     }
 
-    /// Follows the head, by its changes where they join on.
-    pub(super) fn learn(&mut self, now: Instant, head: &Head) {
+    /// Adopts a new head: by its changes if they are based on the lists in
+    /// force, else by a read of the lists.
+    pub(super) fn apply_head(&mut self, now: Instant, head: &Head) {
         if head.revision <= self.accepted.revision {
             return;
         }
-        let passage = head.passage();
-        match passage.and_then(|passage| passed(&self.accepted, &passage)) {
+        let delta = head.delta();
+        match delta.and_then(|delta| apply_delta(&self.accepted, &delta)) {
             Some(accepted) => self.adopt(accepted),
-            None => self.read.want(now),
+            None => self.lists_call.schedule(now),
         }
     }
 
-    pub(super) fn read(&mut self, now: Instant, sent: Instant, result: &Result<Snapshot, Failure>) {
-        self.read.running = None;
+    pub(super) fn handle_lists(
+        &mut self,
+        now: Instant,
+        sent: Instant,
+        result: &Result<Snapshot, Failure>,
+    ) {
+        self.lists_call.running_until = None;
         let read = result.as_ref().ok();
         let lists = read.map(|snapshot| read_lists(snapshot).unwrap_or_default());
         if let (Some(start), Some(lists)) = (&mut self.start, &lists) {
@@ -62,31 +69,31 @@
         } else if let Some(lists) = lists {
             let revision = lists.revision;
             self.adopt(lists);
-            self.prove(revision, Some(sent));
+            self.record_proof(revision, Some(sent));
         } else if self.start.is_some() {
-            // The service told of lists that can't be read now; ask all again.
-            self.start = Some(Start::again(now));
+            // The service named lists that can't be read now; query all again.
+            self.start = Some(Start::restarted(now));
         }
-        self.tell_edits(now, sent, result);
+        self.resume_edits(now, sent, result);
     }
 
     pub(super) fn watch_ended(&mut self, now: Instant) {
-        if self.watches {
-            self.watches = false;
-            self.rewatch = Some(now + PAUSE + PAUSE.mul_f64(self.rng.f64()));
+        if self.watching {
+            self.watching = false;
+            self.rewatch_at = Some(now + RETRY_DELAY + RETRY_DELAY.mul_f64(self.rng.f64()));
         }
     }
 
-    pub(super) fn go_on_starting(&mut self, now: Instant) {
+    pub(super) fn continue_start(&mut self, now: Instant) {
         let Some(start) = &self.start else {
             return;
         };
         match start.next(now) {
             Next::Wait => {}
-            Next::Read if self.read.running.is_some() => {}
-            Next::Read => self.read.want(now),
-            Next::Ask => self.ask_all(now),
-            Next::Begin => {
+            Next::Read if self.lists_call.running_until.is_some() => {}
+            Next::Read => self.lists_call.schedule(now),
+            Next::Query => self.query_all(now),
+            Next::Finish => {
                 let start = self.start.take();
                 let start = start.unwrap_or_else(Start::new);
                 self.adopt(start.best);
@@ -94,89 +101,94 @@
                     .head
                     .is_some_and(|head| head <= self.accepted.revision)
                 {
-                    self.fresh = self.fresh.max(Some(now));
+                    self.verified_at = self.verified_at.max(Some(now));
                 }
             }
         }
     }
 
-    pub(super) fn ask_all(&mut self, now: Instant) {
-        let asked = self.ask_peers(0);
-        // The first asking is at once; repeats keep to the pace of the fleet.
-        let again = self.start.as_ref().is_some_and(|s| s.until.is_some());
-        if !again {
-            self.glance.want(now);
-        } else if self.glance.due.is_none() {
-            let gap = self.ask_gap(PAUSE);
-            self.glance.want(now + gap);
+    pub(super) fn query_all(&mut self, now: Instant) {
+        let asked = self.query_peers(0);
+        // The first queries are sent at once; retries keep to the rate of the
+        // fleet.
+        let is_retry = self.start.as_ref().is_some_and(|s| s.deadline.is_some());
+        if !is_retry {
+            self.head_call.schedule(now);
+        } else if self.head_call.due.is_none() {
+            let gap = self.shared_delay(RETRY_DELAY);
+            self.head_call.schedule(now + gap);
         }
         if let Some(start) = &mut self.start {
-            start.asked(now, asked);
+            start.record_queries(now, asked);
         }
     }
 
-    /// Watches if this daemon is one of the zone's watchers, and reads the head.
-    pub(super) fn choose_watch(&mut self, now: Instant) {
+    /// Watches the head if this daemon is one of the zone's watchers, and
+    /// schedules reads of the head.
+    pub(super) fn update_watch(&mut self, now: Instant) {
         if self.start.is_some() {
             return;
         }
-        if !self.chosen {
-            if self.watches {
-                self.watches = false;
+        if !self.is_watcher {
+            if self.watching {
+                self.watching = false;
                 self.commands.push(Command::Unwatch);
             }
             return;
         }
-        if !self.watches && self.rewatch.is_none_or(|at| at <= now) {
-            self.watches = true;
+        if !self.watching && self.rewatch_at.is_none_or(|at| at <= now) {
+            self.watching = true;
             let from = self.accepted.revision + 1;
             self.commands.push(Command::Watch(from));
         }
-        if self.glance.due.is_none() && self.glance.running.is_none() {
-            // Watchers that start together would read together for ever.
-            let gap = GLANCE_GAP.mul_f64(0.8 + 0.2 * self.rng.f64());
-            self.glance.want(now + gap);
+        if self.head_call.due.is_none() && self.head_call.running_until.is_none() {
+            // Jitter: watchers that start together would otherwise keep reading
+            // at the same time.
+            let gap = HEAD_READ_INTERVAL.mul_f64(0.8 + 0.2 * self.rng.f64());
+            self.head_call.schedule(now + gap);
         }
     }
 
-    pub(super) fn ask_when_stale(&mut self, now: Instant) {
-        let stale = self.fresh.is_none_or(|fresh| now - fresh > STALE);
+    pub(super) fn query_when_stale(&mut self, now: Instant) {
+        let stale = self
+            .verified_at
+            .is_none_or(|verified_at| now - verified_at > STALE_AGE);
         if self.start.is_some() || !stale {
-            self.ask_peers = None;
-            self.ask_store = None;
+            self.next_peer_query = None;
+            self.next_store_query = None;
             return;
         }
-        if self.ask_peers.is_none_or(|at| at <= now) {
-            self.ask_peers(self.accepted.revision);
-            self.ask_peers = Some(now + STALE);
+        if self.next_peer_query.is_none_or(|at| at <= now) {
+            self.query_peers(self.accepted.revision);
+            self.next_peer_query = Some(now + STALE_AGE);
         }
-        // After a long outage all are stale at once; the jitter keeps them from
-        // asking the service at one moment.
-        let Some(at) = self.ask_store else {
-            let gap = self.ask_gap(PULL_TIME);
-            self.ask_store = Some(now + gap);
+        // After a long outage all daemons are stale at once; jitter keeps them
+        // from querying the service at the same moment.
+        let Some(at) = self.next_store_query else {
+            let gap = self.shared_delay(PULL_TIMEOUT);
+            self.next_store_query = Some(now + gap);
             return;
         };
         if at <= now {
-            self.glance.want(now);
-            self.ask_store = Some(now + self.ask_gap(STALE));
+            self.head_call.schedule(now);
+            self.next_store_query = Some(now + self.shared_delay(STALE_AGE));
         }
     }
 
-    pub(super) fn call(&mut self, now: Instant) {
-        if self.glance.send(now) {
-            self.commands.push(Command::Glance);
+    pub(super) fn start_calls(&mut self, now: Instant) {
+        if self.head_call.start(now) {
+            self.commands.push(Command::ReadHead);
         }
-        if self.read.send(now) {
-            self.commands.push(Command::Read);
+        if self.lists_call.start(now) {
+            self.commands.push(Command::ReadLists);
         }
     }
 
-    /// Time until a call that any daemon may make, so long that all of them
-    /// together keep to [`ASK_RATE`].
-    pub(super) fn ask_gap(&mut self, least: Duration) -> Duration {
-        let shared = Duration::from_secs_f64((self.peers.len() + 1) as f64 / ASK_RATE);
-        let gap = shared.max(least);
+    /// Delay before a call that any daemon may make, long enough that all of
+    /// them together stay near [`FLEET_READS_PER_S`].
+    pub(super) fn shared_delay(&mut self, min: Duration) -> Duration {
+        let shared = Duration::from_secs_f64((self.peers.len() + 1) as f64 / FLEET_READS_PER_S);
+        let gap = shared.max(min);
         gap + gap.mul_f64(self.rng.f64())
     }
 }
--- a/lib/src/config/start.rs
+++ b/lib/src/config/start.rs
@@ -1,67 +1,68 @@
 //! How a daemon gets its first lists.
 //!
-//! A daemon that served on the first lists it met could bring an old plan back
-//! into force: the peer it met may itself be cut off. So it asks the service and
-//! some peers, waits a moment for all of them, and begins with the highest. If
-//! the service answers, nothing higher exists and there is no need to wait.
+//! If a daemon served on the first lists it received, it could bring an old
+//! plan back into force: the peer that sent them may itself be partitioned. So
+//! it asks the service and some peers, waits a moment for all answers, and
+//! starts with the highest revision. If the service answers, nothing higher
+//! exists and it need not wait for the others.
 
 use std::time::{Duration, Instant};
 
 use crate::ids::{Incarnation, Revision};
 use crate::lists::Accepted;
 
-/// Time for all that were asked to answer.
-const START_TIME: Duration = Duration::from_secs(1);
+/// Time in which all that were asked have to answer.
+const START_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A start that is under way.
+/// A start that is in progress.
 #[derive(Debug)]
 pub(crate) struct Start {
-    /// When it stops waiting; none before anyone was asked.
-    pub until: Option<Instant>,
-    /// Peers whose answers are awaited.
-    pub waiting: Vec<Incarnation>,
+    /// When it stops waiting; `None` before the first queries.
+    pub deadline: Option<Instant>,
+    /// Peers that have not answered yet.
+    pub pending: Vec<Incarnation>,
     /// Highest lists so far.
     pub best: Accepted,
-    /// Revision that the service told.
+    /// Revision of the head at the service.
     pub head: Option<Revision>,
 }
 
-/// What a start does next.
+/// Next step of a start.
 #[derive(Debug, PartialEq)]
 pub(crate) enum Next {
-    /// Ask the service and peers.
-    Ask,
+    /// Query the service and peers.
+    Query,
     /// Wait.
     Wait,
     /// Read the lists from the service.
     Read,
-    /// Begin with the best.
-    Begin,
+    /// Finish with the highest lists.
+    Finish,
 }
 
 impl Start {
-    /// A start at which nobody was asked.
+    /// A start without any queries yet.
     pub fn new() -> Self {
         Self {
-            until: None,
-            waiting: Vec::new(),
+            deadline: None,
+            pending: Vec::new(),
             best: Accepted::default(),
             head: None,
         }
     }
 
-    /// A start that was asked for before and has to ask anew.
-    pub fn again(now: Instant) -> Self {
+    /// A start whose earlier queries failed and that has to query again.
+    pub fn restarted(now: Instant) -> Self {
         Self {
-            until: Some(now),
+            deadline: Some(now),
             ..Self::new()
         }
     }
 
-    /// Notes that some peers were asked.
-    pub fn asked(&mut self, now: Instant, peers: Vec<Incarnation>) {
-        self.until = Some(now + START_TIME);
-        self.waiting = peers;
+    /// Records that some peers were queried.
+    pub fn record_queries(&mut self, now: Instant, peers: Vec<Incarnation>) {
+        self.deadline = Some(now + START_TIMEOUT);
+        self.pending = peers;
     }
 
     /// Takes lists if they are the highest so far.
@@ -71,17 +72,17 @@
         }
     }
 
-    /// What to do now.
+    /// The next step.
     pub fn next(&self, now: Instant) -> Next {
-        let Some(until) = self.until else {
-            return Next::Ask;
+        let Some(deadline) = self.deadline else {
+            return Next::Query;
         };
-        let over = now >= until;
+        let over = now >= deadline;
         match self.head {
-            Some(head) if self.best.revision >= head => Next::Begin,
-            Some(_) if over || self.waiting.is_empty() => Next::Read,
-            None if over && self.best.revision > 0 => Next::Begin,
-            None if over => Next::Ask,
+            Some(head) if self.best.revision >= head => Next::Finish,
+            Some(_) if over || self.pending.is_empty() => Next::Read,
+            None if over && self.best.revision > 0 => Next::Finish,
+            None if over => Next::Query,
             _ => Next::Wait,
         }
     }
--- a/lib/src/config/watchers.rs
+++ b/lib/src/config/watchers.rs
@@ -1,10 +1,11 @@
 //! Which daemons of a zone watch the key-value service.
 //!
-//! Every watch is a call the service counts, so only two of a zone hold one: one
-//! could die unseen, and more would make the calls grow with the fleet. Each
-//! daemon chooses by rendezvous hashing over the peers it sees alive, without
-//! talk; while views differ for a moment, a third one watches too, which costs
-//! a call and harms nothing.
+//! Every watch counts as a call to the service, so only two daemons of a zone
+//! hold one: a single one could die unnoticed, and with more the number of
+//! calls would grow with the fleet. Each daemon computes the choice by
+//! rendezvous hashing over the peers it sees live, without messages; while
+//! views differ for a moment, a third daemon watches too, which costs one call
+//! and does no harm.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -12,9 +13,9 @@
 use crate::ids::Incarnation;
 
 /// Watchers of a zone.
-pub const WATCHERS: usize = 2;
+pub const WATCHERS_PER_ZONE: usize = 2;
 
-/// The daemons that should watch for a zone, the first choice first.
+/// The daemons that should watch for a zone, in order of preference.
 pub fn watchers(zone: &str, peers: &[Peer]) -> Vec<Incarnation> {
     let live = peers.iter().filter(|peer| peer.zone == zone);
     let mut ranked: Vec<_> = live
@@ -22,7 +23,7 @@
         .collect();
     ranked.sort_unstable_by(|a, b| b.cmp(a));
     ranked.dedup();
-    ranked.truncate(WATCHERS);
+    ranked.truncate(WATCHERS_PER_ZONE);
     ranked.into_iter().map(|(_, id)| id).collect()
 }
 
--- a/lib/tests/test_gossip.rs
+++ b/lib/tests/test_gossip.rs
@@ -323,8 +323,8 @@
         }
     }
     bad.lanes.retain(|l| !l.rows.is_empty());
-    let refused = merge(&mut a, now, bad);
-    assert_eq!(refused.map_err(GossipError::code), Err(Code::LargeRow));
+    let rejected = merge(&mut a, now, bad);
+    assert_eq!(rejected.map_err(GossipError::code), Err(Code::LargeRow));
     assert_eq!(a.known().count(), 1);
 }
 
@@ -492,8 +492,8 @@
     assert_eq!(live, [10, 30]);
     let mut rng = fastrand::Rng::with_seed(7);
     let calls = (0..100).flat_map(|_| a.round(then, &mut rng));
-    let (silent, live): (Vec<_>, Vec<_>) = calls.partition(|call| call.to == b.me().address);
-    assert!(!silent.is_empty() && silent.len() < live.len());
+    let (unresponsive, live): (Vec<_>, Vec<_>) = calls.partition(|call| call.to == b.me().address);
+    assert!(!unresponsive.is_empty() && unresponsive.len() < live.len());
 }
 
 // A daemon writes rows with ever new names and removes each. If the tombstones
--- a/lib/testutils/src/platform/fleet.rs
+++ b/lib/testutils/src/platform/fleet.rs
@@ -7,7 +7,9 @@
 
 use std::time::{Duration, Instant};
 
-use poplarvale_lib::config::{Command, HEAD, Input, Keeper, PREFIX, Peer, Proposal, Pull, Verdict};
+use poplarvale_lib::config::{
+    Command, HEAD_KEY, Input, KEY_PREFIX, Keeper, Peer, Proposal, Pull, Verdict,
+};
 use poplarvale_lib::store::{Failure, Write};
 use poplarvale_lib::{Incarnation, Revision};
 
@@ -118,7 +120,7 @@
 
     /// Revision of the lists in the service.
     pub fn head(&self) -> Revision {
-        self.store.data.get(HEAD).map_or(0, |held| held.changed)
+        self.store.data.get(HEAD_KEY).map_or(0, |held| held.changed)
     }
 
     /// Whether the service's lists are in force everywhere.
@@ -222,7 +224,7 @@
             told.extend(self.rng.choice(&far).map(|d| d.peer.incarnation));
         }
         let peers = near.iter().chain(&far).map(|d| d.peer.clone()).collect();
-        let heard = Input::Heard {
+        let heard = Input::PeerRevision {
             peer: me.peer.incarnation,
             revision: me.keeper.accepted().revision,
             age: me.keeper.age(self.now),
@@ -240,7 +242,7 @@
             Command::Pull { peer, pull } => self.send(Mail::Pull(me, peer, pull)),
             Command::Adopt(_) => {}
             Command::Announce { peer, revision } => self.announce(at, peer, revision),
-            Command::Tell { edit, verdict } => self.told.push((edit.to_string(), verdict)),
+            Command::Reply { edit, verdict } => self.told.push((edit.to_string(), verdict)),
             call => self.send(Mail::Call(me, self.now, call)),
         }
     }
@@ -251,7 +253,7 @@
         if reached.is_some_and(|zone| self.joined(from.zone, zone)) {
             let peer = from.peer.incarnation;
             let age = None;
-            let heard = Input::Heard {
+            let heard = Input::PeerRevision {
                 peer,
                 revision,
                 age,
@@ -277,15 +279,15 @@
         let cut = self.cuts[self.daemons[at].zone].store;
         let lost = Err(Failure::Unknown);
         let input = match command {
-            Command::Glance if cut => Input::Glanced { sent, result: lost },
-            Command::Glance => {
-                let result = self.store.get(HEAD);
-                Input::Glanced { sent, result }
+            Command::ReadHead if cut => Input::HeadRead { sent, result: lost },
+            Command::ReadHead => {
+                let result = self.store.get(HEAD_KEY);
+                Input::HeadRead { sent, result }
             }
-            Command::Read if cut => Input::Read { sent, result: lost },
-            Command::Read => {
-                let result = self.store.range(PREFIX);
-                Input::Read { sent, result }
+            Command::ReadLists if cut => Input::ListsRead { sent, result: lost },
+            Command::ReadLists => {
+                let result = self.store.range(KEY_PREFIX);
+                Input::ListsRead { sent, result }
             }
             Command::Write { edit, write } => {
                 let result = if cut {
@@ -320,15 +322,15 @@
 
     fn watch(&mut self, at: usize, from: Revision) {
         self.daemons[at].watches = true;
-        let held = self.store.data.get(HEAD).cloned();
+        let held = self.store.data.get(HEAD_KEY).cloned();
         if let Some(held) = held.filter(|held| held.changed >= from) {
             let to = self.daemons[at].peer.incarnation;
-            self.send(Mail::Input(to, Input::Watched(held)));
+            self.send(Mail::Input(to, Input::HeadChanged(held)));
         }
     }
 
     fn tell_watches(&mut self) {
-        let Some(held) = self.store.data.get(HEAD).cloned() else {
+        let Some(held) = self.store.data.get(HEAD_KEY).cloned() else {
             return;
         };
         if self.store.faults.down {
@@ -344,7 +346,7 @@
             for _ in 0..times {
                 let most = if self.unruly { 2_000 } else { 10 };
                 let delay = Duration::from_millis(self.rng.u64(1..most));
-                let mail = Mail::Input(to, Input::Watched(held.clone()));
+                let mail = Mail::Input(to, Input::HeadChanged(held.clone()));
                 self.mail.push((self.now + delay, mail));
             }
         }
