--- a/daemon/src/core.rs
+++ b/daemon/src/core.rs
@@ -203,7 +203,7 @@
             service: ask.service,
             route: ask.route,
             model,
-            repeatable: ask.repeatable,
+            idempotent: ask.repeatable,
             blocks: ask.blocks,
             prompt: ask.prompt,
             answer: ask.answer,
@@ -258,7 +258,7 @@
                 return;
             };
             if job.answer.readers() == 0 && !job.answer.is_ended() {
-                core.take(Input::Left(id), ctx);
+                core.take(Input::CallerLeft(id), ctx);
             }
         });
     }
--- a/daemon/src/relay/state.rs
+++ b/daemon/src/relay/state.rs
@@ -23,10 +23,10 @@
 use poplarvale_lib::{CustomerId, Incarnation};
 use tokio::sync::Notify;
 
-use super::crash::Suspicion;
+use super::crash::CrashCheck;
 use super::era::Eras;
+use super::logging::Sampler;
 use super::metrics::Metrics;
-use super::trail::Sampler;
 use super::upstream::Upstreams;
 
 const MEGABYTE: u64 = 1024 * 1024;
@@ -42,7 +42,7 @@
     pub(crate) budget: RefCell<Budget>,
     pub(crate) crashes: RefCell<Crashes>,
     /// Endpoints whose process may have ended, until a new connection shows whether it has.
-    pub(crate) suspicions: RefCell<Vec<Suspicion>>,
+    pub(crate) suspicions: RefCell<Vec<CrashCheck>>,
     /// Notified when a request is quarantined.
     pub(crate) quarantined: Notify,
     pub(crate) demand: RefCell<Demand>,
--- a/lib/benches/load.rs
+++ b/lib/benches/load.rs
@@ -1,8 +1,8 @@
-//! Measures the decisions under load, each against the plain one on the same
-//! traces in the same run. Plain tables, as the figures are outcomes on virtual
-//! time; only the cost of a tick is taken from the clock.
+//! Compares the adaptive load policies with the plain ones on the same traces in the same
+//! run. It prints tables instead of using a benchmark harness, since the results are
+//! outcomes in virtual time; only the cost of ticks and claims is measured on the clock.
 //!
-//! `write` as argument writes the committed traces anew.
+//! With `write` as argument it regenerates the committed traces.
 
 #[path = "../tests/traces/driver.rs"]
 mod driver;
@@ -21,7 +21,7 @@
 use poplarvale_lib::{Command, CustomerId, Input, Outcome, World};
 use testutils::fake_endpoints::{Behaviour, Slow};
 
-/// Endpoints of 2,000 units a second, 200 for each piece at most.
+/// Endpoints that process 2,000 units per second, at most 200 per request.
 fn endpoints(count: usize) -> Vec<(String, Behaviour)> {
     let name = |n| (format!("e{n}"), Behaviour::sound(2_000.0, 200.0));
     (0..count).map(name).collect()
@@ -40,8 +40,8 @@
     }
 }
 
-/// Those answered before the last arrival; what is finished in the quiet after it
-/// would count as more than the endpoints can do.
+/// Requests that ended before the last arrival. Counting those that finish in the idle
+/// time after it would overstate the throughput of the endpoints.
 fn within(ended: &[Ended], seconds: f64) -> Vec<Ended> {
     let at = |e: &&Ended| e.arrival.at as f64 / 1e3 + e.after.as_secs_f64();
     ended.iter().filter(|e| at(e) <= seconds).cloned().collect()
@@ -70,14 +70,14 @@
     let failed = |e: &Ended| e.code().is_some();
     let at_once = |e: &Ended| failed(e) && e.after < Duration::from_millis(50);
     println!(
-        "  sendings {:.2}  failed at once {:4.1}% later {:4.1}%",
+        "  attempts {:.2}  failed at once {:4.1}% later {:4.1}%",
         f64::from(sends) / ended.len() as f64,
         100.0 * share(ended, at_once),
         100.0 * share(ended, |e| failed(e) && !at_once(e))
     );
 }
 
-/// Policies in the order in which the decisions were built.
+/// The plain policy, single adaptive decisions and all of them together.
 fn policies() -> Vec<(&'static str, Policy)> {
     let plain = Policy::plain();
     let admission = Policy {
@@ -128,8 +128,8 @@
     }
 }
 
-/// The same load through more and more daemons, which know of each other's
-/// requests only by how fast the endpoints are.
+/// The same load spread over more and more daemons, which notice each other's requests
+/// only by the speed of the endpoints.
 fn daemons() {
     for (count, places) in [(8, 10), (8, 2), (40, 2)] {
         for load in [1.0, 2.0, 5.0] {
@@ -149,25 +149,22 @@
     }
 }
 
-/// Callers that come back up to three times when they are told to.
-fn returns() {
+/// Callers that retry up to three times at the time given in the rejection.
+fn retries() {
     let traces = [
         ("burst", generate::burst(), 22),
         ("saturation 2x", generate::mixed(2.0, 60.0), 28),
     ];
     for (title, streams, seed) in traces {
         let trace = generate::trace(&streams, seed);
-        println!(
-            "{title}, callers come back when told ({} callers)",
-            trace.len()
-        );
+        println!("{title}, callers retry when told ({} callers)", trace.len());
         for (name, policy) in [("plain", Policy::plain()), ("all", Policy::default())] {
             let mut scene = scene(policy, Instant::now());
             scene.returns = 3;
             let ended = driver::replay(&scene, &trace);
             let last: Vec<Ended> = ended.iter().filter(|e| !e.back).cloned().collect();
             println!(
-                "  {name:<6} answered in time in the end {:5.1}%, arrivals a caller {:.2}",
+                "  {name:<6} finally answered in time {:5.1}%, arrivals per caller {:.2}",
                 100.0 * share(&last, Ended::good),
                 ended.len() as f64 / trace.len() as f64
             );
@@ -175,7 +172,7 @@
     }
 }
 
-/// Outcomes of single customers beside each other.
+/// Outcomes per customer, side by side.
 fn fairness(title: &str, trace: &[Arrival], customers: &[&str], change: impl Fn(&mut Scene)) {
     println!("{title} ({} arrivals)", trace.len());
     let origin = Instant::now();
@@ -197,7 +194,7 @@
     }
 }
 
-/// One of four endpoints runs at a tenth from the tenth to the thirtieth second.
+/// One of four endpoints runs at a tenth of its speed from the 10th to the 30th second.
 fn slow(scene: &mut Scene) {
     scene.endpoints = endpoints(4);
     scene.endpoints[0].1.slow = Some(Slow {
@@ -207,22 +204,22 @@
     });
 }
 
-/// Some of four endpoints break a share of what they run.
-fn breaking(scene: &mut Scene, count: usize, share: f64) {
+/// Some of four endpoints fail a share of their requests.
+fn failing(scene: &mut Scene, count: usize, share: f64) {
     scene.endpoints = endpoints(4);
     for (_, behaviour) in &mut scene.endpoints[..count] {
         behaviour.breaks = share;
     }
 }
 
-/// Cost of claiming anew, at the size of a large fleet.
+/// Cost of updating claims, up to the size of a large fleet.
 fn claims() {
-    println!("claiming anew for 20 busy customers, microseconds (median of 200)");
+    println!("updating the claims of 20 active customers, microseconds (median of 200)");
     for daemons in [8, 40, 400] {
         let origin = Instant::now();
-        let mut board = ShareTable::default();
+        let mut table = ShareTable::default();
         let customers: Vec<CustomerId> = (0..20).map(|n| format!("c{n}").into()).collect();
-        board.set_expected(daemons);
+        table.set_expected(daemons);
         for incarnation in 1..daemons as u64 {
             for customer in &customers {
                 let row = ShareRow {
@@ -231,15 +228,15 @@
                     demand: LIMIT.times(0.01),
                     claim: LIMIT.times(0.5 / daemons as f64),
                 };
-                board.apply_row(origin, row);
+                table.apply_row(origin, row);
             }
         }
         let mut times: Vec<f64> = (0..200)
             .map(|_| {
                 let begin = Instant::now();
                 for customer in &customers {
-                    board.record_request(origin, customer, 100.0);
-                    board.update_claim(origin, customer, LIMIT, 1.0);
+                    table.record_request(origin, customer, 100.0);
+                    table.update_claim(origin, customer, LIMIT, 1.0);
                 }
                 begin.elapsed().as_secs_f64() * 1e6
             })
@@ -249,7 +246,7 @@
     }
 }
 
-/// Endpoints that a daemon sends to when it measures the cost of a tick.
+/// Number of endpoints of the daemon whose tick is measured.
 const ENDPOINTS: usize = 230;
 const LIMIT: Amounts = Amounts {
     requests: 100.0,
@@ -257,10 +254,10 @@
     running: 40.0,
 };
 
-/// Eight daemons share 100 requests a second. What part of the 80 that are
-/// asked for is within the shares, against an even split, as demand is skewed.
+/// Eight daemons share a limit of 100 requests per second. Prints how much of a skewed demand
+/// of 80 requests per second fits into their shares, compared with an even split.
 fn shares() {
-    println!("shares of 100 requests/s among 8 daemons, 80/s asked for");
+    println!("shares of 100 requests/s among 8 daemons, 80/s demanded");
     for hot in [8, 4, 2, 1] {
         let mut fleet = Fleet::new(8, LIMIT, MAX_TRANSIT, 31);
         let ask = |at: usize| if at < hot { 80.0 / hot as f64 } else { 0.0 };
@@ -285,14 +282,14 @@
     while fleet.share(1).requests < 60.0 {
         fleet.round(&asks);
     }
-    let took = (fleet.now - begin).as_secs_f64();
-    println!("  demand moves to another daemon: 60/s there after {took:.1} s");
+    let elapsed = (fleet.now - begin).as_secs_f64();
+    println!("  demand moves to another daemon: 60/s there after {elapsed:.1} s");
 }
 
-/// Use above the limit, connected and while some daemons are cut off for a
-/// minute, against the whole plan at each daemon.
+/// Usage above the limit, while connected and while some daemons are partitioned for a minute,
+/// compared with the whole plan at each daemon.
 fn overshoot() {
-    println!("most that 8 daemons give out, in parts of the limit (whole plan at each: 8.00)");
+    println!("peak use of 8 daemons as a multiple of the limit (whole plan at each: 8.00)");
     for cut in [0, 1, 2, 3, 4] {
         let mut most = [0.0_f64; 3];
         let mut held = 0.0_f64;
@@ -319,13 +316,13 @@
         let bound = 1.0 + held / 100.0;
         let [before, during, after] = most;
         println!(
-            "  {cut} cut off: before {before:.2}, during {during:.2} (bound {bound:.2}), \
+            "  {cut} partitioned: before {before:.2}, during {during:.2} (bound {bound:.2}), \
              after {after:.2}"
         );
     }
 }
 
-/// A world with full endpoints and some requests waiting, of 50 customers.
+/// A world with endpoints at their limit and waiting requests of 50 customers.
 fn full(policy: Policy, origin: Instant, waiting: usize) -> (World, Vec<(u128, u128)>) {
     let scene = Scene {
         endpoints: endpoints(ENDPOINTS),
@@ -372,7 +369,7 @@
     times[times.len() / 2]
 }
 
-/// Cost of a tick with full endpoints and requests that wait.
+/// Cost of a tick with endpoints at their limit and waiting requests.
 fn cost() {
     println!("a tick with {ENDPOINTS} full endpoints, microseconds (median of 200)");
     for waiting in [100, 5_000] {
@@ -387,7 +384,7 @@
                 vec![Input::Ended {
                     attempt: *attempt,
                     request: *request,
-                    outcome: Outcome::Whole { status: 200 },
+                    outcome: Outcome::Complete { status: 200 },
                 }]
             });
             let end = tick(&mut world, now, ends);
@@ -401,10 +398,10 @@
 
 fn write() {
     for (name, trace) in generate::committed() {
-        let line = |a| serde_json::to_string(a).expect("an arrival is JSON") + "\n";
+        let line = |a| serde_json::to_string(a).expect("an arrival serializes to JSON") + "\n";
         let text: String = trace.iter().map(line).collect();
         let path = format!("{}/tests/traces/{name}.jsonl", env!("CARGO_MANIFEST_DIR"));
-        std::fs::write(path, text).expect("the folder of traces is there");
+        std::fs::write(path, text).expect("the directory of traces exists");
     }
 }
 
@@ -418,24 +415,39 @@
     let burst = generate::trace(&generate::burst(), 22);
     compare("burst", &burst, 30.0, |_| {});
     let long = generate::trace(&generate::long(), 23);
-    compare("long work among short", &long, 40.0, |_| {});
+    compare("long requests among short ones", &long, 40.0, |_| {});
     let mixed = generate::trace(&generate::mixed(1.4, 40.0), 25);
     compare("one of four endpoints slow", &mixed, 40.0, slow);
     let mixed = generate::trace(&generate::mixed(1.4, 40.0), 27);
-    compare("two of four endpoints break most", &mixed, 40.0, |scene| {
-        breaking(scene, 2, 0.8);
-    });
-    compare("all endpoints break half", &mixed, 40.0, |scene| {
-        breaking(scene, 4, 0.5);
-    });
+    compare(
+        "two of four endpoints fail most requests",
+        &mixed,
+        40.0,
+        |scene| {
+            failing(scene, 2, 0.8);
+        },
+    );
+    compare(
+        "all endpoints fail half of the requests",
+        &mixed,
+        40.0,
+        |scene| {
+            failing(scene, 4, 0.5);
+        },
+    );
     let mixed = generate::trace(&generate::mixed(1.5, 60.0), 28);
-    compare("endpoints break past 14 at once", &mixed, 60.0, |scene| {
-        for (_, behaviour) in &mut scene.endpoints {
-            behaviour.crowd = Some(14);
-        }
-    });
+    compare(
+        "endpoints fail above 14 concurrent requests",
+        &mixed,
+        60.0,
+        |scene| {
+            for (_, behaviour) in &mut scene.endpoints {
+                behaviour.crowd = Some(14);
+            }
+        },
+    );
     daemons();
-    returns();
+    retries();
     cost();
     claims();
     shares();
--- a/lib/src/config.rs
+++ b/lib/src/config.rs
@@ -27,7 +27,7 @@
 use compact_str::CompactString;
 
 use crate::ids::{Incarnation, Revision, ZoneId};
-use crate::lists::{Accepted, Lists, Mistake};
+use crate::lists::{Accepted, Lists, ValidationError};
 use crate::store::{Failure, Snapshot, StoredValue, Write, Written};
 
 pub use changes::{Changes, Difference, RevisionDelta};
@@ -75,7 +75,7 @@
         difference: Option<Difference>,
     },
     /// The lists failed validation.
-    Invalid(Vec<Mistake>),
+    Invalid(Vec<ValidationError>),
     /// The service could not be reached; the edit was certainly not accepted.
     NotDone,
     /// The outcome could not be read back from the service; the edit may have
--- a/lib/src/config/keeper/edits.rs
+++ b/lib/src/config/keeper/edits.rs
@@ -12,10 +12,10 @@
 
 impl Keeper {
     pub(super) fn start_edit(&mut self, now: Instant, proposal: Proposal) {
-        let mut mistakes = proposal.lists.check();
-        mistakes.extend(check_size(&proposal.lists));
-        if !mistakes.is_empty() {
-            let verdict = Verdict::Invalid(mistakes);
+        let mut errors = proposal.lists.check();
+        errors.extend(check_size(&proposal.lists));
+        if !errors.is_empty() {
+            let verdict = Verdict::Invalid(errors);
             let edit = proposal.id;
             self.commands.push(Command::Reply { edit, verdict });
             return;
--- a/lib/src/systems/route.rs
+++ b/lib/src/systems/dispatch.rs
@@ -4,13 +4,14 @@
 
 use crate::command::{Command, Send};
 use crate::ids::RequestId;
-use crate::request::{Request, Sending};
+use crate::request::{Attempt, Request};
 use crate::systems::{choose, queue};
 use crate::world::World;
 
-/// Sends what can be sent, in the order of the queue.
+/// Sends the requests that `queue` selects, in its order, each to the endpoint that `choose`
+/// selects.
 pub(crate) fn run(world: &mut World, now: Instant) {
-    for id in queue::order(world, now) {
+    for id in queue::next_requests(world, now) {
         send(world, now, id);
     }
 }
@@ -34,18 +35,18 @@
         address: row.address,
         delivered: waiting.delivered,
         cache_from: None,
-        fresh: !waiting.order.repeatable,
+        fresh: !waiting.order.idempotent,
         deadline: waiting.order.deadline,
     }));
     let prompt = waiting.order.prompt.saturating_add(waiting.delivered);
     world
         .routing
         .record_prompt(now, &waiting.order.blocks, &row.id, prompt);
-    let sending = Sending {
-        attempt,
+    let next = Attempt {
+        id: attempt,
         endpoint,
         version: row.version.clone(),
-        at: now,
+        sent: now,
     };
-    world.requests.insert(waiting.send(sending));
+    world.requests.insert(waiting.send(next));
 }
--- a/lib/tests/test_routing_leaving.rs
+++ b/lib/tests/test_routing_leaving.rs
@@ -10,8 +10,8 @@
     RouteLatencies, Stream, plan_migration,
 };
 use poplarvale_lib::{
-    Accepted, AttemptId, Code, Command, Customer, Ending, EndpointId, Input, Known, Lists, NotSent,
-    Order, Outcome, Plan, Ran, RequestId, Send, Setup, World,
+    Accepted, AttemptId, Code, Command, Customer, Ending, EndpointId, Input, ListedEndpoint, Lists,
+    NotSent, Order, Outcome, Plan, Ran, RequestId, Send, Setup, World,
 };
 use proptest::prelude::*;
 
@@ -22,7 +22,7 @@
 }
 
 fn known(at: usize, version: &str) -> Input {
-    Input::Endpoint(Known {
+    Input::Endpoint(ListedEndpoint {
         id: name(at),
         service: "pool".into(),
         zone: "z".into(),
@@ -81,7 +81,7 @@
         service: "pool".into(),
         route: "POST /bookings".into(),
         model: repeatable.then(|| "small".into()),
-        repeatable,
+        idempotent: repeatable,
         blocks: vec![1 << 60, 2 << 60, 3 << 60, 4 << 60],
         prompt: 256,
         answer: 300,
@@ -255,7 +255,7 @@
         let done = Input::Ended {
             attempt: sent[0].attempt,
             request: id,
-            outcome: Outcome::Whole { status: 200 },
+            outcome: Outcome::Complete { status: 200 },
         };
         world.tick(now, vec![done]);
     }
@@ -378,9 +378,9 @@
                     delivered: *delivered,
                 })
             }
-            Action::Whole(at) => self.end(at, Outcome::Whole { status: 200 }),
+            Action::Whole(at) => self.end(at, Outcome::Complete { status: 200 }),
             Action::Unsent(at) => self.end(at, Outcome::Unsent(NotSent)),
-            Action::Broken(at) => self.end(at, Outcome::Broken { code: Code::Broken }),
+            Action::Broken(at) => self.end(at, Outcome::Failed { code: Code::Broken }),
             Action::Leaving(at, seconds) => {
                 self.noticed.insert(name(at));
                 Some(leaving(&name(at), now + Duration::from_secs(seconds)))
@@ -480,7 +480,7 @@
             let inputs = match end {
                 Some(end) if !live.is_empty() => {
                     let done = live.swap_remove(end % live.len());
-                    let outcome = Outcome::Whole { status: 200 };
+                    let outcome = Outcome::Complete { status: 200 };
                     vec![Input::Ended { attempt: done.attempt, request: done.request, outcome }]
                 }
                 _ => vec![Input::Arrived(long(at as RequestId, now))],
