--- a/lib/src/config/edit.rs
+++ b/lib/src/config/edit.rs
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub(crate) struct Edit<S> {
     pub proposal: Proposal,
-    // When the edit is given up if the service can't be reached.
+    /// When the edit is given up if the service can't be reached.
     deadline: Instant,
     /// Whether one of its writes may have taken effect.
     maybe_written: bool,
--- a/lib/src/config/keeper.rs
+++ b/lib/src/config/keeper.rs
@@ -55,9 +55,9 @@
 /// A call to the service; only one runs at a time.
 #[derive(Debug, Default)]
 struct Call {
-    // When the next call is due.
+    /// When the next call is due.
     due: Option<Instant>,
-    // Timeout of the running call.
+    /// Timeout of the running call.
     running_until: Option<Instant>,
 }
 
@@ -94,19 +94,19 @@
     verified_at: Option<Instant>,
     /// Whether this daemon is one of the zone's watchers.
     is_watcher: bool,
-    // Whether a watch is open.
+    /// Whether a watch is open.
     watching: bool,
-    // When a broken watch may be opened again.
+    /// When a broken watch may be opened again.
     rewatch_at: Option<Instant>,
     head_call: Call,
     lists_call: Call,
     /// Highest revision that a peer reported, and that peer.
     newest_seen: (Revision, Incarnation),
-    // Timeout of the running pull.
+    /// Timeout of the running pull.
     pull_deadline: Option<Instant>,
     /// When a stale daemon next asks its peers.
     next_peer_query: Option<Instant>,
-    // When a stale daemon next asks the service.
+    /// When a stale daemon next asks the service.
     next_store_query: Option<Instant>,
     edits: Vec<AnyEdit>,
     rng: fastrand::Rng,
--- a/lib/tests/test_gossip_fleet.rs
+++ b/lib/tests/test_gossip_fleet.rs
@@ -73,7 +73,7 @@
     count: u64,
     rng: fastrand::Rng,
     highest: BTreeMap<(Incarnation, Incarnation, Key), u64>,
-    // Pairs of a replica and a departed daemon that it has removed.
+    /// Pairs of a replica and a departed daemon that it has removed.
     removed_daemons: BTreeSet<(Incarnation, Incarnation)>,
 }
 
