--- a/lib/testutils/src/platform/fleet.rs
+++ b/lib/testutils/src/platform/fleet.rs
@@ -7,7 +7,9 @@
 
 use std::time::{Duration, Instant};
 
-use poplarvale_lib::config::{Command, HEAD, Input, Keeper, PREFIX, Peer, Proposal, Pull, Verdict};
+use poplarvale_lib::config::{
+    Command, HEAD_KEY, Input, KEY_PREFIX, Keeper, Peer, Proposal, Pull, Verdict,
+};
 use poplarvale_lib::store::{Failure, Write};
 use poplarvale_lib::{Incarnation, Revision};
 
@@ -120,7 +122,10 @@
 
     /// Revision of the lists in the key-value service.
     pub fn head(&self) -> Revision {
-        self.store.data.get(HEAD).map_or(0, |stored| stored.changed)
+        self.store
+            .data
+            .get(HEAD_KEY)
+            .map_or(0, |stored| stored.changed)
     }
 
     /// Whether every daemon has applied the lists in the key-value service.
@@ -232,7 +237,7 @@
             .chain(&remote)
             .map(|d| d.peer.clone())
             .collect();
-        let report = Input::Heard {
+        let report = Input::PeerRevision {
             peer: me.peer.incarnation,
             revision: me.keeper.accepted().revision,
             age: me.keeper.age(self.now),
@@ -250,7 +255,7 @@
             Command::Pull { peer, pull } => self.send(Message::Pull(me, peer, pull)),
             Command::Adopt(_) => {}
             Command::Announce { peer, revision } => self.announce(at, peer, revision),
-            Command::Tell { edit, verdict } => self.verdicts.push((edit.to_string(), verdict)),
+            Command::Reply { edit, verdict } => self.verdicts.push((edit.to_string(), verdict)),
             call => self.send(Message::Call(me, self.now, call)),
         }
     }
@@ -261,7 +266,7 @@
         if reached.is_some_and(|zone| self.connected(from.zone, zone)) {
             let peer = from.peer.incarnation;
             let age = None;
-            let report = Input::Heard {
+            let report = Input::PeerRevision {
                 peer,
                 revision,
                 age,
@@ -287,15 +292,15 @@
         let cut = self.cuts[self.daemons[at].zone].store;
         let lost = Err(Failure::Unknown);
         let input = match command {
-            Command::Glance if cut => Input::Glanced { sent, result: lost },
-            Command::Glance => {
-                let result = self.store.get(HEAD);
-                Input::Glanced { sent, result }
+            Command::ReadHead if cut => Input::HeadRead { sent, result: lost },
+            Command::ReadHead => {
+                let result = self.store.get(HEAD_KEY);
+                Input::HeadRead { sent, result }
             }
-            Command::Read if cut => Input::Read { sent, result: lost },
-            Command::Read => {
-                let result = self.store.range(PREFIX);
-                Input::Read { sent, result }
+            Command::ReadLists if cut => Input::ListsRead { sent, result: lost },
+            Command::ReadLists => {
+                let result = self.store.range(KEY_PREFIX);
+                Input::ListsRead { sent, result }
             }
             Command::Write { edit, write } => {
                 let result = if cut {
@@ -332,15 +337,15 @@
 
     fn watch(&mut self, at: usize, from: Revision) {
         self.daemons[at].watches = true;
-        let stored = self.store.data.get(HEAD).cloned();
+        let stored = self.store.data.get(HEAD_KEY).cloned();
         if let Some(stored) = stored.filter(|stored| stored.changed >= from) {
             let to = self.daemons[at].peer.incarnation;
-            self.send(Message::Input(to, Input::Watched(stored)));
+            self.send(Message::Input(to, Input::HeadChanged(stored)));
         }
     }
 
     fn notify_watches(&mut self) {
-        let Some(stored) = self.store.data.get(HEAD).cloned() else {
+        let Some(stored) = self.store.data.get(HEAD_KEY).cloned() else {
             return;
         };
         if self.store.faults.down {
@@ -360,7 +365,7 @@
             for _ in 0..times {
                 let max_ms = if self.unreliable { 2_000 } else { 10 };
                 let delay = Duration::from_millis(self.rng.u64(1..max_ms));
-                let message = Message::Input(to, Input::Watched(stored.clone()));
+                let message = Message::Input(to, Input::HeadChanged(stored.clone()));
                 self.in_flight.push((self.now + delay, message));
             }
         }
