--- a/lib/tests/traces/driver.rs
+++ b/lib/tests/traces/driver.rs
@@ -1,7 +1,7 @@
-//! Replays a trace of arrivals through a world and fake endpoints, on virtual
-//! time. Shared by the tests and the bench.
+//! Replays a trace of arrivals through the deciding cores of some daemons and through fake
+//! endpoints, on virtual time. Shared by the tests and the benchmark.
 
-#![allow(dead_code, reason = "tests and bench each use a part")]
+#![allow(dead_code, reason = "the tests and the benchmark each use a part")]
 
 use std::time::{Duration, Instant};
 
@@ -18,27 +18,27 @@
 const TICK: Duration = Duration::from_millis(50);
 /// Incarnation of the world under test.
 pub const INCARNATION: u64 = 7;
-/// How long a replay goes on after the last arrival.
-const REST: Duration = Duration::from_secs(90);
+/// Time that a replay continues after the last arrival.
+const DRAIN_TIME: Duration = Duration::from_secs(90);
 
-/// One arrival of a trace, a line of JSON.
+/// One arrival of a trace; a line of JSON.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Arrival {
-    /// Milliseconds since the beginning.
+    /// Milliseconds since the start of the trace.
     pub at: u64,
     /// Customer; its plan has the same id.
     pub customer: String,
-    /// Kind of work, for the reports.
+    /// Class of work, for the reports.
     pub class: String,
-    /// Tokens of the prompt.
+    /// Prompt length in tokens.
     pub prompt: u32,
-    /// Tokens of the answer at most.
+    /// Maximum length of the answer in tokens.
     pub answer: u32,
-    /// Tokens that it takes in truth.
+    /// Tokens of prompt and answer that it really takes.
     pub takes: u32,
-    /// Milliseconds within which it must be answered.
+    /// Time within which it must be answered, in milliseconds.
     pub within: u64,
-    /// Whether it may be repeated.
+    /// Whether it is idempotent.
     pub repeatable: bool,
 }
 
@@ -50,24 +50,24 @@
         .collect()
 }
 
-/// What a trace is played against.
+/// Fleet and settings that a trace is replayed against.
 #[derive(Clone, Debug)]
 pub struct Scene {
     /// Endpoints of the one service.
     pub endpoints: Vec<(String, Behaviour)>,
-    /// How decisions are made.
+    /// Policy of load decisions.
     pub policy: Policy,
-    /// Priority of each customer that has one; others have 1.
+    /// Priorities of customers; the default is 1.
     pub priorities: Vec<(&'static str, u8)>,
-    /// How often a caller comes back when it is told to.
+    /// How often a caller retries when it is told to.
     pub returns: u32,
-    /// Daemons that the arrivals reach in turn; they share the endpoints.
+    /// Number of daemons; they receive the arrivals in turn and share the endpoints.
     pub daemons: usize,
-    /// Requests at one endpoint at most.
+    /// Maximum of concurrent requests at one endpoint.
     pub running: u32,
     /// Requests per second of each customer's plan.
     pub requests: f64,
-    /// Beginning of the virtual time.
+    /// Start of the virtual time.
     pub origin: Instant,
 }
 
@@ -76,18 +76,18 @@
 pub struct Ended {
     /// The arrival.
     pub arrival: Arrival,
-    /// Time since it arrived.
+    /// Time from its arrival to its end.
     pub after: Duration,
-    /// How.
+    /// Its ending.
     pub ending: Ending,
-    /// How often it was sent.
+    /// Number of attempts sent to endpoints.
     pub sends: u32,
-    /// Whether its caller came back, so that this was not the last word.
+    /// Whether its caller retries, so that this ending is not final.
     pub back: bool,
 }
 
 impl Ended {
-    /// Whether the whole answer came in time.
+    /// Whether the complete answer arrived in time.
     pub fn good(&self) -> bool {
         let whole = matches!(self.ending, Ending::Complete { status: 200 });
         whole && self.after <= Duration::from_millis(self.arrival.within)
@@ -101,14 +101,14 @@
         }
     }
 
-    /// Whether the caller was told that it did not run.
+    /// Whether the caller was told that the request did not run.
     pub fn not_run(&self) -> bool {
         matches!(self.ending, Ending::Failed { ran: Ran::No, .. })
     }
 }
 
-/// A world with one model service, `chat`, and a plan for each customer that
-/// leaves all limits open.
+/// A core with one model service, `chat`, and for each customer a plan whose limits on
+/// tokens and concurrent requests are never reached.
 pub fn world(scene: &Scene, customers: &[String]) -> World {
     let setup = Setup {
         incarnation: INCARNATION,
@@ -128,8 +128,8 @@
     };
     let mut world = World::new(setup, vec![service], 1);
     world.load.policy = scene.policy;
-    // These traces measure the decisions under load, so both sides choose
-    // endpoints in the same plain way.
+    // These traces measure the decisions under load, so both compared policies choose
+    // the least loaded endpoint.
     world.routing.policy = routing::Policy::LeastLoaded;
     let mut inputs = vec![Input::Lists(lists(scene, customers))];
     for (at, (name, _)) in scene.endpoints.iter().enumerate() {
@@ -173,7 +173,7 @@
     }
 }
 
-/// The order that an arrival becomes.
+/// The order of an arrival.
 pub fn order(origin: Instant, number: usize, arrival: &Arrival) -> Order {
     let arrived = origin + Duration::from_millis(arrival.at);
     Order {
@@ -191,40 +191,43 @@
     }
 }
 
-fn one(scene: &Scene, customers: &[String], at: usize) -> World {
+fn daemon_world(scene: &Scene, customers: &[String], at: usize) -> World {
     let mut world = world(scene, customers);
     world.setup.incarnation += at as u64;
     world
 }
 
+/// State of a replay. Arrivals, retries included, are numbered by their index in `trace`.
 struct Replay {
     worlds: Vec<World>,
     fake: FakeEndpoints,
     trace: Vec<Arrival>,
-    returns: Vec<u32>,
-    back: Vec<(u64, usize)>,
+    retries_left: Vec<u32>,
+    /// Time in milliseconds and number of each retried arrival.
+    retries: Vec<(u64, usize)>,
     origin: Instant,
-    sendings: Vec<(u128, u128)>,
-    sends: Vec<u32>,
+    /// Running attempts with their requests.
+    attempts: Vec<(u128, u128)>,
+    attempt_counts: Vec<u32>,
     ended: Vec<Ended>,
 }
 
-/// Plays a trace; every arrival ends once, or the replay panics.
+/// Replays a trace; panics if an arrival does not end exactly once.
 pub fn replay(scene: &Scene, trace: &[Arrival]) -> Vec<Ended> {
     let mut customers: Vec<String> = trace.iter().map(|a| a.customer.clone()).collect();
     customers.sort();
     customers.dedup();
     let mut replay = Replay {
         worlds: (0..scene.daemons)
-            .map(|at| one(scene, &customers, at))
+            .map(|at| daemon_world(scene, &customers, at))
             .collect(),
         fake: FakeEndpoints::new(scene.endpoints.clone(), scene.origin, 2),
         trace: trace.to_vec(),
-        returns: vec![scene.returns; trace.len()],
-        back: Vec::new(),
+        retries_left: vec![scene.returns; trace.len()],
+        retries: Vec::new(),
         origin: scene.origin,
-        sendings: Vec::new(),
-        sends: vec![0; trace.len()],
+        attempts: Vec::new(),
+        attempt_counts: vec![0; trace.len()],
         ended: Vec::new(),
     };
     replay.run();
@@ -240,7 +243,7 @@
         let daemons = self.worlds.len();
         let mut now = self.origin;
         let last = self.trace.last().map_or(0, |a| a.at);
-        let end = self.origin + Duration::from_millis(last) + REST;
+        let end = self.origin + Duration::from_millis(last) + DRAIN_TIME;
         while now < end {
             let mut inputs: Vec<Vec<Input>> = vec![Vec::new(); self.worlds.len()];
             for (at, input) in self.outcomes(now) {
@@ -251,12 +254,12 @@
                 inputs[next % daemons].push(Input::Arrived(order));
                 next += 1;
             }
-            for (number, order) in self.returned(now) {
+            for (number, order) in self.due_retries(now) {
                 inputs[number % daemons].push(Input::Arrived(order));
             }
             for (at, inputs) in inputs.into_iter().enumerate() {
                 let commands = self.worlds[at].tick(now, inputs);
-                self.obey(now, commands);
+                self.execute(now, commands);
             }
             let arrival = (next < count).then(|| self.arrives(next));
             let events = arrival.into_iter().chain(self.fake.next());
@@ -264,22 +267,22 @@
         }
     }
 
-    /// Callers that come back now.
-    fn returned(&mut self, now: Instant) -> Vec<(usize, Order)> {
+    /// Retries that are due now, as new arrivals.
+    fn due_retries(&mut self, now: Instant) -> Vec<(usize, Order)> {
         let ms = now.saturating_duration_since(self.origin).as_millis() as u64;
-        let due = self.back.iter().filter(|(at, _)| *at <= ms).copied();
+        let due = self.retries.iter().filter(|(at, _)| *at <= ms).copied();
         let due: Vec<(u64, usize)> = due.collect();
-        self.back.retain(|(at, _)| *at > ms);
+        self.retries.retain(|(at, _)| *at > ms);
         let origin = self.origin;
         let orders = due.into_iter().map(|(_, number)| {
             let mut arrival = self.trace[number].clone();
             arrival.at = ms;
-            let returns = self.returns[number] - 1;
+            let retries_left = self.retries_left[number] - 1;
             let number = self.trace.len();
             let order = order(origin, number, &arrival);
             self.trace.push(arrival);
-            self.returns.push(returns);
-            self.sends.push(0);
+            self.retries_left.push(retries_left);
+            self.attempt_counts.push(0);
             (number, order)
         });
         orders.collect()
@@ -289,15 +292,15 @@
         self.origin + Duration::from_millis(self.trace[number].at)
     }
 
-    /// Outcomes with the daemon that each is for.
+    /// Outcomes of attempts, each with the index of its daemon.
     fn outcomes(&mut self, now: Instant) -> Vec<(usize, Input)> {
         let done = self.fake.take(now);
         done.into_iter().filter_map(|d| self.outcome(&d)).collect()
     }
 
     fn outcome(&mut self, done: &Done) -> Option<(usize, Input)> {
-        let at = self.sendings.iter().position(|(id, _)| *id == done.id)?;
-        let (attempt, request) = self.sendings.swap_remove(at);
+        let at = self.attempts.iter().position(|(id, _)| *id == done.id)?;
+        let (attempt, request) = self.attempts.swap_remove(at);
         let outcome = match done.result {
             JobResult::Complete => Outcome::Complete { status: 200 },
             JobResult::Failed => Outcome::Failed { code: Code::Broken },
@@ -312,16 +315,16 @@
         Some((daemon, input))
     }
 
-    fn obey(&mut self, now: Instant, commands: Vec<Command>) {
+    fn execute(&mut self, now: Instant, commands: Vec<Command>) {
         for command in commands {
             if let Command::Send(send) = command {
                 let number = send.request as u64 as usize;
-                self.sends[number] += 1;
-                self.sendings.push((send.attempt, send.request));
+                self.attempt_counts[number] += 1;
+                self.attempts.push((send.attempt, send.request));
                 let takes = f64::from(self.trace[number].takes);
                 self.fake.send(now, &send.endpoint, send.attempt, takes);
             } else if let Command::Cancel(attempt) = command {
-                self.sendings.retain(|(id, _)| *id != attempt);
+                self.attempts.retain(|(id, _)| *id != attempt);
                 self.fake.cancel(now, attempt);
             } else if let Command::Finish { request, ending } = command {
                 self.finish(now, request, ending);
@@ -331,41 +334,41 @@
 
     fn finish(&mut self, now: Instant, request: u128, ending: Ending) {
         let number = request as u64 as usize;
-        let again = match &ending {
+        let retry_at = match &ending {
             Ending::Failed {
                 ran: Ran::No,
-                retry_at: again,
+                retry_at,
                 ..
-            } => again.filter(|_| self.returns[number] > 0),
+            } => retry_at.filter(|_| self.retries_left[number] > 0),
             _ => None,
         };
-        if let Some(again) = again {
-            let wait = again.max(now).saturating_duration_since(self.origin);
-            self.back.push((wait.as_millis() as u64 + 1, number));
+        if let Some(retry_at) = retry_at {
+            let wait = retry_at.max(now).saturating_duration_since(self.origin);
+            self.retries.push((wait.as_millis() as u64 + 1, number));
         }
         self.ended.push(Ended {
             arrival: self.trace[number].clone(),
             after: now.saturating_duration_since(self.arrives(number)),
             ending,
-            sends: self.sends[number],
-            back: again.is_some(),
+            sends: self.attempt_counts[number],
+            back: retry_at.is_some(),
         });
     }
 }
 
-/// Share of the endings for which something holds.
+/// Fraction of the endings for which a predicate holds.
 pub fn share(ended: &[Ended], holds: impl Fn(&Ended) -> bool) -> f64 {
     let count = ended.iter().filter(|e| holds(e)).count();
     count as f64 / ended.len().max(1) as f64
 }
 
-/// Those of one class or customer.
+/// Endings of one class or customer.
 pub fn of(ended: &[Ended], name: &str) -> Vec<Ended> {
     let one = |e: &&Ended| e.arrival.class == name || e.arrival.customer == name;
     ended.iter().filter(one).cloned().collect()
 }
 
-/// Quantile of the time to the answer, in seconds, of those answered in full.
+/// Quantile of the time to the answer, in seconds, over those answered in full and in time.
 pub fn quantile(ended: &[Ended], at: f64) -> f64 {
     let whole = ended.iter().filter(|e| e.good());
     let mut times: Vec<f64> = whole.map(|e| e.after.as_secs_f64()).collect();
--- a/lib/tests/traces/generate.rs
+++ b/lib/tests/traces/generate.rs
@@ -1,38 +1,38 @@
-//! Makes the traces from a seed. The committed ones are its output, which a
-//! test checks; the bench makes longer ones.
+//! Generates traces from a seed. The committed traces are its output, which a
+//! test checks; the benchmark generates longer ones.
 
-#![allow(dead_code, reason = "tests and bench each use a part")]
+#![allow(dead_code, reason = "the tests and the benchmark each use a part")]
 
 use super::driver::Arrival;
 
-/// Kind of work in a trace.
+/// Class of work in a trace.
 #[derive(Clone, Copy, Debug)]
 pub struct Class {
     /// Name.
     pub name: &'static str,
-    /// Tokens of the prompt in the mean.
+    /// Mean prompt length in tokens.
     pub prompt: f64,
-    /// Tokens of the answer in the mean.
+    /// Mean answer length in tokens.
     pub answer: f64,
-    /// Milliseconds within which it must be answered.
+    /// Time within which it must be answered, in milliseconds.
     pub within: u64,
 }
 
-/// Tags of messages: short.
+/// Tags for messages: short requests.
 pub const TAG: Class = Class {
     name: "tag",
     prompt: 150.0,
     answer: 20.0,
     within: 3_000,
 };
-/// Chats with guests.
+/// Chats with guests: medium requests.
 pub const CHAT: Class = Class {
     name: "chat",
     prompt: 300.0,
     answer: 200.0,
     within: 8_000,
 };
-/// Season plans: long.
+/// Season plans: long requests.
 pub const PLAN: Class = Class {
     name: "plan",
     prompt: 2_500.0,
@@ -45,22 +45,22 @@
 pub struct Stream {
     /// Customer.
     pub customer: &'static str,
-    /// Kind of work.
+    /// Class of work.
     pub class: Class,
     /// Arrivals per second.
     pub rate: f64,
-    /// Beginning and end in seconds.
+    /// Start and end in seconds.
     pub span: (f64, f64),
 }
 
-/// Arrivals of all streams in order of time: gaps and lengths are exponential.
+/// Arrivals of all streams in order of time, with exponentially distributed gaps and lengths.
 pub fn trace(streams: &[Stream], seed: u64) -> Vec<Arrival> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut all = Vec::new();
     for stream in streams {
         let mut at = stream.span.0;
         loop {
-            at += draw(&mut rng) / stream.rate;
+            at += exponential(&mut rng) / stream.rate;
             if at >= stream.span.1 {
                 break;
             }
@@ -71,14 +71,14 @@
     all
 }
 
-fn draw(rng: &mut fastrand::Rng) -> f64 {
+fn exponential(rng: &mut fastrand::Rng) -> f64 {
     -(1.0 - rng.f64()).ln()
 }
 
 fn arrival(rng: &mut fastrand::Rng, stream: &Stream, at: f64) -> Arrival {
     let class = stream.class;
-    let prompt = (class.prompt * (0.5 + draw(rng).min(3.0) / 2.0)) as u32;
-    let answer = (class.answer * (0.5 + draw(rng).min(3.0) / 2.0)) as u32;
+    let prompt = (class.prompt * (0.5 + exponential(rng).min(3.0) / 2.0)) as u32;
+    let answer = (class.answer * (0.5 + exponential(rng).min(3.0) / 2.0)) as u32;
     let part = 0.6 + 0.4 * rng.f64();
     Arrival {
         at: (at * 1e3) as u64,
@@ -92,7 +92,7 @@
     }
 }
 
-/// Streams of many customers that together ask `load` times 4,000 units a
+/// Streams of three customers that together demand `load` times 4,000 units per
 /// second, a third of the work each in tags, chats and plans.
 pub fn mixed(load: f64, seconds: f64) -> Vec<Stream> {
     let stream = |customer, class: Class| {
@@ -111,14 +111,14 @@
     ]
 }
 
-/// As [`mixed`] without plans, whose long deadlines a short trace never meets.
+/// As [`mixed`] without plans, whose long deadlines a short trace never reaches.
 pub fn short(load: f64, seconds: f64) -> Vec<Stream> {
     let streams = mixed(load * 1.5, seconds);
     let short = streams.into_iter().filter(|s| s.class.name != PLAN.name);
     short.collect()
 }
 
-/// A tenfold burst of chats for five seconds over a light load.
+/// A tenfold burst of chats for five seconds on top of a light load.
 pub fn burst() -> Vec<Stream> {
     let mut streams = mixed(0.4, 30.0);
     streams.push(Stream {
@@ -130,7 +130,7 @@
     streams
 }
 
-/// One customer floods with chats; another asks little of the same.
+/// One customer sends chats at a high rate, another at a low rate.
 pub fn flood() -> Vec<Stream> {
     let chats = |customer, rate| Stream {
         customer,
@@ -141,7 +141,7 @@
     vec![chats("flood", 25.0), chats("quiet", 1.0)]
 }
 
-/// Long work with short among it, near saturation.
+/// Long requests mixed with short ones, near saturation.
 pub fn long() -> Vec<Stream> {
     vec![
         Stream {
@@ -159,7 +159,7 @@
     ]
 }
 
-/// The committed traces by name, with the seeds they come from.
+/// The committed traces by name, generated from their seeds.
 pub fn committed() -> Vec<(&'static str, Vec<Arrival>)> {
     vec![
         ("burst", trace(&burst(), 11)),
