--- a/daemon/tests/soak.rs
+++ b/daemon/tests/soak.rs
@@ -1,9 +1,10 @@
-//! A fleet of real daemons under random faults, and what callers and endpoints see.
+//! Soak test: a fleet of real daemons under random faults, checked from the view of callers
+//! and endpoints.
 //!
-//! The daemons are processes of their own on addresses of loopback. Faults come from
-//! outside of them: signals, and proxies in front of the store and the endpoints.
-//! Everything random comes from the seed, but the machine's timing does not, so a
-//! seed that failed once may pass again; it is kept all the same.
+//! The daemons are separate processes on loopback addresses. Faults are injected from
+//! outside: by signals, and by proxies in front of the store and the endpoints.
+//! All random choices come from the seed, but the timing of the machine does not, so a
+//! seed that failed once may pass in the next run; it is kept as a regression test anyway.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -27,36 +28,36 @@
 const DAEMONS: usize = 3;
 const ENDPOINTS: usize = 4;
 const CALLERS: usize = 8;
-/// Events of a stream.
+/// Number of events in a stream.
 const EVENTS: u64 = 6;
-/// Time from SIGTERM to SIGKILL, in seconds.
-const GRACE: u64 = 6;
-/// How long a caller waits; as long as its requests allow.
-const PATIENCE: Duration = Duration::from_secs(3);
-/// How long after the last fault everything must be well again: leases, missing
-/// entries and endpoints left out by evidence are back within a few seconds.
+/// Grace period from SIGTERM to SIGKILL in seconds.
+const GRACE_S: u64 = 6;
+/// Timeout of a caller; equals the deadline of its requests.
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time after the last fault within which the fleet must have recovered: leases, missing
+/// entries and endpoints excluded by the circuit breaker return within a few seconds.
 const RECOVERY: Duration = Duration::from_secs(8);
 
-/// What became of the requests of one run.
+/// Results of the requests of one run.
 #[derive(Debug, Default)]
 pub(crate) struct Report {
     pub(crate) answered: usize,
     pub(crate) refused: usize,
     pub(crate) failed: usize,
-    /// Promises that were broken, in words.
-    pub(crate) broken: Vec<String>,
+    /// Descriptions of the violated guarantees.
+    pub(crate) violations: Vec<String>,
 }
 
-/// A request and how its caller saw it end.
+/// A request and its result as its caller saw it.
 #[derive(Debug)]
 struct Sent {
     id: String,
-    once: bool,
-    /// Whether the caller was told that it did not and will not run.
-    promised: bool,
+    non_idempotent: bool,
+    /// Whether the caller was told that it did not run and will not run.
+    told_not_run: bool,
 }
 
-/// What all tasks of a run share.
+/// State that all tasks of a run share.
 struct Soak {
     store: Store,
     cloud: Cloud,
@@ -67,10 +68,10 @@
     sent: RefCell<Vec<Sent>>,
     report: RefCell<Report>,
     work: Work,
-    /// Whether answers that break off count, as nothing but planned work goes on.
-    calm: Cell<bool>,
-    over: Cell<bool>,
-    numbers: Cell<u64>,
+    /// Whether an incomplete answer is a violation, since no faults but planned restarts occur.
+    no_faults: Cell<bool>,
+    stopped: Cell<bool>,
+    last_number: Cell<u64>,
 }
 
 struct Daemon {
@@ -82,7 +83,7 @@
 }
 
 impl Daemon {
-    fn start_again(&mut self) {
+    fn restart(&mut self) {
         self.process = start(&self.settings, &self.log);
     }
 }
@@ -91,43 +92,43 @@
     Process::start_logged(Path::new(DAEMON), (SETTINGS_VARIABLE, settings), log)
 }
 
-/// What the endpoints share.
+/// State that the endpoints share.
 #[derive(Clone, Default)]
 struct Work {
     /// How often each request ran.
     runs: Rc<RefCell<BTreeMap<String, usize>>>,
-    /// Whether they answer as they should, whatever the seed says.
-    sound: Rc<Cell<bool>>,
+    /// Whether they answer without faults.
+    faultless: Rc<Cell<bool>>,
 }
 
-/// An endpoint that misbehaves on some requests, by their ids.
+/// An endpoint that fails on some requests, chosen by their ids.
 async fn endpoint(number: usize, work: Work) -> Endpoint {
     Endpoint::start(&format!("i-{number}"), move |seen| {
-        let chance = if work.sound.get() {
+        let roll = if work.faultless.get() {
             99
         } else {
-            chance(&seen.id(), number)
+            roll(&seen.id(), number)
         };
         let streams = ["/resume/", "/stream/"];
         let is_stream = streams
             .iter()
             .any(|prefix| seen.target().starts_with(prefix));
-        if !is_stream && chance < 4 {
+        if !is_stream && roll < 4 {
             return vec![refusal(seen)];
         }
         *work.runs.borrow_mut().entry(seen.id()).or_default() += 1;
-        match chance {
-            _ if is_stream => events(seen, chance),
+        match roll {
+            _ if is_stream => events(seen, roll),
             4..6 => vec![Step::Close],
             6..8 => vec![plain(seen, 500, "failed")],
             8..10 => vec![answer(seen), plain(seen, 200, "a second answer")],
-            _ => vec![Step::Wait(Duration::from_millis(chance % 20)), answer(seen)],
+            _ => vec![Step::Wait(Duration::from_millis(roll % 20)), answer(seen)],
         }
     })
     .await
 }
 
-fn chance(id: &str, number: usize) -> u64 {
+fn roll(id: &str, number: usize) -> u64 {
     let sum = id.bytes().fold(number as u64, |sum, byte| {
         sum.wrapping_mul(131).wrapping_add(u64::from(byte))
     });
@@ -138,11 +139,11 @@
     plain(seen, 200, &format!("answer to {}", seen.id()))
 }
 
-fn events(seen: &Seen, chance: u64) -> Vec<Step> {
+fn events(seen: &Seen, roll: u64) -> Vec<Step> {
     let first = seen.after().parse::<u64>().map_or(0, |last| last + 1);
     let mut steps = vec![stream(seen)];
     for number in first..EVENTS {
-        if chance < 5 && number == first + 2 {
+        if roll < 5 && number == first + 2 {
             steps.push(Step::Close);
             return steps;
         }
@@ -153,10 +154,13 @@
     steps
 }
 
-/// A port that is free on loopback now.
+/// A loopback port that is free now.
 pub(crate) fn free_port() -> u16 {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    listener.local_addr().expect("it listens").port()
+    listener
+        .local_addr()
+        .expect("the listener has an address")
+        .port()
 }
 
 impl Soak {
@@ -193,14 +197,14 @@
             work,
             sent: RefCell::default(),
             report: RefCell::default(),
-            calm: Cell::new(false),
-            over: Cell::new(false),
-            numbers: Cell::new(0),
+            no_faults: Cell::new(false),
+            stopped: Cell::new(false),
+            last_number: Cell::new(0),
         }
     }
 
-    fn broken(&self, what: String) {
-        self.report.borrow_mut().broken.push(what);
+    fn violation(&self, what: String) {
+        self.report.borrow_mut().violations.push(what);
     }
 
     async fn until_ready(&self) {
@@ -216,7 +220,7 @@
     entry.replace(&endpoint.address.to_string(), &proxy.address.to_string())
 }
 
-/// Each daemon has an address of loopback of its own, as ports are the same on all.
+/// Starts a daemon. Each has its own loopback address, as all use the same ports.
 fn daemon(folder: &Folder, number: usize, text: &str, ports: [u16; 4]) -> Daemon {
     let ip = |number: usize| format!("127.0.0.{}", number + 10);
     let me = ip(number);
@@ -241,7 +245,7 @@
             "\"seeds\":[]",
             &format!("\"seeds\":[\"{}:{status}\"]", ip(0)),
         )
-        .replace("\"graceS\":3", &format!("\"graceS\":{GRACE}"));
+        .replace("\"graceS\":3", &format!("\"graceS\":{GRACE_S}"));
     let settings = folder.write(&format!("settings-{number}.json"), &text);
     let log = folder.path().join(format!("daemon-{number}.log"));
     Daemon {
@@ -253,7 +257,7 @@
     }
 }
 
-/// Seeds to play: those of a range such as `100..150` in the environment, or the kept ones.
+/// Seeds to run: the range in the environment variable, such as `100..150`, or the kept ones.
 pub(crate) fn seeds(variable: &str, kept: &[u64]) -> Vec<u64> {
     let Ok(range) = std::env::var(variable) else {
         return kept.to_vec();
@@ -264,9 +268,9 @@
     (number(first)..number(end)).collect()
 }
 
-/// Plays one seed: faults for `time`, then a quiet end in which every daemon is
-/// stopped and started in turn.
-pub(crate) async fn play(seed: u64, time: Duration) -> Report {
+/// Runs one seed: random faults for `time`, then a period without faults in which every
+/// daemon is restarted in turn.
+pub(crate) async fn run_seed(seed: u64, time: Duration) -> Report {
     let folder = Folder::new();
     let soak = Rc::new(Soak::start(&folder).await);
     soak.until_ready().await;
@@ -276,69 +280,69 @@
         let random = random.fork();
         tasks.push(actix_web::rt::spawn(call(Rc::clone(&soak), random)));
     }
-    trouble(&soak, &mut random, time).await;
-    heal(&soak);
-    until_well(&soak).await;
-    soak.calm.set(true);
+    inject_faults(&soak, &mut random, time).await;
+    end_faults(&soak);
+    until_recovered(&soak).await;
+    soak.no_faults.set(true);
     stop_in_turn(&soak).await;
     stop_overlapping(&soak).await;
-    soak.over.set(true);
+    soak.stopped.set(true);
     for task in tasks {
-        task.await.expect("a caller ends in order");
+        task.await.expect("the caller task does not panic");
     }
     check_runs(&soak);
     check_reports(&soak);
     let report = std::mem::take(&mut *soak.report.borrow_mut());
-    if !report.broken.is_empty() {
+    if !report.violations.is_empty() {
         for daemon in &soak.daemons {
             let log = std::fs::read_to_string(&daemon.borrow().log);
-            println!("{}", log.expect("the daemon logged"));
+            println!("{}", log.expect("the daemon's log can be read"));
         }
     }
     report
 }
 
-/// One fault after the other, each over a while later, so that they overlap.
-async fn trouble(soak: &Rc<Soak>, random: &mut Rng, time: Duration) {
+/// Injects one fault after the other. Each ends some time later, so that faults overlap.
+async fn inject_faults(soak: &Rc<Soak>, random: &mut Rng, time: Duration) {
     let end = Instant::now() + time;
     let mut version = 1;
     while Instant::now() < end {
-        let lasts = Duration::from_millis(random.u64(200..1500));
+        let duration = Duration::from_millis(random.u64(200..1500));
         let daemon = random.usize(..DAEMONS);
         let endpoint = random.usize(..ENDPOINTS);
         match random.u32(..15) {
             0 => soak.daemons[daemon].borrow_mut().process.kill(),
-            1 => pause(soak, daemon, lasts),
+            1 => pause_daemon(soak, daemon, duration),
             2 => soak.daemons[daemon].borrow().process.signal("TERM"),
             3 => signal_if_alive(soak, daemon, "HUP"),
-            4 => spoil(&soak.proxies[endpoint], Fault::Silent, lasts),
-            5 => spoil(&soak.proxies[endpoint], Fault::OneWay, lasts),
-            6 => spoil(&soak.proxies[endpoint], Fault::Reset, lasts),
-            7 => spoil(&soak.store_proxy, Fault::Silent, lasts),
-            8 => spoil(&soak.store_proxy, Fault::Delay(lasts / 4), lasts),
-            9 => misbehave(soak, random, lasts),
+            4 => set_proxy_fault(&soak.proxies[endpoint], Fault::Silent, duration),
+            5 => set_proxy_fault(&soak.proxies[endpoint], Fault::OneWay, duration),
+            6 => set_proxy_fault(&soak.proxies[endpoint], Fault::Reset, duration),
+            7 => set_proxy_fault(&soak.store_proxy, Fault::Silent, duration),
+            8 => set_proxy_fault(&soak.store_proxy, Fault::Delay(duration / 4), duration),
+            9 => set_store_fault(soak, random, duration),
             10 => {
                 version += random.u64(1..4);
                 soak.store
                     .put("op/config", config(version, &ROUTES, 0).as_bytes());
             }
-            11 => leave(soak, endpoint, lasts),
-            12 => end_all(soak),
-            13 => end_twice(soak, daemon, lasts),
-            _ => end_by_force(soak, daemon),
+            11 => drain_endpoint(soak, endpoint, duration),
+            12 => terminate_all(soak),
+            13 => terminate_twice(soak, daemon, duration),
+            _ => terminate_then_kill(soak, daemon),
         }
         let pause = Duration::from_millis(random.u64(50..400));
         tokio::time::sleep(pause).await;
-        start_ended(soak);
+        restart_exited(soak);
     }
 }
 
-/// What the platform does: a process that ended is started again.
-fn start_ended(soak: &Soak) {
+/// Restarts the processes that have exited, as the platform does.
+fn restart_exited(soak: &Soak) {
     for daemon in &soak.daemons {
         let mut daemon = daemon.borrow_mut();
         if daemon.process.has_ended() {
-            daemon.start_again();
+            daemon.restart();
         }
     }
 }
@@ -350,57 +354,57 @@
     }
 }
 
-fn pause(soak: &Rc<Soak>, daemon: usize, lasts: Duration) {
+fn pause_daemon(soak: &Rc<Soak>, daemon: usize, duration: Duration) {
     signal_if_alive(soak, daemon, "STOP");
     let soak = Rc::clone(soak);
     actix_web::rt::spawn(async move {
-        tokio::time::sleep(lasts).await;
+        tokio::time::sleep(duration).await;
         signal_if_alive(&soak, daemon, "CONT");
     });
 }
 
-/// All daemons are told to end at once.
-fn end_all(soak: &Soak) {
+/// Sends SIGTERM to all daemons at the same time.
+fn terminate_all(soak: &Soak) {
     for daemon in 0..DAEMONS {
         signal_if_alive(soak, daemon, "TERM");
     }
 }
 
-/// A daemon is told to end a second time while it ends.
-fn end_twice(soak: &Rc<Soak>, daemon: usize, lasts: Duration) {
+/// Sends SIGTERM to a daemon, and again during its shutdown.
+fn terminate_twice(soak: &Rc<Soak>, daemon: usize, duration: Duration) {
     signal_if_alive(soak, daemon, "TERM");
     let soak = Rc::clone(soak);
     actix_web::rt::spawn(async move {
-        tokio::time::sleep(lasts).await;
+        tokio::time::sleep(duration).await;
         signal_if_alive(&soak, daemon, "TERM");
     });
 }
 
-/// A daemon is told to end, and killed if it still runs when its grace is over.
-fn end_by_force(soak: &Rc<Soak>, daemon: usize) {
-    let told = soak.daemons[daemon].borrow().process.id();
+/// Sends SIGTERM to a daemon, and kills it if it still runs after the grace period.
+fn terminate_then_kill(soak: &Rc<Soak>, daemon: usize) {
+    let pid = soak.daemons[daemon].borrow().process.id();
     signal_if_alive(soak, daemon, "TERM");
     let soak = Rc::clone(soak);
     actix_web::rt::spawn(async move {
-        tokio::time::sleep(Duration::from_secs(GRACE)).await;
+        tokio::time::sleep(Duration::from_secs(GRACE_S)).await;
         let mut daemon = soak.daemons[daemon].borrow_mut();
-        if daemon.process.id() == told && !daemon.process.has_ended() {
+        if daemon.process.id() == pid && !daemon.process.has_ended() {
             daemon.process.kill();
         }
     });
 }
 
-fn spoil(proxy: &Proxy, fault: Fault, lasts: Duration) {
+fn set_proxy_fault(proxy: &Proxy, fault: Fault, duration: Duration) {
     proxy.set(fault);
     let proxy = proxy.clone();
     actix_web::rt::spawn(async move {
-        tokio::time::sleep(lasts).await;
+        tokio::time::sleep(duration).await;
         proxy.set(Fault::None);
     });
 }
 
-/// The store itself refuses, loses answers or forgets its history.
-fn misbehave(soak: &Rc<Soak>, random: &mut Rng, lasts: Duration) {
+/// Makes the store reject calls, lose answers or compact its history.
+fn set_store_fault(soak: &Rc<Soak>, random: &mut Rng, duration: Duration) {
     let mode = match random.u32(..3) {
         0 => Mode::Busy,
         1 => Mode::Lost,
@@ -409,17 +413,17 @@
     soak.store.set(mode);
     let store = soak.store.clone();
     actix_web::rt::spawn(async move {
-        tokio::time::sleep(lasts).await;
+        tokio::time::sleep(duration).await;
         store.set(Mode::Well);
     });
 }
 
-/// An endpoint says that it leaves, and comes back later.
-fn leave(soak: &Rc<Soak>, endpoint: usize, lasts: Duration) {
+/// Marks an endpoint as draining, and as ready again later.
+fn drain_endpoint(soak: &Rc<Soak>, endpoint: usize, duration: Duration) {
     put_entry(soak, endpoint, "draining");
     let soak = Rc::clone(soak);
     actix_web::rt::spawn(async move {
-        tokio::time::sleep(lasts).await;
+        tokio::time::sleep(duration).await;
         put_entry(&soak, endpoint, "ready");
     });
 }
@@ -430,7 +434,7 @@
         .put(&format!("servers/i-{number}"), entry.as_bytes());
 }
 
-fn heal(soak: &Soak) {
+fn end_faults(soak: &Soak) {
     for proxy in soak.proxies.iter().chain([&soak.store_proxy]) {
         proxy.set(Fault::None);
     }
@@ -443,66 +447,66 @@
     }
 }
 
-/// Waits until every daemon is ready and serves again.
-async fn until_well(soak: &Rc<Soak>) {
-    // Faults that were still to end do so, and daemons that were told to end do.
-    let end = Instant::now() + Duration::from_secs(GRACE + 1);
+/// Waits until every daemon is ready and serves requests again.
+async fn until_recovered(soak: &Rc<Soak>) {
+    // In this time the remaining faults end, and daemons that got SIGTERM exit.
+    let end = Instant::now() + Duration::from_secs(GRACE_S + 1);
     while Instant::now() < end {
         tokio::time::sleep(Duration::from_millis(200)).await;
-        start_ended(soak);
+        restart_exited(soak);
     }
-    heal(soak);
-    soak.work.sound.set(true);
+    end_faults(soak);
+    soak.work.faultless.set(true);
     soak.until_ready().await;
     tokio::time::sleep(RECOVERY / 2).await;
-    let before = served(soak);
+    let before = result_counts(soak);
     tokio::time::sleep(Duration::from_secs(1)).await;
-    let (answered, failed) = served(soak);
+    let (answered, failed) = result_counts(soak);
     let (answered, failed) = (answered - before.0, failed - before.1);
     if answered < 20 || answered < failed * 5 {
-        soak.broken(format!(
-            "after the faults {answered} are answered, {failed} not"
+        soak.violation(format!(
+            "after the faults {answered} requests are answered, {failed} are not"
         ));
     }
 }
 
-fn served(soak: &Soak) -> (usize, usize) {
+fn result_counts(soak: &Soak) -> (usize, usize) {
     let report = soak.report.borrow();
     (report.answered, report.failed + report.refused)
 }
 
-/// Stops and starts every daemon in turn while callers keep their connections.
+/// Restarts every daemon in turn while callers keep their connections.
 async fn stop_in_turn(soak: &Rc<Soak>) {
     for daemon in 0..DAEMONS {
         soak.daemons[daemon].borrow().process.signal("TERM");
         let soak = Rc::clone(soak);
-        until(Duration::from_secs(GRACE), async || {
+        until(Duration::from_secs(GRACE_S), async || {
             soak.daemons[daemon].borrow_mut().process.has_ended()
         })
         .await;
-        start_ended(&soak);
+        restart_exited(&soak);
         soak.until_ready().await;
     }
 }
 
-/// Stops two daemons, the second while the first still ends; callers find the others.
+/// Stops two daemons, the second during the shutdown of the first; callers use the third.
 async fn stop_overlapping(soak: &Rc<Soak>) {
     for daemon in 0..2 {
         soak.daemons[daemon].borrow().process.signal("TERM");
         tokio::time::sleep(Duration::from_secs(1)).await;
     }
-    until(Duration::from_secs(GRACE), async || {
+    until(Duration::from_secs(GRACE_S), async || {
         (0..2).all(|daemon| soak.daemons[daemon].borrow_mut().process.has_ended())
     })
     .await;
-    start_ended(soak);
+    restart_exited(soak);
     soak.until_ready().await;
 }
 
-/// A caller: requests on a kept connection until it ends, then on another one.
+/// A caller: sends requests on one connection until it closes, then on a new one.
 async fn call(soak: Rc<Soak>, mut random: Rng) {
     let mut kept: Option<(usize, Caller)> = None;
-    while !soak.over.get() {
+    while !soak.stopped.get() {
         let (at, mut caller) = match kept.take() {
             Some(kept) => kept,
             None => match connect(&soak, &mut random).await {
@@ -511,16 +515,16 @@
             },
         };
         let prefix = ["/safe/", "/once/", "/resume/", "/stream/"][random.usize(..4)];
-        let number = soak.numbers.get() + 1;
-        soak.numbers.set(number);
+        let number = soak.last_number.get() + 1;
+        soak.last_number.set(number);
         let id = format!("r{number:x}");
         let method = if prefix == "/once/" { "POST" } else { "GET" };
         let text = request(method, &format!("{prefix}{id}"), &id, "");
-        let calm = soak.calm.get();
-        let asked = tokio::time::timeout(PATIENCE, caller.exchange(&text)).await;
+        let no_faults = soak.no_faults.get();
+        let asked = tokio::time::timeout(CLIENT_TIMEOUT, caller.exchange(&text)).await;
         let answer = asked.ok().and_then(Result::ok);
         let whole = answer.as_ref().is_some_and(|answer| answer.whole);
-        take(&soak, &id, prefix, answer.as_ref(), calm);
+        record_answer(&soak, &id, prefix, answer.as_ref(), no_faults);
         if whole && answer.is_some_and(|answer| answer.head.keep_alive) {
             kept = Some((at, caller));
         }
@@ -534,7 +538,7 @@
         let daemon = soak.daemons[at].borrow();
         (daemon.callers, daemon.ready)
     };
-    // The balancer sends new connections to daemons that say they are ready.
+    // Like a load balancer, connects only to daemons whose ready check succeeds.
     let asked = tokio::time::timeout(Duration::from_millis(300), is_ready(ready)).await;
     if asked != Ok(true) {
         tokio::time::sleep(Duration::from_millis(30)).await;
@@ -544,19 +548,21 @@
     Some((at, made.ok()?.ok()?))
 }
 
-/// Checks an answer and notes how the request ended.
-fn take(soak: &Soak, id: &str, prefix: &str, answer: Option<&Answer>, calm: bool) {
+/// Checks an answer and records the result of the request.
+fn record_answer(soak: &Soak, id: &str, prefix: &str, answer: Option<&Answer>, no_faults: bool) {
     let status = answer.map_or(0, |answer| answer.status);
-    let promised = matches!(status, 408 | 421 | 429 | 503);
+    let told_not_run = matches!(status, 408 | 421 | 429 | 503);
     soak.sent.borrow_mut().push(Sent {
         id: id.into(),
-        once: prefix == "/once/" || prefix == "/stream/",
-        promised,
+        non_idempotent: prefix == "/once/" || prefix == "/stream/",
+        told_not_run,
     });
     let Some(answer) = answer.filter(|answer| answer.whole) else {
         soak.report.borrow_mut().failed += 1;
-        if calm {
-            soak.broken(format!("{prefix}{id} got no whole answer in a calm time"));
+        if no_faults {
+            soak.violation(format!(
+                "{prefix}{id} got an incomplete answer though no faults were injected"
+            ));
         }
         return;
     };
@@ -567,7 +573,7 @@
         }
         503 | 429 => soak.report.borrow_mut().refused += 1,
         500 | 502 | 504 => soak.report.borrow_mut().failed += 1,
-        other => soak.broken(format!("{prefix}{id} got status {other}")),
+        other => soak.violation(format!("{prefix}{id} got status {other}")),
     }
 }
 
@@ -579,20 +585,21 @@
         format!("answer to {id}")
     };
     if body != expected {
-        soak.broken(format!("{prefix}{id} got {body:?}"));
+        soak.violation(format!("{prefix}{id} got {body:?}"));
     }
 }
 
-/// What must run once ran once, and what was said not to have run did not.
+/// Checks that no non-idempotent request ran twice, nor ran although its caller was told that
+/// it did not.
 fn check_runs(soak: &Soak) {
     let runs = soak.work.runs.borrow();
     for sent in soak.sent.borrow().iter() {
         let runs = runs.get(&sent.id).copied().unwrap_or(0);
-        if sent.once && runs > 1 {
-            soak.broken(format!("{} ran {runs} times", sent.id));
+        if sent.non_idempotent && runs > 1 {
+            soak.violation(format!("{} ran {runs} times", sent.id));
         }
-        if sent.once && sent.promised && runs > 0 {
-            soak.broken(format!(
+        if sent.non_idempotent && sent.told_not_run && runs > 0 {
+            soak.violation(format!(
                 "{} ran, and its caller was told that it did not",
                 sent.id
             ));
@@ -600,7 +607,7 @@
     }
 }
 
-/// No window of usage is reported with two different counts.
+/// Checks that no usage window is reported with two different counts.
 fn check_reports(soak: &Soak) {
     let mut reports: BTreeMap<String, String> = BTreeMap::new();
     for call in soak.cloud.seen() {
@@ -608,7 +615,7 @@
         let window = body.split(',').next().unwrap_or_default().to_owned();
         let first = reports.entry(window).or_insert_with(|| body.clone());
         if *first != body {
-            soak.broken(format!("two reports: {first} and {body}"));
+            soak.violation(format!("two reports: {first} and {body}"));
         }
     }
 }
--- a/daemon/tests/test_soak.rs
+++ b/daemon/tests/test_soak.rs
@@ -1,35 +1,35 @@
-//! Random faults over a fleet of daemons; see [`crate::soak`].
+//! Soak test with random faults on a fleet of daemons; see [`crate::soak`].
 //!
-//! More seeds are played with a range in the environment, one after the other:
+//! A range of seeds in the environment runs more of them, one after the other:
 //! `POPLARVALE_SOAK=100..150 cargo test -p poplarvaled --test runner soak`.
 
 use std::time::Duration;
 
-use crate::soak::{play, seeds};
+use crate::soak::{run_seed, seeds};
 
-/// Seeds that showed a fault once, with its cause, and one that never did.
-const KEPT: [u64; 1] = [1];
-/// How long faults go on in a short run.
-const SHORT: Duration = Duration::from_secs(4);
-const SEEDS: &str = "POPLARVALE_SOAK";
+/// Seeds that revealed a fault once, with its cause, and one that never did.
+const KEPT_SEEDS: [u64; 1] = [1];
+/// Time during which faults are injected in a run.
+const FAULT_TIME: Duration = Duration::from_secs(4);
+const SEEDS_VARIABLE: &str = "POPLARVALE_SOAK";
 
-/// Daemons are killed, paused and told to end, connections to the store and the
-/// endpoints fall silent, break or lose answers, and the configuration changes, all
-/// at once. Callers get their own whole answers, nothing that must run once runs
-/// twice, and what is said not to have run has not. Afterwards everything is served
-/// again, and daemons that are stopped in turn cut nothing off.
+/// Daemons are killed, paused and terminated, connections to the store and the
+/// endpoints hang, break or lose answers, and the configuration changes, all
+/// at the same time. Callers get their own complete answers, no non-idempotent request
+/// runs twice, and none runs whose caller was told that it did not. Afterwards requests are served
+/// again, and restarting the daemons in turn breaks off no answer.
 #[actix_web::test]
 async fn promises_hold_under_random_faults() {
-    let mut broken = Vec::new();
-    for seed in seeds(SEEDS, &KEPT) {
-        let report = play(seed, SHORT).await;
+    let mut violations = Vec::new();
+    for seed in seeds(SEEDS_VARIABLE, &KEPT_SEEDS) {
+        let report = run_seed(seed, FAULT_TIME).await;
         println!(
             "seed {seed}: {} answered, {} refused, {} failed, {:?}",
-            report.answered, report.refused, report.failed, report.broken
+            report.answered, report.refused, report.failed, report.violations
         );
-        if !report.broken.is_empty() {
-            broken.push((seed, report.broken));
+        if !report.violations.is_empty() {
+            violations.push((seed, report.violations));
         }
     }
-    assert!(broken.is_empty(), "{broken:?}");
+    assert!(violations.is_empty(), "{violations:?}");
 }
