--- a/lib/benches/moves/cases.rs
+++ b/lib/benches/moves/cases.rs
@@ -1,49 +1,54 @@
-//! The moves that are played: good versions and bad ones of every kind.
+//! The simulated version moves: to good versions, and to versions with faults of every kind.
 
 use poplarvale_lib::moves::FULL_SHARE;
 use poplarvale_lib::moves::stages::Scale;
 
 use crate::{ENDPOINTS, REPEATS};
 
+/// Fault of the new version.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Harm {
+pub(crate) enum Fault {
     None,
-    /// This share of requests fails.
+    /// This fraction of the requests fails.
     Fail(f64),
     /// Requests take this many times as long.
     Slow(f64),
 }
 
+/// Condition under which the fault acts.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum When {
+pub(crate) enum Onset {
+    /// From the start.
     Once,
-    /// From some time on.
+    /// From the time `from` of the case on.
     Late,
-    /// When an endpoint has this part of the load it had before the move.
+    /// While the load of an endpoint is at least this fraction of its load before the move.
     Loaded(f64),
     /// On one route only.
     Route(usize),
 }
 
-/// What else happens.
+/// Event during a move that is no fault of the new version.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Trouble {
+pub(crate) enum Disturbance {
     None,
     /// For ten seconds a fifth of all requests fails, at both versions.
     Incident,
-    /// The load rises by two fifths.
+    /// The request rate rises by two fifths.
     Rise,
-    /// The lease's holder stops, and another one goes on after a lapse.
+    /// The lease holder stops; another daemon takes over after the lease has expired.
     Holder,
-    /// The store is out for a tenth of the time.
+    /// The store is unavailable for a tenth of the time.
     StoreOut,
 }
 
+/// A route of a service.
 pub(crate) struct Route {
     pub(crate) name: &'static str,
+    /// Fraction of the requests that use it.
     pub(crate) part: f64,
-    pub(crate) repeatable: bool,
-    /// Median in milliseconds without load.
+    pub(crate) idempotent: bool,
+    /// Median latency without load in milliseconds.
     pub(crate) median: f64,
 }
 
@@ -51,25 +56,25 @@
     Route {
         name: "GET /lessons",
         part: 0.60,
-        repeatable: true,
+        idempotent: true,
         median: 20.0,
     },
     Route {
         name: "GET /station",
         part: 0.25,
-        repeatable: true,
+        idempotent: true,
         median: 60.0,
     },
     Route {
         name: "POST /tags",
         part: 0.10,
-        repeatable: true,
+        idempotent: true,
         median: 35.0,
     },
     Route {
         name: "POST /confirm",
         part: 0.05,
-        repeatable: false,
+        idempotent: false,
         median: 90.0,
     },
 ];
@@ -78,35 +83,37 @@
     Route {
         name: "GET /status",
         part: 0.50,
-        repeatable: true,
+        idempotent: true,
         median: 8.0,
     },
     Route {
         name: "POST /calibration",
         part: 0.45,
-        repeatable: false,
+        idempotent: false,
         median: 40.0,
     },
     Route {
         name: "GET /summary",
         part: 0.05,
-        repeatable: true,
+        idempotent: true,
         median: 400.0,
     },
 ];
 
+/// One simulated move.
 #[derive(Clone, Copy)]
 pub(crate) struct Case {
     pub(crate) seed: u64,
+    /// Route mix: 0 for `BOOKING`, otherwise `REGISTRY`.
     pub(crate) mix: usize,
-    /// Requests a second over all daemons.
+    /// Requests per second over all daemons.
     pub(crate) rate: f64,
-    /// Part of their capacity at which the old endpoints work.
+    /// Utilization of the old endpoints before the move, as a fraction of their capacity.
     pub(crate) load: f64,
-    pub(crate) harm: Harm,
-    pub(crate) when: When,
-    pub(crate) trouble: Trouble,
-    /// Part of the time at which trouble or a late fault begins.
+    pub(crate) fault: Fault,
+    pub(crate) onset: Onset,
+    pub(crate) disturbance: Disturbance,
+    /// Fraction of the time of the move at which the disturbance or a late fault starts.
     pub(crate) from: f64,
 }
 
@@ -116,8 +123,8 @@
     }
 
     pub(crate) fn scale(&self) -> Scale {
-        let once = self.routes().iter().filter(|route| !route.repeatable);
-        let part: f64 = once.map(|route| route.part).sum();
+        let non_idempotent = self.routes().iter().filter(|route| !route.idempotent);
+        let part: f64 = non_idempotent.map(|route| route.part).sum();
         Scale {
             endpoints: ENDPOINTS,
             idempotent: ((1.0 - part) * f64::from(FULL_SHARE)) as u32,
@@ -125,7 +132,7 @@
     }
 
     pub(crate) fn good(&self) -> bool {
-        self.harm == Harm::None
+        self.fault == Fault::None
     }
 }
 
@@ -140,9 +147,9 @@
                     mix,
                     rate,
                     load,
-                    harm: Harm::None,
-                    when: When::Once,
-                    trouble: Trouble::None,
+                    fault: Fault::None,
+                    onset: Onset::Once,
+                    disturbance: Disturbance::None,
                     from: 0.0,
                 };
                 add_good(&mut cases, base);
@@ -158,32 +165,39 @@
 }
 
 pub(crate) fn add_good(cases: &mut Vec<Case>, base: Case) {
-    let troubles = [
-        Trouble::None,
-        Trouble::Incident,
-        Trouble::Rise,
-        Trouble::Holder,
-        Trouble::StoreOut,
+    let disturbances = [
+        Disturbance::None,
+        Disturbance::Incident,
+        Disturbance::Rise,
+        Disturbance::Holder,
+        Disturbance::StoreOut,
     ];
-    cases.extend(troubles.map(|trouble| Case { trouble, ..base }));
+    cases.extend(disturbances.map(|disturbance| Case {
+        disturbance,
+        ..base
+    }));
 }
 
 pub(crate) fn add_bad(cases: &mut Vec<Case>, base: Case) {
     let routes = base.routes().len();
-    let whens = [
-        When::Once,
-        When::Late,
-        When::Loaded(0.8),
-        When::Route(base.seed as usize % routes),
-        When::Route((base.seed as usize + 1) % routes),
+    let onsets = [
+        Onset::Once,
+        Onset::Late,
+        Onset::Loaded(0.8),
+        Onset::Route(base.seed as usize % routes),
+        Onset::Route((base.seed as usize + 1) % routes),
     ];
-    for when in whens {
-        let harms = [
-            Harm::Fail(1.0),
-            Harm::Fail(0.1),
-            Harm::Slow(3.0),
-            Harm::Slow(1.6),
+    for onset in onsets {
+        let faults = [
+            Fault::Fail(1.0),
+            Fault::Fail(0.1),
+            Fault::Slow(3.0),
+            Fault::Slow(1.6),
         ];
-        cases.extend(harms.map(|harm| Case { harm, when, ..base }));
+        cases.extend(faults.map(|fault| Case {
+            fault,
+            onset,
+            ..base
+        }));
     }
 }
--- a/lib/benches/moves/watched.rs
+++ b/lib/benches/moves/controllers.rs
@@ -1,4 +1,5 @@
-//! The library's controllers, one a daemon, that exchange evidence with a delay.
+//! Policy under test: the library's controllers, one per daemon, which exchange evidence with
+//! a delay.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -11,36 +12,39 @@
 };
 use prost::Message as _;
 
-use crate::cases::{Case, Trouble};
+use crate::cases::{Case, Disturbance};
 use crate::policy::{End, Policy, Score};
-use crate::{DAEMONS, ENDPOINTS, GOSSIP_STEPS, PUSH_STEPS, STORE_STEPS, TERM_MS, WALL};
+use crate::{DAEMONS, ENDPOINTS, GOSSIP_STEPS, PUSH_STEPS, STORE_STEPS, TERM_MS, WALL_START_MS};
 
-pub(crate) enum Parcel {
+/// A message that is under way to a daemon.
+pub(crate) enum Message {
     Row(Box<Row>),
     Verdict(Verdict),
     Record(Box<Stored>),
 }
 
-/// The library's controllers with their exchange.
-pub(crate) struct Watched {
+/// The controllers, the messages between them, the store and the lease.
+pub(crate) struct Controllers {
     pub(crate) case: Case,
     pub(crate) start: Instant,
     pub(crate) daemons: Vec<Controller>,
     pub(crate) store: Stored,
-    pub(crate) post: VecDeque<Vec<(usize, Parcel)>>,
+    /// Messages with their receivers, by the number of steps until they arrive.
+    pub(crate) in_flight: VecDeque<Vec<(usize, Message)>>,
     pub(crate) ticks: u64,
     pub(crate) fence: u64,
-    pub(crate) lapse: Option<Instant>,
+    /// When another daemon takes the lease over, once its holder has stopped.
+    pub(crate) takeover: Option<Instant>,
     pub(crate) holder: usize,
 }
 
-impl Watched {
+impl Controllers {
     pub(crate) fn new(case: Case, start: Instant) -> Self {
-        let wish = Ask {
+        let order = Ask {
             id: 7,
             service: "s".into(),
             to: "v2".into(),
-            finish: WALL + TERM_MS,
+            finish: WALL_START_MS + TERM_MS,
         };
         let fleet = Fleet {
             version: "v1".into(),
@@ -48,60 +52,66 @@
             new: ENDPOINTS,
             idempotent: case.scale().idempotent,
         };
-        let record = ask(None, &wish, &fleet, WALL).expect("it can be done");
+        let record = ask(None, &order, &fleet, WALL_START_MS).expect("the move can be ordered");
         let store = Stored {
             revision: 1,
             record,
         };
-        let mut watched = Self {
+        let mut controllers = Self {
             case,
             start,
             daemons: (0..DAEMONS as u64)
                 .map(|d| Controller::new("s".into(), d + 1))
                 .collect(),
             store: store.clone(),
-            post: (0..=GOSSIP_STEPS).map(|_| Vec::new()).collect(),
+            in_flight: (0..=GOSSIP_STEPS).map(|_| Vec::new()).collect(),
             ticks: 0,
             fence: 1,
-            lapse: None,
+            takeover: None,
             holder: 0,
         };
-        watched.share(None, 1, || Parcel::Record(Box::new(store.clone())));
-        watched
+        controllers.send(None, 1, || Message::Record(Box::new(store.clone())));
+        controllers
     }
 
-    pub(crate) fn share(&mut self, from: Option<usize>, steps: usize, parcel: impl Fn() -> Parcel) {
+    pub(crate) fn send(
+        &mut self,
+        from: Option<usize>,
+        steps: usize,
+        message: impl Fn() -> Message,
+    ) {
         for to in (0..DAEMONS).filter(|to| Some(*to) != from) {
-            self.post[steps].push((to, parcel()));
+            self.in_flight[steps].push((to, message()));
         }
     }
 
-    pub(crate) fn part(&self, now: Instant) -> f64 {
+    /// Elapsed fraction of the time of the move.
+    pub(crate) fn progress(&self, now: Instant) -> f64 {
         (now - self.start).as_millis() as f64 / TERM_MS as f64
     }
 
     pub(crate) fn store_out(&self, now: Instant) -> bool {
-        self.case.trouble == Trouble::StoreOut && (0.3..0.4).contains(&self.part(now))
+        self.case.disturbance == Disturbance::StoreOut && (0.3..0.4).contains(&self.progress(now))
     }
 
     pub(crate) fn deliver(&mut self, time: Time) {
-        let arrived = self.post.pop_front().unwrap_or_default();
-        self.post.push_back(Vec::new());
-        for (to, parcel) in arrived {
-            match parcel {
-                Parcel::Row(row) => self.daemons[to].merge(*row),
-                Parcel::Verdict(bad) => self.daemons[to].add_verdict(bad),
-                Parcel::Record(stored) => self.daemons[to].apply_record(time, *stored),
+        let arrived = self.in_flight.pop_front().unwrap_or_default();
+        self.in_flight.push_back(Vec::new());
+        for (to, message) in arrived {
+            match message {
+                Message::Row(row) => self.daemons[to].merge(*row),
+                Message::Verdict(verdict) => self.daemons[to].add_verdict(verdict),
+                Message::Record(stored) => self.daemons[to].apply_record(time, *stored),
             }
         }
     }
 
-    pub(crate) fn lease(&mut self, now: Instant) {
-        let lost = self.case.trouble == Trouble::Holder && self.part(now) > 0.45;
+    pub(crate) fn update_lease(&mut self, now: Instant) {
+        let lost = self.case.disturbance == Disturbance::Holder && self.progress(now) > 0.45;
         if lost && self.holder == 0 {
-            let lapse = *self.lapse.get_or_insert(now + Duration::from_secs(10));
+            let takeover = *self.takeover.get_or_insert(now + Duration::from_secs(10));
             self.daemons[0].set_lease(None);
-            if now < lapse {
+            if now < takeover {
                 return;
             }
             self.holder = 1;
@@ -126,28 +136,32 @@
                         record,
                     };
                     let stored = self.store.clone();
-                    self.share(None, STORE_STEPS, || {
-                        Parcel::Record(Box::new(stored.clone()))
+                    self.send(None, STORE_STEPS, || {
+                        Message::Record(Box::new(stored.clone()))
                     });
                 }
             }
-            Action::Push(bad) => self.share(Some(d), PUSH_STEPS, || Parcel::Verdict(bad.clone())),
+            Action::Push(verdict) => {
+                self.send(Some(d), PUSH_STEPS, || Message::Verdict(verdict.clone()));
+            }
             Action::Publish(rows) => {
                 for row in rows {
                     let bytes = row.to_wire().encoded_len() as u64;
                     score.row_bytes += bytes;
-                    score.longest = score.longest.max(bytes);
+                    score.max_bytes = score.max_bytes.max(bytes);
                     score.rows += 1;
-                    self.share(Some(d), GOSSIP_STEPS, || Parcel::Row(Box::new(row.clone())));
+                    self.send(Some(d), GOSSIP_STEPS, || {
+                        Message::Row(Box::new(row.clone()))
+                    });
                 }
             }
         }
     }
 }
 
-impl Policy for Watched {
-    fn pick(&mut self, daemon: usize, now: Instant, repeatable: bool, draw: u32) -> Pick {
-        self.daemons[daemon].version_for(now, repeatable, draw)
+impl Policy for Controllers {
+    fn pick(&mut self, daemon: usize, now: Instant, idempotent: bool, sample_point: u32) -> Pick {
+        self.daemons[daemon].version_for(now, idempotent, sample_point)
     }
 
     fn record(&mut self, daemon: usize, sample: &Sample) {
@@ -156,7 +170,7 @@
 
     fn tick(&mut self, time: Time, score: &mut Score) -> End {
         self.deliver(time);
-        self.lease(time.now);
+        self.update_lease(time.now);
         let reach = Reach {
             live: DAEMONS as u32,
             heard: DAEMONS as u32,
@@ -188,13 +202,13 @@
         }
     }
 
-    fn spread(&self, daemon: usize, now: Instant) -> [u32; 2] {
-        let spread = self.daemons[daemon].endpoint_counts(now);
-        spread.map_or([ENDPOINTS; 2], |s| [s.old, s.new.min(ENDPOINTS)])
+    fn endpoint_counts(&self, daemon: usize, now: Instant) -> [u32; 2] {
+        let counts = self.daemons[daemon].endpoint_counts(now);
+        counts.map_or([ENDPOINTS; 2], |s| [s.old, s.new.min(ENDPOINTS)])
     }
 
     fn compared(&self, daemon: usize) -> [u32; 2] {
-        let spread = self.daemons[daemon].compared();
-        spread.map_or([ENDPOINTS; 2], |s| [s.old, s.new.min(ENDPOINTS)])
+        let counts = self.daemons[daemon].compared();
+        counts.map_or([ENDPOINTS; 2], |s| [s.old, s.new.min(ENDPOINTS)])
     }
 }
--- a/lib/benches/moves/ramp.rs
+++ b/lib/benches/moves/ramp.rs
@@ -1,4 +1,4 @@
-//! A fixed ramp, to compare with.
+//! A fixed ramp, as the baseline of the comparison.
 
 use std::collections::VecDeque;
 use std::time::Instant;
@@ -8,10 +8,10 @@
 use poplarvale_lib::moves::{Counter, Pick, Time};
 
 use crate::policy::{End, Policy, Score};
-use crate::{DAEMONS, ENDPOINTS, TERM_MS, WALL};
+use crate::{DAEMONS, ENDPOINTS, TERM_MS, WALL_START_MS};
 
-/// A fixed ramp with one threshold on the failures of the last ten seconds. It
-/// sees the evidence of all daemons without delay.
+/// A fixed ramp with a single threshold on the fraction of failures in the last ten seconds.
+/// It receives the evidence of all daemons without delay.
 pub(crate) struct Ramp {
     pub(crate) scale: Scale,
     pub(crate) stage: u8,
@@ -23,14 +23,14 @@
 
 impl Ramp {
     pub(crate) const THRESHOLD: f64 = 0.05;
-    pub(crate) const LEAST: u64 = 20;
-    pub(crate) const WINDOW: usize = 200;
+    pub(crate) const MIN_REQUESTS: u64 = 20;
+    pub(crate) const WINDOW_STEPS: usize = 200;
 
     pub(crate) fn new(scale: Scale) -> Self {
         Self {
             scale,
             stage: 0,
-            due: due(0, WALL, WALL + TERM_MS),
+            due: due(0, WALL_START_MS, WALL_START_MS + TERM_MS),
             counters: vec![Counter::default(); DAEMONS],
             window: VecDeque::new(),
             current: (0, 0),
@@ -39,9 +39,9 @@
 }
 
 impl Policy for Ramp {
-    fn pick(&mut self, daemon: usize, _now: Instant, _repeatable: bool, draw: u32) -> Pick {
+    fn pick(&mut self, daemon: usize, _now: Instant, _idempotent: bool, sample_point: u32) -> Pick {
         let share = shares(self.stage, self.scale).idempotent;
-        if self.counters[daemon].take(share, draw) {
+        if self.counters[daemon].take(share, sample_point) {
             Pick::New
         } else {
             Pick::Old
@@ -57,12 +57,12 @@
 
     fn tick(&mut self, time: Time, _score: &mut Score) -> End {
         self.window.push_back(std::mem::take(&mut self.current));
-        if self.window.len() > Self::WINDOW {
+        if self.window.len() > Self::WINDOW_STEPS {
             self.window.pop_front();
         }
         let all: u64 = self.window.iter().map(|w| w.0).sum();
         let failed: u64 = self.window.iter().map(|w| w.1).sum();
-        if all >= Self::LEAST && failed as f64 > all as f64 * Self::THRESHOLD {
+        if all >= Self::MIN_REQUESTS && failed as f64 > all as f64 * Self::THRESHOLD {
             return End::Back;
         }
         if time.wall >= self.due {
@@ -70,12 +70,12 @@
                 return End::Done;
             }
             self.stage += 1;
-            self.due = due(self.stage, time.wall, WALL + TERM_MS);
+            self.due = due(self.stage, time.wall, WALL_START_MS + TERM_MS);
         }
         End::Open
     }
 
-    fn spread(&self, _daemon: usize, _now: Instant) -> [u32; 2] {
+    fn endpoint_counts(&self, _daemon: usize, _now: Instant) -> [u32; 2] {
         [ENDPOINTS; 2]
     }
 
--- a/lib/benches/moves/report.rs
+++ b/lib/benches/moves/report.rs
@@ -1,21 +1,21 @@
-//! What is printed of the moves.
+//! Prints the results of the moves.
 
 use crate::TERM_MS;
-use crate::cases::{Case, Harm, When};
+use crate::cases::{Case, Fault, Onset};
 use crate::policy::{End, Score};
 
 pub(crate) fn report(title: &str, cases: &[Case], scores: &[Score]) {
     let pairs = || cases.iter().zip(scores);
     let good: Vec<_> = pairs().filter(|(case, _)| case.good()).collect();
     let bad: Vec<_> = pairs().filter(|(case, _)| !case.good()).collect();
-    let timely = |s: &Score| s.end == End::Done && s.at <= TERM_MS;
+    let timely = |s: &Score| s.end == End::Done && s.elapsed_ms <= TERM_MS;
     let in_time = good.iter().filter(|(_, s)| timely(s)).count();
-    let wrongly = good.iter().filter(|(_, s)| s.end == End::Back).count();
+    let wrong = good.iter().filter(|(_, s)| s.end == End::Back).count();
     let back = bad.iter().filter(|(_, s)| s.end == End::Back).count();
     let spoilt: u64 = bad.iter().map(|(_, s)| s.spoilt).sum();
     let planned: f64 = bad.iter().map(|(_, s)| s.planned).sum();
-    let until: u64 = bad.iter().map(|(_, s)| s.until).sum();
-    let after: u64 = bad.iter().map(|(_, s)| s.after).sum();
+    let requests: u64 = bad.iter().map(|(_, s)| s.requests).sum();
+    let after_fault: u64 = bad.iter().map(|(_, s)| s.after_fault).sum();
     let worst = bad
         .iter()
         .map(|(_, s)| s.spoilt as f64 / s.planned)
@@ -26,7 +26,7 @@
         .count();
     println!("{title}");
     println!("  good finished in time   {in_time} of {}", good.len());
-    println!("  good taken back wrongly {wrongly} of {}", good.len());
+    println!("  good taken back wrongly {wrong} of {}", good.len());
     println!("  bad taken back          {back} of {}", bad.len());
     println!(
         "  spoilt, of requests in the time given   {:.3} %",
@@ -34,11 +34,11 @@
     );
     println!(
         "  spoilt, of requests until the end       {:.3} %",
-        100.0 * spoilt as f64 / until as f64
+        100.0 * spoilt as f64 / requests as f64
     );
     println!(
         "  spoilt, of requests since the first sign {:.3} %",
-        100.0 * spoilt as f64 / after.max(1) as f64
+        100.0 * spoilt as f64 / after_fault.max(1) as f64
     );
     println!(
         "  worst move {:.2} % spoilt; {over} moves over 1 %",
@@ -49,56 +49,56 @@
 pub(crate) fn misses(cases: &[Case], scores: &[Score]) {
     println!("misses and moves with over 1 % spoilt");
     for (case, score) in cases.iter().zip(scores) {
-        let timely = score.end == End::Done && score.at <= TERM_MS;
+        let timely = score.end == End::Done && score.elapsed_ms <= TERM_MS;
         let spoilt = 100.0 * score.spoilt as f64 / score.planned;
-        let fine = if case.good() {
+        let as_expected = if case.good() {
             timely
         } else {
             score.end == End::Back
         };
-        if !fine || spoilt > 1.0 {
-            let sign = score.first.unwrap_or(0) / 1000;
+        if !as_expected || spoilt > 1.0 {
+            let sign = score.first_fault.unwrap_or(0) / 1000;
             println!(
                 "  seed {} mix {} rate {} {:?} {:?} {:?} from {:.2}: {:?} at {} s, sign at {sign} s, spoilt {spoilt:.2} %; {}",
                 case.seed,
                 case.mix,
                 case.rate,
-                case.harm,
-                case.when,
-                case.trouble,
+                case.fault,
+                case.onset,
+                case.disturbance,
                 case.from,
                 score.end,
-                score.at / 1000,
+                score.elapsed_ms / 1000,
                 score.reason
             );
         }
     }
 }
 
-/// Whether a case is of a kind.
+/// Predicate for the cases of a kind.
 pub(crate) type Kind = fn(&Case) -> bool;
 
 pub(crate) fn by_kind(cases: &[Case], scores: &[(Score, Score)]) {
     println!("by kind: bad taken back (of all), spoilt of requests in the time given; ramp beside");
     let kinds: [(&str, Kind); 8] = [
-        ("at once", |c| c.when == When::Once),
-        ("late", |c| c.when == When::Late),
-        ("under load", |c| matches!(c.when, When::Loaded(_))),
-        ("one route", |c| matches!(c.when, When::Route(_))),
-        ("failing", |c| matches!(c.harm, Harm::Fail(_))),
-        ("slow", |c| matches!(c.harm, Harm::Slow(_))),
+        ("at once", |c| c.onset == Onset::Once),
+        ("late", |c| c.onset == Onset::Late),
+        ("under load", |c| matches!(c.onset, Onset::Loaded(_))),
+        ("one route", |c| matches!(c.onset, Onset::Route(_))),
+        ("failing", |c| matches!(c.fault, Fault::Fail(_))),
+        ("slow", |c| matches!(c.fault, Fault::Slow(_))),
         ("8 a second", |c| c.rate < 10.0),
         ("400 a second", |c| c.rate > 100.0),
     ];
     for (name, fits) in kinds {
-        let lot: Vec<_> = cases
+        let batch: Vec<_> = cases
             .iter()
             .zip(scores)
             .filter(|(case, _)| !case.good() && fits(case))
             .map(|(_, pair)| pair)
             .collect();
         let line = |score: fn(&(Score, Score)) -> &Score| {
-            let all: Vec<&Score> = lot.iter().map(|pair| score(pair)).collect();
+            let all: Vec<&Score> = batch.iter().map(|pair| score(pair)).collect();
             let back = all.iter().filter(|s| s.end == End::Back).count();
             let spoilt: u64 = all.iter().map(|s| s.spoilt).sum();
             let planned: f64 = all.iter().map(|s| s.planned).sum();
