--- a/lib/benches/config.rs
+++ b/lib/benches/config.rs
@@ -1,9 +1,9 @@
-//! Time until an accepted edit is in force everywhere, and the calls to the
-//! key-value service that it takes, by the size of the fleet.
+//! Measures the time until an accepted edit of the lists is applied by every daemon, and the
+//! calls to the key-value service that this takes, by fleet size.
 //!
-//! Virtual time in steps of 50 ms with gossip once a second, so the times are
-//! those of the protocol and not of this machine. Before that, what an edit
-//! costs one daemon, on this machine.
+//! These times are virtual, in steps of 50 ms with gossip once a second, so they are
+//! a property of the protocol and not of the machine. The first table measures the cost of
+//! an edit for one daemon in real time on the machine that runs the benchmark.
 
 use std::time::{Duration, Instant};
 
@@ -13,15 +13,16 @@
 use poplarvale_lib::{Accepted, Customer, Lists, Plan};
 use testutils::platform::fleet::Fleet;
 
+/// Edits measured for each size.
 const EDITS: u64 = 20;
 const SEED: u64 = 7;
 
 fn lists(round: u64) -> Lists {
-    sized(100, round)
+    lists_of(100, round)
 }
 
-/// Lists of some customers with one API key each.
-fn sized(customers: u64, round: u64) -> Lists {
+/// Lists of this many customers with one API key each.
+fn lists_of(customers: u64, round: u64) -> Lists {
     let customer = |n: u64| Customer {
         id: format!("c{n}").into(),
         plan: "large".into(),
@@ -50,7 +51,7 @@
     }
 }
 
-/// Time from acceptance until it is in force everywhere.
+/// Makes an edit; returns the time from its acceptance until every daemon has applied it.
 fn edit(fleet: &mut Fleet, round: u64) -> Duration {
     let before = fleet.head();
     let proposal = proposal(fleet, round);
@@ -60,7 +61,7 @@
         fleet.run(Duration::from_millis(50));
     }
     let settled = fleet.settle(Duration::from_mins(2));
-    settled.expect("an edit comes into force within two minutes")
+    settled.expect("every daemon applies an edit within two minutes")
 }
 
 fn rate(fleet: &mut Fleet, time: Duration) -> f64 {
@@ -69,13 +70,14 @@
     (fleet.store.counts.total() - before) as f64 / time.as_secs_f64()
 }
 
-/// Calls that are not the watchers' reads of the head, which go on in any case.
-fn beyond_standing(fleet: &Fleet) -> u64 {
+/// Calls without the watchers' periodic reads of the head revision, which also occur without
+/// edits.
+fn calls_for_edits(fleet: &Fleet) -> u64 {
     let counts = fleet.store.counts;
     counts.total() - counts.reads
 }
 
-/// What one edit costs a daemon, by the size of the lists.
+/// Prints the cost of one edit for a daemon, by the size of the lists.
 fn costs() {
     println!(
         "{:>9} {:>12} {:>14} {:>13} {:>12}",
@@ -90,7 +92,7 @@
     let now = Instant::now();
     let mut keeper = Keeper::new(peer(1), 1);
     keeper.tick(now, Vec::new());
-    let lists = sized(customers, 0);
+    let lists = lists_of(customers, 0);
     let whole = Accepted { revision: 1, lists };
     keeper.tick(now, vec![pulled(whole)]);
     let glanced = Input::HeadRead {
@@ -98,25 +100,25 @@
         result: Ok(head(1)),
     };
     keeper.tick(now, vec![glanced]);
-    let mut took = (Duration::ZERO, Duration::ZERO);
+    let mut elapsed = (Duration::ZERO, Duration::ZERO);
     let mut changes = 0;
     for round in 1..=EDITS {
         let revision = round + 1;
-        let lists = sized(customers, round);
+        let lists = lists_of(customers, round);
         let input = pulled(Accepted { revision, lists });
         let before = Instant::now();
         keeper.tick(now, vec![input]);
-        took.0 += before.elapsed();
+        elapsed.0 += before.elapsed();
         let before = Instant::now();
         let answer = keeper.answer(now, &Pull { have: round });
-        took.1 += before.elapsed();
+        elapsed.1 += before.elapsed();
         changes = size(&answer);
     }
     let whole = size(&keeper.answer(now, &Pull { have: 0 }));
     println!(
         "{customers:>9} {whole:>12} {changes:>14} {:>13.1} {:>12.1}",
-        took.0.as_secs_f64() * 1e6 / EDITS as f64,
-        took.1.as_secs_f64() * 1e6 / EDITS as f64,
+        elapsed.0.as_secs_f64() * 1e6 / EDITS as f64,
+        elapsed.1.as_secs_f64() * 1e6 / EDITS as f64,
     );
 }
 
@@ -137,9 +139,9 @@
     }
 }
 
-/// What the service answers for a head at a revision.
+/// Answer of the service to a read of the head at this revision.
 fn head(revision: u64) -> Snapshot {
-    let held = StoredValue {
+    let stored = StoredValue {
         key: HEAD_KEY.into(),
         value: Bytes::new(),
         created: revision,
@@ -148,7 +150,7 @@
     };
     Snapshot {
         revision,
-        rows: vec![held],
+        rows: vec![stored],
     }
 }
 
@@ -176,10 +178,10 @@
         edit(&mut fleet, 0);
         fleet.run(Duration::from_secs(20));
         let idle = rate(&mut fleet, Duration::from_secs(30));
-        let before = beyond_standing(&fleet);
+        let before = calls_for_edits(&fleet);
         let mut times: Vec<_> = (1..=EDITS).map(|n| edit(&mut fleet, n)).collect();
         times.sort();
-        let each = (beyond_standing(&fleet) - before) as f64 / EDITS as f64;
+        let per_edit = (calls_for_edits(&fleet) - before) as f64 / EDITS as f64;
         fleet.forget_watches();
         let forgotten = edit(&mut fleet, EDITS + 1);
         fleet.store.faults.down = true;
@@ -188,7 +190,7 @@
         fleet.store.faults.down = false;
         let back = rate(&mut fleet, Duration::from_secs(10));
         println!(
-            "{daemons:>7} {zones:>5} {:>9.2} {:>9.2} {:>9.2} {each:>10.1} {idle:>9.2} {out:>9.2} {back:>9.2}",
+            "{daemons:>7} {zones:>5} {:>9.2} {:>9.2} {:>9.2} {per_edit:>10.1} {idle:>9.2} {out:>9.2} {back:>9.2}",
             times[times.len() / 2].as_secs_f64(),
             times[times.len() - 1].as_secs_f64(),
             forgotten.as_secs_f64(),
--- a/lib/benches/gossip.rs
+++ b/lib/benches/gossip.rs
@@ -1,13 +1,14 @@
-//! Measures `gossip`: deltas against whole states, in process, on virtual time.
+//! Compares gossip by deltas with the exchange of whole states, in one process and on
+//! virtual time.
 //!
-//! Daemons run their rounds at random offsets and make exchanges in no time;
+//! Daemons run their rounds at random offsets, exchanges take no virtual time, and
 //! one message in a hundred is lost. Bytes are those of the encoded messages
-//! plus a constant for each, for framing, token and packet heads. The load for
-//! each daemon: beats; eight rows of customers' demand, three of which change
-//! every 5 s; a row of evidence of 96 bytes every 15 s. For all together: 10,000
-//! revisions a day, each written by one daemon for everywhere, and 950
-//! replacements a day for each 400 daemons, compressed tenfold. All of the
-//! replaced die without a word.
+//! plus a constant for each message, for framing, token and packet headers. The load of
+//! each daemon: heartbeats; eight rows of customers' demand, three of which change
+//! every 5 s; a row of evidence of 96 bytes every 15 s. The load of the whole fleet: 10,000
+//! revisions a day, each written by one daemon for all others, and ten times the rate of 950
+//! replacements a day per 400 daemons. The replaced daemons all stop without
+//! notice.
 //!
 //! A number as argument runs only the fleet of that many daemons.
 
@@ -21,19 +22,21 @@
 use poplarvale_lib::protos::peer::{Answer, Delta, Digest};
 use prost::Message as _;
 
-/// Evidence as if it went everywhere, which is more than a daemon sends.
-const ORDINARY: Kind = Kind::new(1_000, Scope::Everywhere, false);
+/// Evidence, here sent to all daemons, which is more than a real daemon sends.
+const EVIDENCE: Kind = Kind::new(1_000, Scope::Everywhere, false);
 const SEED: u64 = 11;
 const STEP: Duration = Duration::from_millis(100);
 const WARM_UP: Duration = Duration::from_mins(2);
-const REVISION_EVERY: f64 = 86_400.0 / 10_000.0;
-const CHURN: f64 = 10.0 * 950.0 / 86_400.0 / 400.0;
-const PROBE_EVERY: Duration = Duration::from_secs(5);
-const PROBE_LIMIT: Duration = Duration::from_mins(2);
-/// Frame, context and token of a call, heads of its packets and of their
-/// acknowledgements.
+/// Mean time between two revisions, in seconds.
+const REVISION_INTERVAL_S: f64 = 86_400.0 / 10_000.0;
+/// Replacements per second and daemon.
+const REPLACEMENTS_PER_S: f64 = 10.0 * 950.0 / 86_400.0 / 400.0;
+const PROBE_INTERVAL: Duration = Duration::from_secs(5);
+const PROBE_TIMEOUT: Duration = Duration::from_mins(2);
+/// Bytes of a call beside its message: frame, context and token, and the headers of its
+/// packets and of their acknowledgements.
 const CALL_BYTES: usize = 220;
-/// The same for an answer.
+/// The same for the answer to a call.
 const ANSWER_BYTES: usize = 120;
 const PLAIN: Kind = Kind::new(1_000, Scope::Everywhere, false);
 const URGENT: Kind = Kind::new(1_001, Scope::Everywhere, true);
@@ -44,7 +47,7 @@
     Whole,
 }
 
-/// A fleet to measure: daemons, zones and regions.
+/// Size of a fleet, and the time over which it is measured.
 struct Size {
     daemons: usize,
     zones: usize,
@@ -52,6 +55,7 @@
     window: Duration,
 }
 
+/// A daemon of the fleet; a replaced one keeps the slot and its traffic counters.
 struct Slot {
     replica: Replica,
     started: Instant,
@@ -62,7 +66,7 @@
     received: usize,
 }
 
-/// A row whose way through the fleet is timed.
+/// A row whose propagation through the fleet is timed.
 struct Probe {
     origin: Incarnation,
     key: Key,
@@ -76,14 +80,14 @@
     now: Instant,
     rng: fastrand::Rng,
     slots: Vec<Slot>,
-    places: Vec<(usize, usize)>,
+    locations: Vec<(usize, usize)>,
     exchanges: usize,
     busy: Duration,
     revision: u64,
     parts: [usize; 3],
 }
 
-/// What bytes are spent on.
+/// Kind of traffic that bytes are counted under.
 #[derive(Clone, Copy)]
 enum Part {
     Digest,
@@ -93,12 +97,12 @@
 
 impl Fleet {
     fn new(mode: Mode, size: &Size) -> Self {
-        let place = |slot: usize| {
+        let location = |slot: usize| {
             let zone = slot % size.zones;
             (zone, zone % size.regions)
         };
         let mut fleet = Self {
-            // Both warm up by deltas, which end in the same state.
+            // Both modes warm up with deltas, which lead to the same state.
             mode: Mode::Delta,
             delta_bytes: match mode {
                 Mode::Delta => MAX_DELTA_BYTES,
@@ -107,23 +111,23 @@
             now: Instant::now(),
             rng: fastrand::Rng::with_seed(SEED),
             slots: Vec::new(),
-            places: (0..size.daemons).map(place).collect(),
+            locations: (0..size.daemons).map(location).collect(),
             exchanges: 0,
             busy: Duration::ZERO,
             revision: 0,
             parts: [0; 3],
         };
         for slot in 0..size.daemons {
-            let life = fleet.life(slot);
-            fleet.slots.push(life);
+            let new = fleet.new_slot(slot);
+            fleet.slots.push(new);
         }
         fleet
     }
 
-    fn life(&mut self, slot: usize) -> Slot {
-        let (zone, region) = self.places[slot];
+    fn new_slot(&mut self, slot: usize) -> Slot {
+        let (zone, region) = self.locations[slot];
         let incarnation = self.rng.u64(..);
-        let seeds = self.places.len().min(5);
+        let seeds = self.locations.len().min(5);
         let setup = Setup {
             me: Peer {
                 incarnation,
@@ -152,16 +156,16 @@
     fn step(&mut self) {
         self.now += STEP;
         let seconds = STEP.as_secs_f64();
-        if self.rng.f64() < seconds / REVISION_EVERY {
+        if self.rng.f64() < seconds / REVISION_INTERVAL_S {
             self.revision += 1;
             let slot = self.rng.usize(..self.slots.len());
             let value = self.revision.to_le_bytes();
             self.put(slot, Kind::REVISION, "", &value);
         }
-        if self.rng.f64() < seconds * CHURN * self.slots.len() as f64 {
+        if self.rng.f64() < seconds * REPLACEMENTS_PER_S * self.slots.len() as f64 {
             let slot = self.rng.usize(..self.slots.len());
             let (sent, received) = (self.slots[slot].sent, self.slots[slot].received);
-            self.slots[slot] = self.life(slot);
+            self.slots[slot] = self.new_slot(slot);
             self.slots[slot].sent = sent;
             self.slots[slot].received = received;
         }
@@ -186,7 +190,7 @@
         if self.slots[slot].next_evidence <= self.now {
             self.slots[slot].next_evidence += Duration::from_secs(15);
             let value: Vec<u8> = (0..96).map(|_| self.rng.u8(..)).collect();
-            self.put(slot, ORDINARY, "chat/v2", &value);
+            self.put(slot, EVIDENCE, "chat/v2", &value);
         }
     }
 
@@ -197,10 +201,10 @@
     }
 
     fn round(&mut self, slot: usize) {
-        let began = Instant::now();
+        let start = Instant::now();
         self.slots[slot].replica.advance(self.now);
         let calls = self.slots[slot].replica.round(self.now, &mut self.rng);
-        self.busy += began.elapsed();
+        self.busy += start.elapsed();
         self.call(slot, calls);
     }
 
@@ -211,8 +215,8 @@
                 Message::Exchange(digest) => self.exchange(from, to, digest),
                 Message::Push(push) => {
                     let bytes = push.encoded_len() + CALL_BYTES;
-                    if self.passes(from, to, bytes, Part::Push) {
-                        self.passes(to, from, ANSWER_BYTES, Part::Push);
+                    if self.transmit(from, to, bytes, Part::Push) {
+                        self.transmit(to, from, ANSWER_BYTES, Part::Push);
                         let replica = &mut self.slots[to].replica;
                         let on = replica.receive(self.now, push, &mut Vec::new());
                         self.call(to, on.expect("readable"));
@@ -223,35 +227,35 @@
     }
 
     fn exchange(&mut self, from: usize, to: usize, mut digest: Digest) {
-        let began = Instant::now();
+        let start = Instant::now();
         self.exchanges += 1;
         if self.mode == Mode::Whole {
             (digest.zone, digest.region, digest.everywhere) = (None, None, None);
         }
         let bytes = digest.encoded_len() + CALL_BYTES;
-        if !self.passes(from, to, bytes, Part::Digest) {
+        if !self.transmit(from, to, bytes, Part::Digest) {
             return;
         }
         let answer = self.slots[to].replica.answer(self.now, &digest);
         let answer = answer.expect("readable");
         let bytes = answer.encoded_len() + ANSWER_BYTES;
-        if self.passes(to, from, bytes, Part::Rows) {
+        if self.transmit(to, from, bytes, Part::Rows) {
             let wants = self.wants(to, &answer);
             self.merge(from, answer.delta);
             if let Some(wants) = wants {
                 let back = self.slots[from].replica.answer(self.now, &wants);
                 let delta = back.expect("readable").delta.expect("present");
                 let bytes = delta.encoded_len() + CALL_BYTES;
-                if self.passes(from, to, bytes, Part::Rows) {
-                    self.passes(to, from, ANSWER_BYTES, Part::Rows);
+                if self.transmit(from, to, bytes, Part::Rows) {
+                    self.transmit(to, from, ANSWER_BYTES, Part::Rows);
                     self.merge(to, Some(delta));
                 }
             }
         }
-        self.busy += began.elapsed();
+        self.busy += start.elapsed();
     }
 
-    /// What the answerer asks back: what it lacks, or else everything.
+    /// What the answering daemon requests in return: the rows it lacks, or the whole state.
     fn wants(&self, to: usize, answer: &Answer) -> Option<Digest> {
         if self.mode == Mode::Delta {
             return answer.wants.clone();
@@ -266,11 +270,11 @@
         let delta = delta.expect("present");
         let replica = &mut self.slots[slot].replica;
         let merged = replica.merge(self.now, delta, &mut Vec::new());
-        merged.expect("in time and within limits");
+        merged.expect("the delta arrives in time and is within the limits");
     }
 
-    /// Counts a message; whether it arrives.
-    fn passes(&mut self, from: usize, to: usize, bytes: usize, part: Part) -> bool {
+    /// Counts a message; returns whether it arrives.
+    fn transmit(&mut self, from: usize, to: usize, bytes: usize, part: Part) -> bool {
         self.slots[from].sent += bytes;
         self.parts[part as usize] += bytes;
         if self.rng.u8(..100) == 0 {
@@ -292,11 +296,13 @@
         }
     }
 
-    /// Daemons that ran when the probe was written and do not hold it.
+    /// Number of daemons that ran when the probe was written and do not have it.
     fn missing(&self, probe: &Probe) -> usize {
         let then = self.slots.iter().filter(|s| s.started < probe.written);
-        let held = then.map(|s| s.replica.get(probe.origin, &probe.key));
-        held.filter(|h| *h != Some(probe.value.as_slice())).count()
+        let stored = then.map(|s| s.replica.get(probe.origin, &probe.key));
+        stored
+            .filter(|h| *h != Some(probe.value.as_slice()))
+            .count()
     }
 }
 
@@ -308,14 +314,14 @@
     usize::from(address.port()) - 1
 }
 
-/// Times rows of one kind through the fleet, one after the other.
+/// Times the propagation of rows of one kind, one row after the other.
 struct Timing {
     kind: Kind,
     open: Option<Probe>,
     next: Instant,
-    /// Until 99 of 100 daemons had it.
+    /// Seconds until 99 of 100 daemons had the row.
     most: Vec<f64>,
-    /// Until the last daemon had it.
+    /// Seconds until all daemons had the row.
     last: Vec<f64>,
     missing: usize,
 }
@@ -344,28 +350,28 @@
             if missing == 0 {
                 self.last.push(age.as_secs_f64());
                 self.open = None;
-            } else if !writer_runs || age > PROBE_LIMIT {
+            } else if !writer_runs || age > PROBE_TIMEOUT {
                 self.missing += usize::from(writer_runs);
                 self.most.truncate(self.last.len());
                 self.open = None;
             }
         }
         if self.open.is_none() && self.next <= fleet.now {
-            self.next = fleet.now + PROBE_EVERY;
+            self.next = fleet.now + PROBE_INTERVAL;
             self.open = Some(fleet.probe(self.kind));
         }
     }
 
     fn report(&mut self) -> String {
-        let (most, last) = (spread(&mut self.most), spread(&mut self.last));
+        let (most, last) = (summary(&mut self.most), summary(&mut self.last));
         let count = self.last.len();
         let missing = self.missing;
         format!("99 in 100 daemons {most}; all {last}; {count} rows, {missing} never arrived")
     }
 }
 
-/// Median and worst of times, in seconds and in rounds.
-fn spread(seconds: &mut [f64]) -> String {
+/// Median and maximum of times, in seconds; the maximum also in rounds.
+fn summary(seconds: &mut [f64]) -> String {
     seconds.sort_by(f64::total_cmp);
     let median = seconds.get(seconds.len() / 2).copied().unwrap_or(f64::NAN);
     let worst = seconds.last().copied().unwrap_or(f64::NAN);
