--- a/daemon/benches/footprint.rs
+++ b/daemon/benches/footprint.rs
@@ -1,4 +1,4 @@
-//! Measures what an idle daemon costs: processor time, memory and calls of the
+//! Measures the cost of an idle daemon: processor time, memory and calls to the
 //! key-value service, for several fleets of real processes around one store.
 //!
 //! `cargo bench -p poplarvaled --bench footprint`. The slopes go into
@@ -15,20 +15,20 @@
 
 const DAEMON: &str = env!("CARGO_BIN_EXE_poplarvaled");
 const ZONES: [&str; 4] = ["hanko", "porkkala", "espoo", "kotka"];
-/// Time in which daemons meet and lists spread.
-const SETTLE: Duration = Duration::from_secs(12);
-/// Time over which is measured.
+/// Time for the daemons to find each other and for the lists to spread.
+const SETTLE_TIME: Duration = Duration::from_secs(12);
+/// Time over which the fleet is measured.
 const WINDOW: Duration = Duration::from_secs(15);
-/// Ticks of the processor clock a second, as Linux counts them for programs.
-const CLOCK: f64 = 100.0;
+/// Clock ticks per second in which Linux reports processor times (`USER_HZ`).
+const TICKS_PER_S: f64 = 100.0;
 
-/// A fleet to measure: daemons, and endpoints that each knows.
-const SCENES: [(usize, usize); 5] = [(1, 10), (8, 10), (8, 230), (24, 230), (48, 230)];
+/// Measured fleets: number of daemons, and of endpoints in the settings of each.
+const FLEETS: [(usize, usize); 5] = [(1, 10), (8, 10), (8, 230), (24, 230), (48, 230)];
 
 fn main() {
     println!("| daemons | endpoints | core, mean | core, worst | memory, worst | store calls/s |");
     println!("| --- | --- | --- | --- | --- | --- |");
-    for (daemons, endpoints) in SCENES {
+    for (daemons, endpoints) in FLEETS {
         measure(daemons, endpoints);
     }
 }
@@ -43,13 +43,13 @@
         let args = ["--settings", &file.to_string_lossy()];
         daemons.push(Process::start(Path::new(DAEMON), &args));
     }
-    thread::sleep(SETTLE);
-    let (before, calls) = (times(&daemons), calls(&store));
+    thread::sleep(SETTLE_TIME);
+    let (before, calls) = (times(&daemons), store_calls(&store));
     thread::sleep(WINDOW);
-    let (after, later) = (times(&daemons), self::calls(&store));
+    let (after, later) = (times(&daemons), store_calls(&store));
     let window = WINDOW.as_secs_f64();
     let used = before.iter().zip(&after);
-    let cores: Vec<f64> = used.map(|(a, b)| (b - a) / CLOCK / window).collect();
+    let cores: Vec<f64> = used.map(|(a, b)| (b - a) / TICKS_PER_S / window).collect();
     let mean = cores.iter().sum::<f64>() / cores.len() as f64;
     let worst = cores.iter().copied().fold(0.0, f64::max);
     let memory = daemons.iter().map(resident).fold(0.0, f64::max);
@@ -70,7 +70,7 @@
 ) -> Value {
     folder.write("operators.token", "operators");
     folder.write("peers.token", "peers");
-    // Nothing listens there: what is measured is what a daemon keeps of them.
+    // Nothing listens at these addresses; only the state kept for an endpoint is measured.
     let endpoints: Vec<Value> = (0..endpoints)
         .map(|n| {
             let zone = ZONES[n % ZONES.len()];
@@ -91,21 +91,24 @@
     })
 }
 
-/// Processor time that each process has used, in ticks of its clock.
+/// Processor time that each process has used, in clock ticks.
 fn times(daemons: &[Process]) -> Vec<f64> {
     let ticks = |daemon: &Process| {
         let stat = fs::read_to_string(format!("/proc/{}/stat", daemon.id()));
         let stat = stat.expect("the process runs");
-        // The name in parentheses may hold spaces; the fields after it do not.
-        let fields = stat.rsplit(") ").next().expect("a line of fields");
+        // The name in parentheses may contain spaces; the fields after it do not.
+        let fields = stat
+            .rsplit(") ")
+            .next()
+            .expect("the line has fields after the name");
         let fields: Vec<&str> = fields.split(' ').collect();
-        let number = |at: usize| fields[at].parse::<f64>().expect("a number");
+        let number = |at: usize| fields[at].parse::<f64>().expect("the field is a number");
         number(11) + number(12)
     };
     daemons.iter().map(ticks).collect()
 }
 
-/// Resident memory of a process, in megabytes.
+/// Resident memory of a process in megabytes.
 fn resident(daemon: &Process) -> f64 {
     let status = fs::read_to_string(format!("/proc/{}/status", daemon.id()));
     let status = status.expect("the process runs");
@@ -115,14 +118,16 @@
     kilobytes.unwrap_or(0.0) / 1024.0
 }
 
-/// Calls that the store has counted, watches among them.
-fn calls(store: &Process) -> f64 {
+/// Number of calls that the store has counted, including watches.
+fn store_calls(store: &Process) -> f64 {
     let url = format!("http://{}/counts", store.address("listening"));
     let counts = actix_web::rt::System::new().block_on(async move {
         let response = awc::Client::default().get(url).send().await;
-        let json = response.expect("it answers").json::<Value>().await;
-        json.expect("it is JSON")
+        let json = response.expect("the store answers").json::<Value>().await;
+        json.expect("the answer is JSON")
     });
-    let counts = counts.as_object().expect("counts by kind");
+    let counts = counts
+        .as_object()
+        .expect("the answer is an object of counts by kind");
     counts.values().filter_map(Value::as_f64).sum()
 }
--- a/daemon/benches/path.rs
+++ b/daemon/benches/path.rs
@@ -1,11 +1,11 @@
-//! Latency that a daemon adds, and requests a second through one daemon.
+//! Measures the latency that a daemon adds, and the requests per second through one daemon.
 //!
-//! A model engine's stand-in, a booking application's and one daemon run as
-//! processes. The same callers ask the stand-in directly and through the daemon,
-//! in turns within one run (direct, daemon, daemon, direct), so that what else
-//! the machine does falls on both. The stand-ins take no time of their own
-//! beyond their timers' step of about a millisecond a token, so the difference
-//! is what the daemon adds; it is not what a loaded site would show.
+//! The stand-ins for a model engine and for a booking application and one daemon run as
+//! processes. The same callers send requests to the stand-in directly and through the daemon,
+//! in turns within one run (direct, daemon, daemon, direct), so that other load on
+//! the machine affects both. The stand-ins take no time beyond the resolution of
+//! their timers, about a millisecond per token, so the difference
+//! is the latency added by the daemon; it is not the latency of a loaded site.
 //!
 //! `cargo bench -p poplarvaled --bench path` takes about a minute.
 
@@ -30,18 +30,18 @@
 
 const DAEMON: &str = env!("CARGO_BIN_EXE_poplarvaled");
 const KEY: &str = "bench";
-/// Callers at once.
+/// Numbers of concurrent callers.
 const CALLERS: [usize; 3] = [1, 8, 32];
-/// Threads of callers at most, so that the callers are not what is measured.
+/// Maximum of threads for the callers, so that they do not limit the result.
 const THREADS: usize = 4;
-/// Length of a turn, after its warm-up.
+/// Duration of a turn after its warm-up.
 const TURN: Duration = Duration::from_millis(1_200);
 const WARM_UP: Duration = Duration::from_millis(200);
-/// Requests that one caller sends in a turn at most.
-const MOST: usize = 200_000;
+/// Maximum of requests that one caller sends in a turn.
+const MAX_REQUESTS: usize = 200_000;
 
 fn main() {
-    // This program is also the stand-ins' program: the bench needs none beside it.
+    // This program also runs as the stand-ins, so the benchmark needs no other programs.
     let mut words = env::args().skip_while(|word| word != "--stand-in").skip(1);
     match words.next().as_deref() {
         Some("engine") => stand_in_engine(),
@@ -52,14 +52,14 @@
 }
 
 fn stand_in_engine() {
-    let pace = EngineSpeed {
+    let speed = EngineSpeed {
         block_us: 0,
         token_us: 0,
         slots: 64,
         cache: 4_096,
         ..EngineSpeed::default()
     };
-    let engine = Engine::new(pace, "v1", true);
+    let engine = Engine::new(speed, "v1", true);
     stand_in(move |config| engine.routes(config));
 }
 
@@ -70,12 +70,15 @@
 
 /// Serves routes at an address that it prints.
 ///
-/// Pieces are sent at once. Otherwise the kernel holds a small piece back until
-/// the one before it is acknowledged, which a reader delays by 40 ms, and the
-/// figures would show that in place of the daemon.
+/// Sets `TCP_NODELAY`. Without it the kernel holds a small packet back until
+/// the previous one is acknowledged, which a reader delays by 40 ms, and the
+/// results would show this delay instead of the daemon's.
 fn stand_in(routes: impl Fn(&mut ServiceConfig) + Clone + Send + 'static) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-    println!("listening {}", listener.local_addr().expect("it is bound"));
+    println!(
+        "listening {}",
+        listener.local_addr().expect("the listener has an address")
+    );
     let serving = async move {
         HttpServer::new(move || App::new().configure(routes.clone()))
             .workers(1)
@@ -94,17 +97,17 @@
     }
 }
 
-/// A kind of call.
+/// A kind of request.
 #[derive(Clone)]
 struct Kind {
     name: &'static str,
-    /// Path at the stand-in.
+    /// Path for requests to the stand-in.
     direct: &'static str,
-    /// Path at the daemon.
+    /// Path for requests to the daemon.
     through: &'static str,
-    /// Body; none for a GET.
+    /// Body; `None` for a GET request.
     body: Option<String>,
-    /// What a whole answer contains.
+    /// Text that a complete answer contains.
     mark: &'static str,
 }
 
@@ -134,14 +137,14 @@
     }
 }
 
-/// What callers got.
-struct Got {
+/// Results of callers: latencies in microseconds, failures and the measured time.
+struct Results {
     micros: Histogram<u64>,
     failed: u64,
     span: Duration,
 }
 
-impl Got {
+impl Results {
     fn new() -> Self {
         Self {
             micros: Histogram::new(3).expect("three digits are allowed"),
@@ -150,15 +153,17 @@
         }
     }
 
-    /// Adds what others got at the same time.
-    fn join(&mut self, other: &Self) {
-        self.micros.add(&other.micros).expect("bounds are alike");
+    /// Adds the results of other callers of the same turn.
+    fn merge(&mut self, other: &Self) {
+        self.micros
+            .add(&other.micros)
+            .expect("the histograms have the same bounds");
         self.failed += other.failed;
     }
 
-    /// Adds what was got in a later turn.
-    fn follow(&mut self, other: &Self) {
-        self.join(other);
+    /// Adds the results of a later turn.
+    fn add_turn(&mut self, other: &Self) {
+        self.merge(other);
         self.span += other.span;
     }
 
@@ -202,7 +207,7 @@
     }
 }
 
-/// What the daemon's metrics tell of its ticks.
+/// Number and total duration of the daemon's ticks, from its metrics.
 struct Ticks {
     count: f64,
     seconds: f64,
@@ -215,7 +220,7 @@
                 .get(format!("http://{operators}/metrics"))
                 .insert_header(("authorization", "Bearer operators"));
             let mut response = request.send().await.expect("the daemon answers");
-            response.body().await.expect("the page is whole")
+            response.body().await.expect("the page is complete")
         });
         let page = String::from_utf8_lossy(&page);
         let value = |name: &str| {
@@ -236,14 +241,14 @@
     }
 }
 
-/// Measures one kind of call both ways, in turns, and prints the rows.
+/// Measures one kind of request directly and through the daemon, in turns, and prints the rows.
 fn compare(kind: &Kind, count: usize, stand_in: SocketAddr, daemon: SocketAddr) {
-    let (mut direct, mut through) = (Got::new(), Got::new());
+    let (mut direct, mut through) = (Results::new(), Results::new());
     for is_direct in [true, false, false, true] {
         if is_direct {
-            direct.follow(&turn(kind, count, stand_in, kind.direct));
+            direct.add_turn(&turn(kind, count, stand_in, kind.direct));
         } else {
-            through.follow(&turn(kind, count, daemon, kind.through));
+            through.add_turn(&turn(kind, count, daemon, kind.through));
         }
     }
     print(kind.name, count, "direct", &direct);
@@ -260,7 +265,7 @@
     );
 }
 
-fn print(name: &str, count: usize, to: &str, got: &Got) {
+fn print(name: &str, count: usize, to: &str, got: &Results) {
     println!(
         "{name:<16} {count:>7} {to:<7} {:>9.0} {:>8.2} {:>8.2} {:>8.2} {:>7}",
         got.rate(),
@@ -271,8 +276,8 @@
     );
 }
 
-/// Lets callers call for one turn, spread over threads.
-fn turn(kind: &Kind, count: usize, to: SocketAddr, path: &str) -> Got {
+/// Runs the callers for one turn, spread over threads.
+fn turn(kind: &Kind, count: usize, to: SocketAddr, path: &str) -> Results {
     let threads = count.min(THREADS);
     let start = |thread: usize| {
         let share = count / threads + usize::from(thread < count % threads);
@@ -280,35 +285,35 @@
         thread::spawn(move || actix_web::rt::System::new().block_on(callers(share, kind, url)))
     };
     let running: Vec<_> = (0..threads).map(start).collect();
-    let mut all = Got::new();
+    let mut all = Results::new();
     for thread in running {
-        all.join(&thread.join().expect("the callers end"));
+        all.merge(&thread.join().expect("the callers do not panic"));
     }
     all.span = TURN;
     all
 }
 
-async fn callers(count: usize, kind: Kind, url: String) -> Got {
+async fn callers(count: usize, kind: Kind, url: String) -> Results {
     let client = Client::builder().timeout(Duration::from_secs(10)).finish();
     let one = |_| caller(&client, &kind, &url);
-    let mut all = Got::new();
+    let mut all = Results::new();
     for got in futures::future::join_all((0..count).map(one)).await {
-        all.join(&got);
+        all.merge(&got);
     }
     all
 }
 
-/// One caller, which asks again as soon as it has its answer.
-async fn caller(client: &Client, kind: &Kind, url: &str) -> Got {
+/// One caller, which sends the next request as soon as it has an answer.
+async fn caller(client: &Client, kind: &Kind, url: &str) -> Results {
     let begin = Instant::now() + WARM_UP;
     let end = begin + TURN;
-    let mut got = Got::new();
-    for _ in 0..MOST {
+    let mut got = Results::new();
+    for _ in 0..MAX_REQUESTS {
         let asked = Instant::now();
         if asked >= end {
             break;
         }
-        let whole = ask(client, kind, url).await;
+        let whole = request(client, kind, url).await;
         let answered = Instant::now();
         if answered < begin || answered >= end {
             continue;
@@ -323,8 +328,8 @@
     got
 }
 
-/// Asks once; says whether the answer came whole.
-async fn ask(client: &Client, kind: &Kind, url: &str) -> bool {
+/// Sends one request; returns whether the answer is complete.
+async fn request(client: &Client, kind: &Kind, url: &str) -> bool {
     let bearer = ("authorization", format!("Bearer {KEY}"));
     let sent = match &kind.body {
         Some(body) => {
@@ -343,17 +348,17 @@
     response.status().is_success() && String::from_utf8_lossy(&body).contains(kind.mark)
 }
 
-/// Makes the booking whose status is asked for.
+/// Makes the booking whose status is requested.
 fn book(plain: SocketAddr) {
     let booked = actix_web::rt::System::new().block_on(async move {
         let request = Client::default().post(format!("http://{plain}/bookings"));
         request.send_json(&json!({"id": "b-1"})).await.is_ok()
     });
-    assert!(booked, "the application takes no booking");
+    assert!(booked, "the application rejected the booking");
 }
 
-/// Writes the settings of a daemon with one endpoint a service and a plan that
-/// limits nothing; returns the file.
+/// Writes the settings of a daemon with one endpoint per service and a plan whose limits
+/// are never reached; returns the path of the file.
 fn settings(folder: &Folder, engine: SocketAddr, plain: SocketAddr) -> String {
     folder.write("operators.token", "operators");
     folder.write("peers.token", "peers");
