--- a/lib/gen-protos/src/main.rs
+++ b/lib/gen-protos/src/main.rs
@@ -1,8 +1,8 @@
-//! Regenerates the committed border types from the `.proto` files beside them.
+//! Generates the committed wire types from the `.proto` files in the same directory.
 //!
 //! Run it after a change to a file under `lib/src/protos`. With `--check` it
-//! writes nothing and fails when a committed file differs, which CI uses, so
-//! that the build itself needs no generator.
+//! changes no committed file and fails if one differs from the generated one. CI runs this
+//! check, so that the build itself needs no generator.
 
 use std::error::Error;
 use std::fs;
@@ -28,7 +28,7 @@
     }
 }
 
-/// Generates all types; returns the files that differ when only checking.
+/// Generates all types; if `check` is set, returns the committed files that differ.
 fn run(check: bool) -> Result<Vec<PathBuf>, Box<dyn Error>> {
     let dir = Path::new(PROTO_DIR);
     let out = if check {
@@ -41,7 +41,7 @@
     if !check {
         return Ok(Vec::new());
     }
-    let stale = differing(&out, dir)?;
+    let stale = changed_files(&out, dir)?;
     fs::remove_dir_all(&out)?;
     Ok(stale)
 }
@@ -59,7 +59,7 @@
     Ok(())
 }
 
-fn differing(fresh: &Path, committed: &Path) -> Result<Vec<PathBuf>, Box<dyn Error>> {
+fn changed_files(fresh: &Path, committed: &Path) -> Result<Vec<PathBuf>, Box<dyn Error>> {
     let mut stale = Vec::new();
     for file in files(fresh, "rs")? {
         let name = file.file_name().ok_or("a generated file has no name")?;
@@ -71,11 +71,11 @@
     Ok(stale)
 }
 
-fn files(dir: &Path, ending: &str) -> Result<Vec<PathBuf>, Box<dyn Error>> {
+fn files(dir: &Path, extension: &str) -> Result<Vec<PathBuf>, Box<dyn Error>> {
     let mut found = Vec::new();
     for entry in fs::read_dir(dir)? {
         let path = entry?.path();
-        if path.extension().is_some_and(|e| e == ending) {
+        if path.extension().is_some_and(|e| e == extension) {
             found.push(path);
         }
     }
