--- a/demos/embedded.sh
+++ b/demos/embedded.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Builds and starts one daemon without a platform, in front of two model engines
+# Builds and runs one daemon without a platform, in front of two model engines
 # and a booking application, until Ctrl-C. Uses ports 8080 to 8082 and 8091 to 8093.
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -7,7 +7,7 @@
 cargo build --quiet --workspace --bins
 programs="${CARGO_TARGET_DIR:-target}/debug"
 
-# Ends what this script started and still runs.
+# Stops the programs that this script started and that still run.
 finish() {
   trap - EXIT INT TERM
   for child in $(jobs -pr); do
@@ -39,7 +39,7 @@
 curl -N http://127.0.0.1:8080/v1/chat/completions -H 'Authorization: Bearer surf-demo' -H 'Content-Type: application/json' -d '{"model":"surf-lm","stream":true,"max_tokens":20,"messages":[{"role":"user","content":"Any waves in Hanko?"}]}'
 
 TEXT
-# Ends as soon as any of the programs does, so that a half-dead site is noticed.
+# Ends as soon as any of the programs exits, so that a partly running site is noticed.
 wait -n
 echo "one of the programs ended" >&2
 exit 1
--- a/demos/whole-path.sh
+++ b/demos/whole-path.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# The whole path as processes: a key-value service, two model engines, a booking
+# Runs the whole request path as processes: a key-value service, two model engines, a booking
 # application and three daemons in three availability zones. Ends with a message
-# and a code other than 0 if any answer is not what it should be.
+# and a non-zero exit code if any answer is not as expected.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -12,8 +12,9 @@
 programs="${CARGO_TARGET_DIR:-$PWD/target}/debug"
 folder=$(mktemp -d)
 
-# Ends what this script started and still runs; an id that was freed by a program
-# that ended may belong to somebody else by now, so no list of ids is kept.
+# Kills the programs that this script started and that still run. It asks the shell for them
+# instead of keeping a list of ids, since the id of a program that has exited may belong to
+# another process by now.
 finish() {
   trap - EXIT
   for child in $(jobs -pr); do
@@ -34,7 +35,7 @@
   echo "== $*"
 }
 
-# Starts a program under a name and waits for its first line.
+# Starts a program under a name and waits for its first line of output.
 start() {
   local name=$1
   shift
@@ -48,12 +49,12 @@
   fail "$name did not start"
 }
 
-# The address behind a word of a program's first line.
+# Prints the address that follows a word in the first line of a program's output.
 address() {
   head -n 1 "$folder/$1.out" | tr ' ' '\n' | grep -A 1 "^$2\$" | tail -n 1
 }
 
-# A value of a JSON file: `value FILE 'an expression of python over it'`.
+# Prints a value from a JSON file: `value FILE EXPRESSION`, a Python expression over `it`.
 value() {
   python3 -c 'import json, sys
 it = json.load(open(sys.argv[1]))
@@ -64,7 +65,7 @@
   [ "$2" = "$3" ] || fail "$1: expected $3, found $2"
 }
 
-# A caller's call: `call DAEMON FILE PATH [curl's arguments]`; prints the status.
+# Sends a caller's request: `call DAEMON FILE PATH [curl arguments]`; prints the status code.
 call() {
   local daemon=$1 file=$2 path=$3
   shift 3
@@ -80,7 +81,8 @@
     --token-file "$folder/operators.token" "$@"
 }
 
-# Text of a stream and its event ids; fails if they have a gap or no end mark.
+# Prints the last event id and the text of a stream: `read_stream FILE FIRST whole|part`. Fails
+# if tokens are missing or duplicated, or if a whole stream has no end mark.
 read_stream() {
   python3 - "$folder/$1" "$2" "$3" <<'PYTHON'
 import json, sys
@@ -160,7 +162,7 @@
   start daemon-3 "$programs/poplarvaled" --settings "$folder/daemon-3.json"
 }
 
-# Puts a file with lists, at most 20 seconds until the daemon is ready for it.
+# Puts the lists of a file; retries for at most 20 seconds until the daemon accepts them.
 put_lists() {
   local daemon=$1 file=$2
   for _ in $(seq 100); do
@@ -173,7 +175,7 @@
   fail "the lists were not accepted"
 }
 
-# Waits at most 20 seconds until a revision is in force on all three daemons.
+# Waits until all three daemons have applied a revision, at most 20 seconds for each.
 in_force() {
   local revision=$1
   for daemon in daemon-1 daemon-2 daemon-3; do
@@ -219,9 +221,9 @@
 
 resume_a_chat() {
   step "the same chat again, broken off by its caller and resumed through daemon 2"
-  # curl ends with an error once nobody reads on, which is what is wanted here.
+  # curl fails once its reader has closed the pipe, which is intended here.
   { call_broken_off || true; } > "$folder/begin"
-  # The last event may be half; only those that end in a blank line count.
+  # The last event may be incomplete; only events that end in a blank line count.
   read_stream begin 0 part > "$folder/begin.text" || fail "the beginning has gaps"
   local last request place status
   last=$(head -n 1 "$folder/begin.text")
@@ -275,7 +277,7 @@
     operate "$daemon" dump plans reader > "$folder/plan.json"
     equal "the plan at $daemon" "$(value plan.json 'it["running"]')" 17
   done
-  # An edit of lists that are no longer those in force must not win.
+  # An edit that is based on an older revision of the lists must be rejected.
   local code=0
   operate daemon-1 lists put "$folder/edited.json" 2> /dev/null || code=$?
   equal "exit code of an edit of older lists" "$code" 3
@@ -295,8 +297,8 @@
   equal "exit code with a wrong token" "$code" 4
 }
 
-# A new version fails every request; the move to it must be taken back, and no
-# caller may notice.
+# Moves to a version that fails every request. The move must be rolled back, and no caller may
+# see a failure.
 move_a_version() {
   step "a move to a version that fails, which is taken back"
   curl --silent --max-time 5 --header 'Content-Type: application/json' \
