--- a/daemon/src/answer.rs
+++ b/daemon/src/answer.rs
@@ -1,10 +1,9 @@
-//! The answer to a request, as far as it has come.
+//! The answer to a request, with the pieces received so far.
 //!
-//! Pieces are kept from the first on, so that a caller can come back for them,
-//! and so that a stream that breaks off is continued after the last piece that
-//! arrived. Only the attempt that is current may add pieces, each at its own
-//! offset: a late, doubled or swapped event can neither reach another caller nor
-//! make a token appear twice.
+//! All pieces are kept, so that a caller can fetch them again and an interrupted stream continues
+//! after the last piece received. Only the current attempt may add pieces, each at its own offset:
+//! a late, duplicate or misdirected event can neither reach another caller nor make a token appear
+//! twice.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
@@ -18,11 +17,11 @@
 pub struct Head {
     /// HTTP status.
     pub status: u16,
-    /// Headers that are passed on.
+    /// Headers that are forwarded.
     pub headers: Vec<(CompactString, Bytes)>,
 }
 
-/// Why a piece was not taken.
+/// Why a piece was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PieceError {
     /// It comes from an attempt that is no longer current.
@@ -31,19 +30,19 @@
     /// Pieces before it are missing.
     #[error("pieces before this one are missing")]
     Gap,
-    /// The answer grew over its limit.
+    /// The answer would exceed its size limit.
     #[error("the answer is larger than allowed")]
     Large,
 }
 
-/// What a reader finds.
+/// Snapshot of an answer for a reader.
 #[derive(Clone, Debug, PartialEq)]
 pub struct View {
-    /// Head, if it came.
+    /// Head, if it was received.
     pub head: Option<Head>,
-    /// Pieces from the asked one on.
+    /// Pieces from the requested one on.
     pub pieces: Vec<Bytes>,
-    /// How the request ended, if it did.
+    /// How the request ended, if it has.
     pub ending: Option<Ending>,
 }
 
@@ -57,32 +56,32 @@
     readers: u32,
 }
 
-/// An answer that grows.
+/// An answer to which pieces are added.
 #[derive(Debug)]
 pub struct Answer {
     /// Request it belongs to.
     pub id: RequestId,
     /// Customer it belongs to.
     pub customer: CustomerId,
-    most: usize,
+    max_bytes: usize,
     state: Mutex<State>,
     changed: watch::Sender<()>,
 }
 
 impl Answer {
-    /// An empty answer of at most `most` bytes.
-    pub fn new(id: RequestId, customer: CustomerId, most: usize) -> Self {
+    /// An empty answer of at most `max_bytes` bytes.
+    pub fn new(id: RequestId, customer: CustomerId, max_bytes: usize) -> Self {
         Self {
             id,
             customer,
-            most,
+            max_bytes,
             state: Mutex::default(),
             changed: watch::Sender::new(()),
         }
     }
 
-    /// Makes an attempt the one that may add pieces.
-    pub fn begin(&self, attempt: AttemptId) {
+    /// Makes an attempt the current one, which alone may add pieces.
+    pub fn set_attempt(&self, attempt: AttemptId) {
         self.lock().attempt = attempt;
     }
 
@@ -99,11 +98,10 @@
         Ok(())
     }
 
-    /// Adds the piece at an offset; one that is there already is passed over.
-    /// Returns the number of pieces.
+    /// Adds a piece at an offset, unless it is already present; returns the number of pieces.
     ///
     /// # Errors
-    /// If the attempt is not current, pieces are missing or the answer is full.
+    /// If the attempt is not current, earlier pieces are missing or the size limit is exceeded.
     pub fn push(&self, attempt: AttemptId, at: u32, piece: Bytes) -> Result<u32, PieceError> {
         let mut state = self.lock();
         if state.attempt != attempt || state.ending.is_some() {
@@ -116,7 +114,7 @@
         if at > count {
             return Err(PieceError::Gap);
         }
-        if state.bytes + piece.len() > self.most {
+        if state.bytes + piece.len() > self.max_bytes {
             return Err(PieceError::Large);
         }
         state.bytes += piece.len();
@@ -126,13 +124,13 @@
         Ok(count + 1)
     }
 
-    /// Ends the answer; the first ending stays.
+    /// Ends the answer. A later ending does not replace an earlier one.
     pub fn end(&self, ending: Ending) {
         self.lock().ending.get_or_insert(ending);
         self.changed.send_replace(());
     }
 
-    /// What is there from piece `from` on.
+    /// Snapshot with the pieces from `from` on.
     pub fn view(&self, from: usize) -> View {
         let state = self.lock();
         View {
@@ -142,13 +140,13 @@
         }
     }
 
-    /// Number of pieces that are there.
+    /// Number of pieces received.
     pub fn count(&self) -> u32 {
         self.lock().pieces.len() as u32
     }
 
-    /// Waits until there is a piece after `from` or the ending.
-    pub async fn grown(&self, from: usize) -> View {
+    /// Waits until piece `from` or the ending is present.
+    pub async fn wait_pieces(&self, from: usize) -> View {
         let mut changes = self.changed.subscribe();
         loop {
             let view = self.view(from);
@@ -161,7 +159,7 @@
     }
 
     /// Waits until the request has ended.
-    pub async fn ended(&self) -> View {
+    pub async fn wait_end(&self) -> View {
         let mut changes = self.changed.subscribe();
         loop {
             let view = self.view(0);
@@ -178,7 +176,7 @@
         self.lock().ending.is_some()
     }
 
-    /// Callers that read at this moment.
+    /// Number of callers that currently read the answer.
     pub fn readers(&self) -> u32 {
         self.lock().readers
     }
@@ -187,7 +185,7 @@
         self.lock().readers += 1;
     }
 
-    pub(crate) fn drop_reader(&self) -> u32 {
+    pub(crate) fn remove_reader(&self) -> u32 {
         let mut state = self.lock();
         state.readers = state.readers.saturating_sub(1);
         state.readers
--- a/daemon/src/attempt.rs
+++ b/daemon/src/attempt.rs
@@ -1,10 +1,10 @@
-//! One sending of a request to an endpoint, over HTTP.
+//! One attempt: a request sent to one endpoint over HTTP.
 
-mod carry;
+mod kv_transfer;
 mod model;
 mod plain;
 
-pub(crate) use carry::{Carry, Earlier};
+pub(crate) use kv_transfer::{EarlierAttempt, KvTransfer};
 
 use std::io;
 use std::time::Duration;
@@ -18,45 +18,46 @@
 use crate::core::{Core, Report};
 use crate::job::{Form, Job};
 
-/// Longest wait for a connection. Endpoints stand at most a few milliseconds
-/// away; one that takes a second is gone or overrun.
-const CONNECT: Duration = Duration::from_secs(1);
+/// Timeout for a connection. Endpoints are at most a few milliseconds away; one that takes a second
+/// is gone or overloaded.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Connections to model engines, and the limit on plain answers.
+/// Connection pool for model engines, and the size limit of plain services' answers in bytes.
 #[derive(Clone)]
 pub(crate) struct Clients {
     pooled: Client,
-    most: usize,
+    max_answer: usize,
 }
 
 impl Clients {
     pub(crate) fn new(limits: &Limits) -> Self {
-        let connector = Connector::new().timeout(CONNECT).limit(0);
-        // Deadlines are kept by the world, which cancels what is overdue.
+        let connector = Connector::new().timeout(CONNECT_TIMEOUT).limit(0);
+        // The core enforces deadlines by cancelling overdue attempts; the client has no timeout.
         let builder = Client::builder().disable_timeout().disable_redirects();
         Self {
             pooled: builder.connector(connector).finish(),
-            most: limits.answer_bytes as usize,
+            max_answer: limits.answer_bytes as usize,
         }
     }
 }
 
-/// Moves the KV cache of the earlier sending over, then sends as [`run`] does.
-/// The new sending may add to the answer only from then on, so that the earlier
-/// one can until then.
-pub(crate) async fn run_after(
+/// Transfers the KV cache of the earlier attempt, then sends the request as [`run`] does.
+///
+/// The new attempt may add to the answer only after the transfer; until then the earlier one still
+/// may.
+pub(crate) async fn run_after_transfer(
     clients: Clients,
     job: Job,
     send: Send,
     core: Addr<Core>,
-    carry: Carry,
+    transfer: KvTransfer,
 ) {
-    carry.run(&clients.pooled, send.address).await;
-    job.answer.begin(send.attempt);
+    transfer.run(&clients.pooled, send.address).await;
+    job.answer.set_attempt(send.attempt);
     run(clients, job, send, core).await;
 }
 
-/// Sends a request and passes its answer on; reports how it ended.
+/// Sends a request, adds the response to the answer and reports the outcome to the core.
 pub(crate) async fn run(clients: Clients, job: Job, send: Send, core: Addr<Core>) {
     let client = &clients.pooled;
     let outcome = match &*job.form {
@@ -71,14 +72,18 @@
                 method,
                 target,
                 headers,
-                most: clients.most,
+                max_bytes: clients.max_answer,
             };
             plain::run(&job, &send, call).await
         }
     };
     if let Outcome::Failed { code } = &outcome {
         let id = hex(send.attempt);
-        log::info!("attempt: {id} broke at {}: {}", send.endpoint, code.title());
+        log::info!(
+            "attempt: {id} failed at {}: {}",
+            send.endpoint,
+            code.title()
+        );
     }
     let ended = Input::Ended {
         attempt: send.attempt,
@@ -88,9 +93,11 @@
     core.do_send(Report(ended));
 }
 
-/// What an error of a pooled connection proves. Only that none could be made
-/// proves that nothing was sent: one that broke counts as `Connect` too.
-fn failed(error: &SendRequestError) -> Outcome {
+/// Outcome of an attempt whose pooled connection failed.
+///
+/// Only a connection timeout or a refused connection proves that nothing was sent: the client also
+/// reports a connection that broke later as `Connect`.
+fn connection_outcome(error: &SendRequestError) -> Outcome {
     match error {
         SendRequestError::Connect(ConnectError::Timeout) => Outcome::Unsent(NotSent),
         SendRequestError::Connect(ConnectError::Io(error))
@@ -102,7 +109,8 @@
     }
 }
 
-fn refused(error: PieceError) -> Outcome {
+/// Outcome of an attempt of which the answer rejected a piece.
+fn piece_outcome(error: PieceError) -> Outcome {
     let code = match error {
         PieceError::Stale => Code::WrongAnswer,
         PieceError::Gap => Code::Broken,
--- a/daemon/src/attempt/model.rs
+++ b/daemon/src/attempt/model.rs
@@ -1,8 +1,7 @@
-//! A completion from a model engine, as a stream.
+//! Reads a completion from a model engine as a stream.
 //!
-//! The engine is always asked for a stream, also for callers who want the whole
-//! answer at once, so that an engine that dies costs only the tokens after the
-//! last one that arrived.
+//! The engine always streams, even if the caller wants one buffered response, so that the failure
+//! of an engine costs only the tokens after the last one received.
 
 use actix::Addr;
 use awc::Client;
@@ -12,21 +11,21 @@
 use poplarvale_lib::protos::caller::Chunk;
 use poplarvale_lib::{Code, Input, Outcome, Send, from_hex, hex};
 
-use super::{failed, refused};
+use super::{connection_outcome, piece_outcome};
 use crate::core::{Core, Report};
 use crate::job::Job;
 
-/// Tokens after which the core is told how far the answer is.
-const REPORT_EVERY: u32 = 16;
-/// End of a stream in the OpenAI form.
+/// Number of tokens between two progress reports to the core.
+const REPORT_TOKENS: u32 = 16;
+/// Data of the event that ends a stream in the OpenAI format.
 const DONE: &str = "[DONE]";
 
-/// What an event did to the answer.
+/// Effect of an event on the answer.
 enum Step {
-    /// The answer goes on.
-    More(u32),
-    /// The answer is whole.
-    Whole,
+    /// The answer continues; the number of pieces so far.
+    Continues(u32),
+    /// The answer is complete.
+    Complete,
 }
 
 pub(super) async fn run(
@@ -43,7 +42,7 @@
         .insert_header(("x-resume-from", job.answer.count().to_string()));
     let response = match request.send_body(job.body.clone()).await {
         Ok(response) => response,
-        Err(error) => return failed(&error),
+        Err(error) => return connection_outcome(&error),
     };
     if !response.status().is_success() {
         return Outcome::Failed { code: Code::Broken };
@@ -53,21 +52,21 @@
         let Ok(event) = event else {
             return Outcome::Failed { code: Code::Broken };
         };
-        match take(job, send, &event) {
-            Ok(Step::Whole) => return Outcome::Complete { status: 200 },
-            Ok(Step::More(count)) => report(send, core, count),
+        match apply_event(job, send, &event) {
+            Ok(Step::Complete) => return Outcome::Complete { status: 200 },
+            Ok(Step::Continues(count)) => report(send, core, count),
             Err(outcome) => return outcome,
         }
     }
-    // The connection closed before the end mark: the answer is not whole.
+    // The connection closed before the end marker: the answer is incomplete.
     Outcome::Failed { code: Code::Broken }
 }
 
-/// Adds an event to the answer, if it belongs to it.
-fn take(job: &Job, send: &Send, event: &Event) -> Result<Step, Outcome> {
+/// Adds an event to the answer, after checking that it belongs to this attempt.
+fn apply_event(job: &Job, send: &Send, event: &Event) -> Result<Step, Outcome> {
     if event.data == DONE {
         return if is_finished(job) {
-            Ok(Step::Whole)
+            Ok(Step::Complete)
         } else {
             Err(Outcome::Failed { code: Code::Broken })
         };
@@ -81,11 +80,14 @@
     }
     let at = at.parse().map_err(|_malformed| wrong())?;
     let piece = Bytes::copy_from_slice(event.data.as_bytes());
-    let count = job.answer.push(send.attempt, at, piece).map_err(refused)?;
-    Ok(Step::More(count))
+    let count = job
+        .answer
+        .push(send.attempt, at, piece)
+        .map_err(piece_outcome)?;
+    Ok(Step::Continues(count))
 }
 
-/// Whether the last piece says that the answer ends with it.
+/// Whether the last piece has a finish reason, that is, ends the answer.
 fn is_finished(job: &Job) -> bool {
     let last = job.answer.count().saturating_sub(1);
     let Some(piece) = job.answer.view(last as usize).pieces.pop() else {
@@ -97,8 +99,10 @@
             choices.any(|choice| choice.finish_reason.is_some())
         }
         Err(error) => {
-            // The engine goes on or breaks off; either shows by itself.
-            log::warn!("attempt: the last piece could not be read, {error}.");
+            // The answer then counts as incomplete and the attempt as failed.
+            log::warn!(
+                "attempt: the last piece is no valid chunk, the answer counts as incomplete: {error}."
+            );
             false
         }
     }
@@ -106,7 +110,7 @@
 
 fn report(send: &Send, core: &Addr<Core>, count: u32) {
     let first = count == send.delivered + 1;
-    if first || count.is_multiple_of(REPORT_EVERY) {
+    if first || count.is_multiple_of(REPORT_TOKENS) {
         let progress = Input::Progress {
             attempt: send.attempt,
             request: send.request,
--- a/daemon/src/attempt/plain.rs
+++ b/daemon/src/attempt/plain.rs
@@ -1,11 +1,10 @@
-//! A call of a plain service, on a connection of its own.
+//! Calls a plain service over a new connection.
 //!
-//! What may run only once hangs on two proofs that awc does not give. It reports
-//! a connection that broke after the request was read as one that could not be
-//! made, so a booking that ran would be told as not run. And it reports an answer
-//! in chunks that breaks off as one that ended, so half an answer would pass as
-//! whole. hyper tells both apart, and a connection made here is known to be made
-//! before anything is written.
+//! Non-idempotent requests need two distinctions that awc does not make. It reports a connection
+//! that broke after the request was read as one that was never established, so a booking that ran
+//! would be reported as not run. And it reports a truncated chunked response as one that ended, so
+//! half an answer would count as complete. hyper distinguishes both, and a connection made here is
+//! known to be established before anything is written.
 
 use std::error::Error;
 use std::net::SocketAddr;
@@ -22,21 +21,21 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-use super::{CONNECT, refused};
+use super::{CONNECT_TIMEOUT, piece_outcome};
 use crate::answer::Head;
-use crate::headers::passed;
+use crate::headers::forwardable;
 use crate::job::Job;
 
-/// What is called.
+/// Request to a plain service.
 pub(super) struct Call<'a> {
     pub(super) method: &'a CompactString,
     pub(super) target: &'a CompactString,
     pub(super) headers: &'a [(CompactString, Bytes)],
-    /// Most bytes of the answer.
-    pub(super) most: usize,
+    /// Size limit of the answer.
+    pub(super) max_bytes: usize,
 }
 
-/// A connection, which closes when the call ends or is stopped.
+/// A connection that closes when the call ends or is cancelled.
 struct Connection {
     sender: SendRequest<Full<Bytes>>,
     task: JoinHandle<()>,
@@ -50,7 +49,7 @@
 
 pub(super) async fn run(job: &Job, send: &Send, call: Call<'_>) -> Outcome {
     let Ok(request) = request(job, send, &call) else {
-        // A header that another library let through; nothing was sent.
+        // hyper rejected a header that the server's library accepted; nothing was sent.
         return Outcome::Unsent(NotSent);
     };
     let mut connection = match connect(send.address).await {
@@ -60,18 +59,18 @@
     let Ok(response) = connection.sender.send_request(request).await else {
         return Outcome::Failed { code: Code::Broken };
     };
-    take(job, send, response, call.most).await
+    read_response(job, send, response, call.max_bytes).await
 }
 
 async fn connect(address: SocketAddr) -> Result<Connection, NotSent> {
-    let stream = timeout(CONNECT, TcpStream::connect(address)).await;
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     let stream = stream.map_err(|_late| NotSent)?;
     let stream = stream.map_err(|_refused| NotSent)?;
     let made = http1::handshake(TokioIo::new(stream)).await;
     let (sender, connection) = made.map_err(|_broken| NotSent)?;
     let task = actix::spawn(async move {
         if let Err(error) = connection.await {
-            log::debug!("attempt: connection to {address} broke: {error}.");
+            log::debug!("attempt: connection to {address} failed: {error}.");
         }
     });
     Ok(Connection { sender, task })
@@ -93,18 +92,23 @@
     request.body(Full::new(job.body.clone()))
 }
 
-async fn take(job: &Job, send: &Send, response: Response<Incoming>, most: usize) -> Outcome {
+async fn read_response(
+    job: &Job,
+    send: &Send,
+    response: Response<Incoming>,
+    max_bytes: usize,
+) -> Outcome {
     let status = response.status().as_u16();
     let (parts, body) = response.into_parts();
     let head = Head {
         status,
-        headers: passed(pairs(&parts.headers)),
+        headers: forwardable(pairs(&parts.headers)),
     };
-    let body = match Limited::new(body, most).collect().await {
+    let body = match Limited::new(body, max_bytes).collect().await {
         Ok(body) => body.to_bytes(),
         Err(error) => {
             return Outcome::Failed {
-                code: broken(&*error),
+                code: body_error(&*error),
             };
         }
     };
@@ -114,7 +118,7 @@
         .and_then(|()| job.answer.push(send.attempt, 0, body));
     match added {
         Ok(_) => Outcome::Complete { status },
-        Err(error) => refused(error),
+        Err(error) => piece_outcome(error),
     }
 }
 
@@ -124,7 +128,8 @@
         .map(|(name, value)| (name.as_str(), value.as_bytes()))
 }
 
-fn broken(error: &(dyn Error + 'static)) -> Code {
+/// Code for a response body that could not be read.
+fn body_error(error: &(dyn Error + 'static)) -> Code {
     if error.is::<LengthLimitError>() {
         Code::LargeAnswer
     } else {
--- a/daemon/src/callers.rs
+++ b/daemon/src/callers.rs
@@ -1,13 +1,14 @@
-//! The callers' HTTP border.
+//! HTTP interface for callers: completions, plain services, idempotency keys and answers that are
+//! fetched again.
 
 mod body;
+mod buffered;
 mod completions;
 mod forward;
 mod keys;
 mod requests;
 mod services;
 mod stream;
-mod whole;
 
 use std::sync::Arc;
 
@@ -21,7 +22,7 @@
 use crate::metrics::Metrics;
 use crate::problem::Problem;
 
-/// What the handlers share.
+/// State shared by the request handlers.
 #[derive(Clone)]
 pub struct Shared {
     pub(crate) core: Addr<Core>,
@@ -40,7 +41,7 @@
     }
 }
 
-/// Routes of the callers' port.
+/// Registers the routes of the callers' port.
 pub fn routes(config: &mut web::ServiceConfig) {
     config
         .route("/v1/chat/completions", web::post().to(completions::chat))
@@ -57,7 +58,7 @@
         .response()
 }
 
-/// API key of a request, from its bearer token.
+/// API key of a request, from its bearer token; none if it is missing or blank.
 fn api_key(request: &HttpRequest) -> Option<String> {
     let header = request.headers().get("authorization")?.to_str().ok()?;
     let key = header.strip_prefix("Bearer ")?.trim();
--- a/daemon/src/callers/body.rs
+++ b/daemon/src/callers/body.rs
@@ -1,4 +1,4 @@
-//! Reads a caller's body, within its limits.
+//! Reads the body of a caller's request within limits on its size and time.
 
 use std::time::Duration;
 
@@ -9,16 +9,16 @@
 
 /// Reads the whole body.
 ///
-/// A caller that sends without end would fill the memory, and one that sends
-/// without haste would hold its connection; both get a numbered error.
+/// An endless body would fill the memory, and a slow one would occupy its connection; both are
+/// rejected with a numbered error.
 pub(super) async fn read(payload: Payload, limits: &Limits) -> Result<Bytes, Problem> {
-    let most = limits.body_bytes as usize;
-    let time = Duration::from_millis(limits.body_ms);
-    match tokio::time::timeout(time, payload.to_bytes_limited(most)).await {
+    let max_bytes = limits.body_bytes as usize;
+    let limit = Duration::from_millis(limits.body_ms);
+    match tokio::time::timeout(limit, payload.to_bytes_limited(max_bytes)).await {
         Ok(Ok(Ok(body))) => Ok(body),
         Ok(Ok(Err(error))) => Err(Problem::new(Code::BadBody).detail(error.to_string())),
         Ok(Err(_)) => {
-            let allowed = format!("allowed are {most} bytes");
+            let allowed = format!("allowed are {max_bytes} bytes");
             Err(Problem::new(Code::LargeBody).detail(allowed))
         }
         Err(_) => {
--- a/daemon/src/callers/whole.rs
+++ b/daemon/src/callers/buffered.rs
@@ -1,4 +1,4 @@
-//! An answer in one piece.
+//! Sends an answer as one buffered response.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -17,23 +17,23 @@
 use crate::job::Form;
 use crate::problem::Problem;
 
-/// The text of all pieces and why it ended.
+/// Text of all pieces and the reason why it ended.
 #[derive(Default)]
 struct Text {
     content: String,
     finish: String,
 }
 
-/// Waits for a completion and puts its pieces together.
+/// Waits for a completion to end and joins its pieces.
 pub(super) async fn completion(
     shared: &Shared,
     answer: Arc<Answer>,
     form: &Form,
     prompt: u32,
 ) -> Result<HttpResponse, Problem> {
-    let view = end(shared, &answer).await?;
+    let view = wait_end(shared, &answer).await?;
     let count = view.pieces.len() as u32;
-    let text = joined(&view.pieces);
+    let text = join_pieces(&view.pieces);
     let id = hex(answer.id).to_string();
     let usage = Some(Usage {
         prompt_tokens: prompt,
@@ -49,9 +49,9 @@
     })
 }
 
-/// Waits for a plain service's answer and passes it on.
+/// Waits for a plain service's answer and forwards it.
 pub(super) async fn plain(shared: &Shared, answer: Arc<Answer>) -> Result<HttpResponse, Problem> {
-    let view = end(shared, &answer).await?;
+    let view = wait_end(shared, &answer).await?;
     let head = view
         .head
         .ok_or_else(|| Problem::new(poplarvale_lib::Code::Internal))?;
@@ -64,8 +64,8 @@
     Ok(response.body(view.pieces.into_iter().next().unwrap_or_default()))
 }
 
-/// An answer that was kept from an earlier run.
-pub(super) fn kept(answer: claims::Answer) -> HttpResponse {
+/// Replays the stored answer of an earlier run under the same idempotency key.
+pub(super) fn replay(answer: claims::Answer) -> HttpResponse {
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = HttpResponseBuilder::new(status);
     if !answer.content.is_empty() {
@@ -75,32 +75,35 @@
     response.body(answer.body)
 }
 
-async fn end(shared: &Shared, answer: &Arc<Answer>) -> Result<View, Problem> {
-    let begun = Instant::now();
+/// Waits until the answer has ended; an error if its request failed.
+async fn wait_end(shared: &Shared, answer: &Arc<Answer>) -> Result<View, Problem> {
+    let started = Instant::now();
     let reader = Reader::new(shared, Arc::clone(answer));
-    let view = reader.answer.ended().await;
+    let view = reader.answer.wait_end().await;
     shared
         .metrics
-        .whole
-        .record(begun.elapsed().as_secs_f64(), &[]);
+        .full_answer
+        .record(started.elapsed().as_secs_f64(), &[]);
     match view
         .ending
         .as_ref()
-        .and_then(|ending| Problem::of(ending, answer.id))
+        .and_then(|ending| Problem::from_ending(ending, answer.id))
     {
         Some(problem) => Err(problem),
         None => Ok(view),
     }
 }
 
-fn joined(pieces: &[Bytes]) -> Text {
+fn join_pieces(pieces: &[Bytes]) -> Text {
     let mut text = Text::default();
     for piece in pieces {
         let chunk: Chunk = match serde_json::from_slice(piece) {
             Ok(chunk) => chunk,
             Err(error) => {
-                // The caller still gets the rest; a stream passes such pieces on as they are.
-                log::warn!("serve: a piece of an answer cannot be read, {error}.");
+                // The caller still gets the other pieces; a stream forwards such a piece unchanged.
+                log::warn!(
+                    "serve: a piece of an answer is no valid chunk, leaving it out: {error}."
+                );
                 continue;
             }
         };
--- a/daemon/src/callers/completions.rs
+++ b/daemon/src/callers/completions.rs
@@ -1,4 +1,4 @@
-//! Completions in the OpenAI form.
+//! Chat and text completions in the OpenAI format.
 
 use std::time::{Duration, Instant};
 
@@ -7,16 +7,16 @@
 use poplarvale_lib::{Code, ModelId, Service, prompt};
 use serde_json::Value;
 
-use super::{Shared, api_key, body, stream, whole};
+use super::{Shared, api_key, body, buffered, stream};
 use crate::core::Submit;
 use crate::job::{Ask, Form};
 use crate::problem::Problem;
 
-/// Tokens of an answer for which the caller names no limit; a plan's rate is
-/// charged for them, and what is not used goes back.
-const DEFAULT_TOKENS: u32 = 256;
+/// Answer tokens assumed if the caller sets no limit. The plan's rate is charged for them, and the
+/// unused ones are credited back.
+const DEFAULT_ANSWER_TOKENS: u32 = 256;
 
-/// Which of the two forms a completion has.
+/// Format of a completion.
 #[derive(Clone, Copy)]
 enum Kind {
     Chat,
@@ -69,23 +69,23 @@
     if streamed {
         stream::respond(shared, answer, 0).await
     } else {
-        whole::completion(shared, answer, &form, prompt).await
+        buffered::completion(shared, answer, &form, prompt).await
     }
 }
 
-/// Reads a completion's body; returns what is asked and whether as a stream.
+/// Parses a completion request; returns it and whether the caller wants a stream.
 fn read(shared: &Shared, body: &[u8], kind: Kind) -> Result<(Ask, bool), Problem> {
     let bad = |detail: String| Problem::new(Code::BadBody).detail(detail);
     let mut value: Value = serde_json::from_slice(body).map_err(|e| bad(e.to_string()))?;
     let fields: Completion =
         serde_json::from_value(value.clone()).map_err(|e| bad(e.to_string()))?;
-    let part = match kind {
+    let field = match kind {
         Kind::Chat => "messages",
         Kind::Text => "prompt",
     };
     let prompt = value
-        .get(part)
-        .ok_or_else(|| bad(format!("{part}: missing")))?
+        .get(field)
+        .ok_or_else(|| bad(format!("{field}: missing")))?
         .to_string();
     let service = service(shared, &fields.model)
         .ok_or_else(|| Problem::new(Code::NoRoute).detail(format!("model: {:?}", fields.model)))?;
@@ -100,7 +100,7 @@
         answer: fields
             .max_completion_tokens
             .or(fields.max_tokens)
-            .unwrap_or(DEFAULT_TOKENS),
+            .unwrap_or(DEFAULT_ANSWER_TOKENS),
         deadline: Instant::now() + Duration::from_millis(service.deadline_ms),
         form: match kind {
             Kind::Chat => Form::Chat { model },
--- a/daemon/src/callers/keys.rs
+++ b/daemon/src/callers/keys.rs
@@ -1,4 +1,4 @@
-//! Idempotency keys that this daemon issues.
+//! Issues idempotency keys.
 
 use actix_web::{HttpRequest, HttpResponse, web};
 use poplarvale_lib::Code;
@@ -9,8 +9,8 @@
 use crate::core::WhoIs;
 use crate::problem::Problem;
 
-/// Issues a key, with which a request runs at most once also while the
-/// platform's key-value service is out.
+/// Issues a key under which a request runs at most once, even while the platform's key-value
+/// service is unavailable.
 pub(super) async fn issue(shared: web::Data<Shared>, request: HttpRequest) -> HttpResponse {
     match key(&shared, &request).await {
         Ok(key) => HttpResponse::Created().json(IssuedKey { key }),
--- a/daemon/src/callers/requests.rs
+++ b/daemon/src/callers/requests.rs
@@ -1,14 +1,14 @@
-//! Callers who come back for an answer, to whichever daemon.
+//! Lets callers fetch the answer to an earlier request from any daemon.
 //!
-//! The daemon that let the request in keeps its answer, and the request's id
-//! names that daemon. Any other one passes the question on to it.
+//! The daemon that admitted the request keeps its answer, and the request's id names that daemon.
+//! Every other daemon forwards the call to it.
 
 use actix_web::{HttpRequest, HttpResponse, web};
 use poplarvale_lib::{Code, RequestId, from_hex, issuer};
 
-use super::{Shared, api_key, forward, stream, whole};
+use super::{Shared, api_key, buffered, forward, stream};
 use crate::core::Find;
-use crate::fleet::Where;
+use crate::fleet::CallersAddress;
 use crate::problem::Problem;
 
 pub(super) async fn get(
@@ -25,26 +25,28 @@
 async fn answer(shared: &Shared, request: &HttpRequest, id: &str) -> Result<HttpResponse, Problem> {
     let id = from_hex(id).ok_or_else(|| Problem::new(Code::NoRequest))?;
     match find(shared, request, id).await {
-        Err(problem) if problem.code == Code::NoRequest => pass_on(shared, request, id).await,
+        Err(problem) if problem.code == Code::NoRequest => {
+            forward_to_holder(shared, request, id).await
+        }
         found => found,
     }
 }
 
-/// Asks the daemon that gave the id out; what it answers goes through unread.
-async fn pass_on(
+/// Forwards the call to the daemon that issued the id.
+async fn forward_to_holder(
     shared: &Shared,
     request: &HttpRequest,
     id: RequestId,
 ) -> Result<HttpResponse, Problem> {
     let none = || Problem::new(Code::NoRequest);
-    if forward::is_passed_on(request) {
+    if forward::is_forwarded(request) {
         return Err(none());
     }
-    let keeper = shared.fleet.send(Where(issuer(id))).await;
-    let keeper = keeper.ok().flatten().ok_or_else(none)?;
-    forward::pass_on(keeper, request, web::Bytes::new())
+    let holder = shared.fleet.send(CallersAddress(issuer(id))).await;
+    let holder = holder.ok().flatten().ok_or_else(none)?;
+    forward::forward(holder, request, web::Bytes::new())
         .await
-        .map_err(|_unreached| none())
+        .map_err(|_unreachable| none())
 }
 
 async fn find(
@@ -61,11 +63,11 @@
     if form.model().is_some() {
         stream::respond(shared, answer, from).await
     } else {
-        whole::plain(shared, answer).await
+        buffered::plain(shared, answer).await
     }
 }
 
-/// The piece after the last one that the caller has.
+/// Index of the first piece that the caller lacks, from its `Last-Event-Id`.
 fn resume_from(request: &HttpRequest, id: RequestId) -> Result<usize, Problem> {
     let Some(last) = request.headers().get("last-event-id") else {
         return Ok(0);
--- a/daemon/src/callers/services.rs
+++ b/daemon/src/callers/services.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services.
+//! Calls to plain HTTP services.
 
 use std::time::{Duration, Instant};
 
@@ -8,10 +8,10 @@
 use poplarvale_lib::{Code, Route, Service, ServiceKind};
 use xxhash_rust::xxh3::Xxh3;
 
-use super::{Shared, api_key, body, forward, whole};
+use super::{Shared, api_key, body, buffered, forward};
 use crate::claims::{Begin, Outcome};
 use crate::core::{Submit, WhoIs};
-use crate::headers::{pairs, passed};
+use crate::headers::{forwardable, pairs};
 use crate::job::{Ask, Form};
 use crate::problem::Problem;
 
@@ -51,7 +51,7 @@
         form: Form::Plain {
             method: request.method().as_str().into(),
             target: target(&path, request.query_string()),
-            headers: passed(pairs(request.headers())),
+            headers: forwardable(pairs(request.headers())),
         },
         body,
     };
@@ -59,17 +59,17 @@
     if let (Some(claim), false) = (named, ask.repeatable) {
         let claim = claim.to_str().ok().and_then(Key::parse);
         let claim = claim.ok_or_else(|| Problem::new(Code::BadKey))?;
-        return once(shared, request, key, claim, ask).await;
+        return run_keyed(shared, request, key, claim, ask).await;
     }
     let submit = shared.core.send(Submit { key, ask, id: None }).await;
     let answer = submit
         .map_err(|_closed| Problem::new(Code::Internal))?
         .map_err(Problem::new)?;
-    whole::plain(shared, answer).await
+    buffered::plain(shared, answer).await
 }
 
-/// Runs a request with an idempotency key, if it has not run.
-async fn once(
+/// Runs a request with an idempotency key, unless it has already run.
+async fn run_keyed(
     shared: &Shared,
     request: &HttpRequest,
     key: String,
@@ -84,11 +84,11 @@
     let body = ask.body.clone();
     let begin = Begin {
         key,
-        digest: digest(request, &customer, &body),
+        digest: fingerprint(request, &customer, &body),
         customer,
         claim,
         ask,
-        forwarded: forward::is_passed_on(request),
+        forwarded: forward::is_forwarded(request),
     };
     let outcome = shared
         .claims
@@ -96,15 +96,15 @@
         .await
         .map_err(|_closed| internal())?;
     match outcome {
-        Outcome::Running(answer) => whole::plain(shared, answer).await,
-        Outcome::Kept(answer) => Ok(whole::kept(answer)),
-        Outcome::Elsewhere(daemon) => forward::pass_on(daemon, request, body).await,
-        Outcome::Refused(refusal) => Err(Problem::refused(&refusal)),
+        Outcome::Running(answer) => buffered::plain(shared, answer).await,
+        Outcome::Kept(answer) => Ok(buffered::replay(answer)),
+        Outcome::Elsewhere(daemon) => forward::forward(daemon, request, body).await,
+        Outcome::Refused(rejection) => Err(Problem::rejected(&rejection)),
     }
 }
 
-/// Digest by which another request under the same key is told from a repeat.
-fn digest(request: &HttpRequest, customer: &str, body: &[u8]) -> u128 {
+/// Fingerprint that distinguishes a retry from a different request under the same key.
+fn fingerprint(request: &HttpRequest, customer: &str, body: &[u8]) -> u128 {
     let mut hash = Xxh3::new();
     for part in [
         request.method().as_str(),
--- a/daemon/src/callers/stream.rs
+++ b/daemon/src/callers/stream.rs
@@ -1,4 +1,4 @@
-//! An answer as a stream of events.
+//! Sends an answer as a stream of server-sent events.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -16,10 +16,10 @@
 use crate::core::{Abandoned, Core};
 use crate::problem::Problem;
 
-/// End of a stream in the OpenAI form.
+/// Data of the event that ends a stream in the OpenAI format.
 const DONE: &str = "[DONE]";
 
-/// A caller that reads an answer; the core hears when the last one goes away.
+/// Counts a caller as reader of an answer; the core is notified when the last one disconnects.
 pub(super) struct Reader {
     pub(super) answer: Arc<Answer>,
     core: Addr<Core>,
@@ -37,46 +37,48 @@
 
 impl Drop for Reader {
     fn drop(&mut self) {
-        let left = self.answer.drop_reader();
-        if left == 0 && !self.answer.is_ended() {
+        let remaining = self.answer.remove_reader();
+        if remaining == 0 && !self.answer.is_ended() {
             self.core.do_send(Abandoned(self.answer.id));
         }
     }
 }
 
-/// Where a reader stands in an answer.
+/// Position of a reader in an answer.
 struct Cursor {
     reader: Reader,
     next: usize,
-    over: bool,
+    ended: bool,
 }
 
 /// Streams an answer from piece `from` on.
 ///
-/// Waits for the first piece, since until then a refusal can still be told by
-/// the status.
+/// Waits for the first piece before it responds, because until then a failure can still be reported
+/// by the status.
 pub(super) async fn respond(
     shared: &Shared,
     answer: Arc<Answer>,
     from: usize,
 ) -> Result<HttpResponse, Problem> {
-    let begun = Instant::now();
+    let started = Instant::now();
     let reader = Reader::new(shared, answer);
-    let view = reader.answer.grown(from).await;
+    let view = reader.answer.wait_pieces(from).await;
     if view.pieces.is_empty()
-        && let Some(problem) = view.ending.and_then(|e| Problem::of(&e, reader.answer.id))
+        && let Some(problem) = view
+            .ending
+            .and_then(|e| Problem::from_ending(&e, reader.answer.id))
     {
         return Err(problem);
     }
     shared
         .metrics
-        .first
-        .record(begun.elapsed().as_secs_f64(), &[]);
+        .first_piece
+        .record(started.elapsed().as_secs_f64(), &[]);
     let id = hex(reader.answer.id);
     let events = events(Cursor {
         reader,
         next: from,
-        over: false,
+        ended: false,
     });
     let body = actix_web_lab::sse::Sse::from_infallible_stream(events)
         .with_keep_alive(Duration::from_secs(15));
@@ -85,7 +87,7 @@
     Ok(with_body(response, body))
 }
 
-/// The events' responder sets its own headers; the request's id is added.
+/// Response with the headers already set (among them the request's id) and the events as its body.
 fn with_body<S>(mut head: HttpResponseBuilder, body: actix_web_lab::sse::Sse<S>) -> HttpResponse
 where
     S: Stream<Item = Result<Event, std::convert::Infallible>> + 'static,
@@ -97,21 +99,21 @@
 
 fn events(cursor: Cursor) -> impl Stream<Item = Event> {
     stream::unfold(cursor, |mut cursor| async {
-        if cursor.over {
+        if cursor.ended {
             return None;
         }
-        let view = cursor.reader.answer.grown(cursor.next).await;
+        let view = cursor.reader.answer.wait_pieces(cursor.next).await;
         let id = cursor.reader.answer.id;
         let mut batch: Vec<Event> = Vec::new();
         for piece in view.pieces {
             batch.push(event(&hex(id), cursor.next, &piece));
             cursor.next += 1;
         }
-        // The ending may have come together with the last pieces; those were
-        // read under the same lock, so nothing can be missing between them.
+        // The ending may have arrived with the last pieces. Both were read under one lock, so no
+        // piece can be missing before the ending.
         if let Some(ending) = view.ending {
-            cursor.over = true;
-            batch.push(match Problem::of(&ending, id) {
+            cursor.ended = true;
+            batch.push(match Problem::from_ending(&ending, id) {
                 Some(problem) => failure(&problem),
                 None => Event::Data(Data::new(DONE)),
             });
@@ -121,7 +123,7 @@
     .flatten()
 }
 
-/// A piece with the request's id in place of the attempt's.
+/// Event of a piece, in which the request's id replaces that of the attempt.
 fn event(id: &str, at: usize, piece: &Bytes) -> Event {
     let text = match serde_json::from_slice::<Value>(piece) {
         Ok(mut value) if value.is_object() => {
@@ -129,8 +131,8 @@
             value.to_string()
         }
         _ => {
-            // The caller gets what the engine made, though without the request's id.
-            log::warn!("stream: piece {at} of {id} is no object.");
+            // The caller gets the engine's text unchanged, without the request's id.
+            log::warn!("stream: piece {at} of {id} is no JSON object, forwarding it unchanged.");
             String::from_utf8_lossy(piece).into_owned()
         }
     };
@@ -139,7 +141,7 @@
 
 fn failure(problem: &Problem) -> Event {
     let body = serde_json::to_string(&problem.body()).unwrap_or_else(|error| {
-        log::error!("stream: a problem could not be written, {error}.");
+        log::error!("stream: an error event could not be encoded, sending an empty one: {error}.");
         String::from("{}")
     });
     Event::Data(Data::new(body).event("error"))
--- a/daemon/src/claims.rs
+++ b/daemon/src/claims.rs
@@ -216,7 +216,7 @@
                 Ok(Ok(answer)) => {
                     // The caller may have gone away; the request runs all the same.
                     let _ = waiting.caller.send(Outcome::Running(Arc::clone(&answer)));
-                    end(&answer.ended().await)
+                    end(&answer.wait_end().await)
                 }
                 Ok(Err(why)) => {
                     let refusal = refusal(permit.request(), why);
--- a/daemon/src/core.rs
+++ b/daemon/src/core.rs
@@ -28,7 +28,7 @@
 use kept::Kept;
 
 use crate::answer::Answer;
-use crate::attempt::{self, Carry, Clients, Earlier};
+use crate::attempt::{self, Clients, EarlierAttempt, KvTransfer};
 use crate::job::{Ask, Form, Job};
 use crate::metrics::Metrics;
 use crate::moves::{Act, Moves};
@@ -147,12 +147,12 @@
         let (id, address) = (send.attempt, send.address);
         let (clients, core) = (self.clients.clone(), ctx.address());
         let run = if let Some(carry) = self.carry(&send) {
-            attempt::run_after(clients, job, send, core, carry).boxed_local()
+            attempt::run_after_transfer(clients, job, send, core, carry).boxed_local()
         } else {
-            job.answer.begin(id);
+            job.answer.set_attempt(id);
             attempt::run(clients, job, send, core).boxed_local()
         };
-        self.metrics.sendings.add(1, &[]);
+        self.metrics.attempts.add(1, &[]);
         let (stop, registration) = AbortHandle::new_pair();
         let run = futures::future::Abortable::new(run, registration);
         actix::spawn(async move {
@@ -164,18 +164,18 @@
 
     /// Move of the KV cache that a sending is to begin with. None if the earlier
     /// sending has ended: then there is nothing to let go on.
-    fn carry(&mut self, send: &Send) -> Option<Carry> {
+    fn carry(&mut self, send: &Send) -> Option<KvTransfer> {
         let request = self.world.requests.get(&send.request)?;
         let earlier = self.attempts.remove(&send.cache_from?)?;
-        Some(Carry {
+        Some(KvTransfer {
             from: earlier.address,
             blocks: request.order().blocks.clone(),
-            earlier: Earlier(earlier.stop),
+            earlier: EarlierAttempt(earlier.stop),
         })
     }
 
     fn finish(&mut self, request: RequestId, ending: Ending) {
-        self.metrics.ended(&ending);
+        self.metrics.record_request(&ending);
         let Some(job) = self.jobs.get_mut(&request) else {
             return;
         };
--- a/daemon/src/fleet.rs
+++ b/daemon/src/fleet.rs
@@ -293,15 +293,15 @@
     }
 }
 
-/// Where a daemon serves callers.
+/// Asks for the address at which a daemon serves callers.
 #[derive(Clone, Copy, Debug, Message)]
 #[rtype(result = "Option<SocketAddr>")]
-pub(crate) struct Where(pub(crate) Incarnation);
+pub(crate) struct CallersAddress(pub(crate) Incarnation);
 
-impl Handler<Where> for Fleet {
-    type Result = MessageResult<Where>;
+impl Handler<CallersAddress> for Fleet {
+    type Result = MessageResult<CallersAddress>;
 
-    fn handle(&mut self, msg: Where, _: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, msg: CallersAddress, _: &mut Self::Context) -> Self::Result {
         MessageResult(self.daemons.get(&msg.0).and_then(|daemon| daemon.callers))
     }
 }
--- a/daemon/src/metrics.rs
+++ b/daemon/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics, kept by opentelemetry and shown on a Prometheus page.
+//! Metrics of the daemon, recorded with opentelemetry and exported as a Prometheus page.
 
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{Counter, Gauge, Histogram, MeterProvider as _};
@@ -6,36 +6,36 @@
 use poplarvale_lib::Ending;
 use prometheus::{Encoder as _, Registry, TextEncoder};
 
-/// Bounds of the histograms of times, in seconds.
-const BOUNDS: [f64; 14] = [
+/// Bucket bounds of the duration histograms, in seconds.
+const BOUNDS_S: [f64; 14] = [
     0.0001, 0.0003, 0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 0.7, 1.5, 3.0, 10.0, 30.0, 100.0,
 ];
 
-/// Instruments of a daemon.
+/// Metric instruments of a daemon.
 #[derive(Debug)]
 pub struct Metrics {
-    /// Requests that ended, by outcome and code.
+    /// Requests that ended, by outcome and result code.
     requests: Counter<u64>,
-    /// Requests sent to endpoints; those above the requests are retries.
-    pub(crate) sendings: Counter<u64>,
-    /// Requests that wait.
+    /// Attempts, retries included.
+    pub(crate) attempts: Counter<u64>,
+    /// Requests that wait to be sent.
     pub(crate) waiting: Gauge<u64>,
-    /// Seconds that a tick took.
+    /// Duration of a tick in seconds.
     pub(crate) tick: Histogram<f64>,
     /// Seconds to the first piece of an answer.
-    pub(crate) first: Histogram<f64>,
+    pub(crate) first_piece: Histogram<f64>,
     /// Seconds to the end of an answer.
-    pub(crate) whole: Histogram<f64>,
+    pub(crate) full_answer: Histogram<f64>,
     registry: Registry,
     _provider: SdkMeterProvider,
 }
 
-/// Why the metrics could not be set up.
+/// The exporter could not be set up.
 #[derive(Debug, thiserror::Error)]
 #[error("the metrics could not be set up: {0}")]
 pub struct MetricsError(String);
 
-/// A registry for the page, and what makes the instruments that show there.
+/// Creates the registry of the page and the provider of its instruments.
 pub(crate) fn provider() -> Result<(Registry, SdkMeterProvider), MetricsError> {
     let registry = Registry::new();
     let exporter = opentelemetry_prometheus::exporter()
@@ -49,10 +49,10 @@
 }
 
 impl Metrics {
-    /// Instruments that count from zero.
+    /// Creates the instruments, all at zero.
     ///
     /// # Errors
-    /// If the exporter refuses its registry.
+    /// If the exporter cannot use its registry.
     pub fn new() -> Result<Self, MetricsError> {
         let (registry, provider) = provider()?;
         let meter = provider.meter("poplarvale");
@@ -61,7 +61,7 @@
                 .f64_histogram(name)
                 .with_description(about)
                 .with_unit("s")
-                .with_boundaries(BOUNDS.to_vec())
+                .with_boundaries(BOUNDS_S.to_vec())
                 .build()
         };
         Ok(Self {
@@ -69,7 +69,7 @@
                 .u64_counter("poplarvale_requests")
                 .with_description("Requests that ended, by outcome and result code")
                 .build(),
-            sendings: meter
+            attempts: meter
                 .u64_counter("poplarvale_sendings")
                 .with_description("Requests sent to endpoints, retries included")
                 .build(),
@@ -78,17 +78,18 @@
                 .with_description("Requests that wait to be sent")
                 .build(),
             tick: seconds("poplarvale_tick", "Time that a tick took"),
-            first: seconds(
+            first_piece: seconds(
                 "poplarvale_first_piece",
                 "Time to the first piece of an answer",
             ),
-            whole: seconds("poplarvale_whole_answer", "Time to the end of an answer"),
+            full_answer: seconds("poplarvale_whole_answer", "Time to the end of an answer"),
             registry,
             _provider: provider,
         })
     }
 
-    pub(crate) fn ended(&self, ending: &Ending) {
+    /// Counts a request that ended.
+    pub(crate) fn record_request(&self, ending: &Ending) {
         let (outcome, code) = match ending {
             Ending::Complete { .. } => ("whole", 0),
             Ending::Failed { code, .. } => ("failed", code.number()),
@@ -101,11 +102,11 @@
         self.requests.add(1, &labels);
     }
 
-    /// The page that Prometheus reads.
+    /// Page in the Prometheus text format.
     pub fn page(&self) -> String {
         let mut page = Vec::new();
         if let Err(error) = TextEncoder::new().encode(&self.registry.gather(), &mut page) {
-            log::error!("metrics: page could not be written: {error}");
+            log::error!("metrics: the page could not be encoded, it may be incomplete: {error}");
         }
         String::from_utf8(page).unwrap_or_default()
     }
--- a/daemon/src/problem.rs
+++ b/daemon/src/problem.rs
@@ -1,4 +1,4 @@
-//! Error answers, as `application/problem+json` with a numbered code.
+//! Error responses, as `application/problem+json` with a numbered code.
 
 use std::time::Instant;
 
@@ -8,42 +8,42 @@
 use poplarvale_lib::protos::caller;
 use poplarvale_lib::{Code, Ending, Ran, RequestId, hex};
 
-/// An error answer.
+/// An error response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Problem {
-    /// What happened.
+    /// Numbered cause.
     pub code: Code,
-    /// What was wrong in this case.
+    /// Detail of this case.
     pub detail: String,
     /// Whether the request ran.
     pub ran: Ran,
-    /// When coming back helps.
-    pub again: Option<Instant>,
-    /// Request, if an id was given out.
+    /// Earliest time at which a retry may succeed.
+    pub retry_at: Option<Instant>,
+    /// Request, if an id was issued.
     pub request: Option<RequestId>,
 }
 
 impl Problem {
-    /// Refusal of something that did not run.
+    /// Error for a request that did not run.
     pub fn new(code: Code) -> Self {
         Self {
             code,
             detail: String::new(),
             ran: Ran::No,
-            again: None,
+            retry_at: None,
             request: None,
         }
     }
 
-    /// Adds what was wrong.
+    /// Sets the detail.
     #[must_use]
     pub fn detail(mut self, detail: impl Into<String>) -> Self {
         self.detail = detail.into();
         self
     }
 
-    /// What a request's ending means to its caller, if it failed.
-    pub fn of(ending: &Ending, request: RequestId) -> Option<Self> {
+    /// Error that tells a caller how its request failed; none if it completed.
+    pub fn from_ending(ending: &Ending, request: RequestId) -> Option<Self> {
         let (code, ran, retry_at) = match *ending {
             Ending::Complete { .. } => return None,
             Ending::Failed {
@@ -57,26 +57,26 @@
             code,
             detail: String::new(),
             ran,
-            again: retry_at,
+            retry_at,
             request: Some(request),
         })
     }
 
-    /// Refusal of a request with an idempotency key.
-    pub fn refused(refusal: &Rejection) -> Self {
-        let other = refusal
+    /// Rejection of a request with an idempotency key.
+    pub fn rejected(rejection: &Rejection) -> Self {
+        let other = rejection
             .running
             .map(|id| format!("the key belongs to request {}", hex(id)));
         Self {
-            code: refusal.code,
+            code: rejection.code,
             detail: other.unwrap_or_default(),
-            ran: refusal.ran,
-            again: refusal.retry_at,
-            request: Some(refusal.request),
+            ran: rejection.ran,
+            retry_at: rejection.retry_at,
+            request: Some(rejection.request),
         }
     }
 
-    /// The answer's body.
+    /// Body of the response.
     pub fn body(&self) -> caller::Problem {
         caller::Problem {
             r#type: format!("urn:poplarvale:code:{}", self.code.number()),
@@ -92,14 +92,14 @@
         }
     }
 
-    /// The answer.
+    /// The HTTP response.
     pub fn response(&self) -> HttpResponse {
         let status =
             StatusCode::from_u16(self.code.status()).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
         let mut response = HttpResponse::build(status);
         response.content_type("application/problem+json");
-        if let Some(again) = self.again {
-            response.insert_header(("retry-after", seconds_until(again).to_string()));
+        if let Some(retry_at) = self.retry_at {
+            response.insert_header(("retry-after", seconds_until(retry_at).to_string()));
         }
         if let Some(id) = self.request {
             response.insert_header(("x-request-id", hex(id).as_str()));
@@ -108,8 +108,8 @@
     }
 }
 
-/// Whole seconds to wait, rounded up so that nobody comes back too early.
-fn seconds_until(again: Instant) -> u64 {
-    let wait = again.saturating_duration_since(Instant::now());
+/// Whole seconds to wait, rounded up so that no caller retries too early.
+fn seconds_until(retry_at: Instant) -> u64 {
+    let wait = retry_at.saturating_duration_since(Instant::now());
     (wait.as_millis().div_ceil(1000) as u64).max(1)
 }
--- a/daemon/tests/test_answer.rs
+++ b/daemon/tests/test_answer.rs
@@ -20,11 +20,11 @@
     ) {
         let answer = Answer::new(1, "desk".into(), 1 << 20);
         let mut current = 0;
-        answer.begin(current);
+        answer.set_attempt(current);
         for (n, (attempt, at)) in events.into_iter().enumerate() {
             if turns.contains(&n) {
                 current += 1;
-                answer.begin(current);
+                answer.set_attempt(current);
             }
             let count = answer.count();
             let pushed = answer.push(attempt, at, piece(at));
@@ -46,7 +46,7 @@
 #[test]
 fn an_answer_over_its_limit_is_refused() {
     let answer = Answer::new(1, "desk".into(), 10);
-    answer.begin(7);
+    answer.set_attempt(7);
     assert_eq!(answer.push(7, 0, Bytes::from_static(b"12345678")), Ok(1));
     assert_eq!(
         answer.push(7, 1, Bytes::from_static(b"901")),
