--- a/daemon/src/config.rs
+++ b/daemon/src/config.rs
@@ -1,7 +1,7 @@
-//! The actor that keeps this daemon's lists, with the platform and the peers.
+//! The actor that keeps this daemon's lists in step with the platform and the peers.
 //!
-//! What to do when is decided by `poplarvale_lib::config`; here its commands
-//! become calls of the key-value service and of other daemons.
+//! `poplarvale_lib::config` decides what to do when; this module executes its commands as calls to
+//! the key-value service and to other daemons.
 
 mod pull;
 
@@ -30,11 +30,11 @@
 use crate::probes::Ready;
 
 /// Longest time between two ticks of the keeper.
-const TICK: Duration = Duration::from_millis(100);
-/// How often proof of freshness is told to the zone.
-const FRESH_GAP: Duration = Duration::from_secs(2);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval at which the age of the lists is advertised to the zone.
+const FRESH_INTERVAL: Duration = Duration::from_secs(2);
 
-/// What the keeper's actor works with.
+/// What the actor needs of the daemon.
 pub(crate) struct Parts {
     pub(crate) core: Addr<Core>,
     pub(crate) gossip: Addr<Gossip>,
@@ -51,9 +51,10 @@
     /// Sorted by incarnation.
     peers: Vec<(Incarnation, SocketAddr)>,
     watch: Option<SpawnHandle>,
-    /// Operators that wait for what comes of their edits.
+    /// Operators that wait for the result of their edits.
     waiting: Vec<(EditId, oneshot::Sender<Verdict>)>,
-    told: Instant,
+    /// When the age of the lists was last advertised.
+    advertised: Instant,
 }
 
 impl std::fmt::Debug for Config {
@@ -73,11 +74,12 @@
             peers: Vec::new(),
             watch: None,
             waiting: Vec::new(),
-            told: Instant::now(),
+            advertised: Instant::now(),
         }
     }
 
-    fn take(&mut self, input: Input, ctx: &mut Context<Self>) {
+    /// Passes an input to the keeper at once.
+    fn apply(&mut self, input: Input, ctx: &mut Context<Self>) {
         self.inputs.push(input);
         self.tick(ctx);
     }
@@ -86,15 +88,15 @@
         let now = Instant::now();
         let inputs = std::mem::take(&mut self.inputs);
         for command in self.keeper.tick(now, inputs) {
-            self.carry_out(command, ctx);
+            self.execute(command, ctx);
         }
-        if self.told + FRESH_GAP <= now {
-            self.told = now;
-            self.tell(FRESH, now);
+        if self.advertised + FRESH_INTERVAL <= now {
+            self.advertised = now;
+            self.advertise(FRESH, now);
         }
     }
 
-    fn carry_out(&mut self, command: Command, ctx: &mut Context<Self>) {
+    fn execute(&mut self, command: Command, ctx: &mut Context<Self>) {
         match command {
             Command::Watch(from) => self.watch(from, ctx),
             Command::Unwatch => {
@@ -120,9 +122,9 @@
         }
     }
 
-    /// Makes a call and hands the keeper what came of it.
+    /// Makes a call and passes its result to the keeper.
     fn call(&self, call: impl Future<Output = Input> + 'static, ctx: &mut Context<Self>) {
-        let then = |input, config: &mut Self, ctx: &mut Context<Self>| config.take(input, ctx);
+        let then = |input, config: &mut Self, ctx: &mut Context<Self>| config.apply(input, ctx);
         ctx.spawn(call.into_actor(self).map(then));
     }
 
@@ -153,13 +155,15 @@
         let store = Rc::clone(&self.parts.store);
         let me = ctx.address();
         let watch = async move {
-            let tell = |held| me.do_send(Hear(Input::Watched(held)));
-            let failure = store.watch(HEAD, from, tell).await;
-            log::info!("config: the watch ended: {failure}.");
+            let on_change = |value| me.do_send(KeeperInput(Input::Watched(value)));
+            let failure = store.watch(HEAD, from, on_change).await;
+            log::info!(
+                "config: the watch of the lists ended, the keeper decides on the next one: {failure}."
+            );
         };
         let ended = |(), config: &mut Self, ctx: &mut Context<Self>| {
             config.watch = None;
-            config.take(Input::WatchEnded, ctx);
+            config.apply(Input::WatchEnded, ctx);
         };
         self.watch = Some(ctx.spawn(watch.into_actor(self).map(ended)));
     }
@@ -170,7 +174,7 @@
         let client = self.parts.client.clone();
         let call = async move {
             let answer = match address {
-                Some(address) => pull::ask(&client, address, &pull).await,
+                Some(address) => pull::pull(&client, address, &pull).await,
                 None => None,
             };
             Input::Pulled { peer, answer }
@@ -179,14 +183,18 @@
     }
 
     fn adopt(&self, accepted: Accepted) {
-        log::info!("config: lists in force at revision {}.", accepted.revision);
+        log::info!(
+            "config: lists of revision {} are in force.",
+            accepted.revision
+        );
         let lists = poplarvale_lib::Input::Lists(accepted);
         self.parts.core.do_send(Report(lists));
-        self.tell(Kind::REVISION, Instant::now());
+        self.advertise(Kind::REVISION, Instant::now());
         self.parts.ready.set_lists();
     }
 
-    fn tell(&self, kind: Kind, now: Instant) {
+    /// Writes the revision and age of the lists as a gossip row.
+    fn advertise(&self, kind: Kind, now: Instant) {
         let age = self.keeper.age(now);
         let row = Adopted {
             revision: self.keeper.accepted().revision,
@@ -203,7 +211,7 @@
         for at in (0..self.waiting.len()).rev() {
             if self.waiting[at].0 == *edit {
                 let (_, operator) = self.waiting.swap_remove(at);
-                // The operator may have gone away.
+                // The operator may have disconnected.
                 let _ = operator.send(verdict.clone());
             }
         }
@@ -214,24 +222,24 @@
     type Context = Context<Self>;
 
     fn started(&mut self, ctx: &mut Self::Context) {
-        ctx.run_interval(TICK, Self::tick);
+        ctx.run_interval(TICK_INTERVAL, Self::tick);
     }
 }
 
-/// Something that the keeper is told.
+/// An input for the keeper.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
-pub(crate) struct Hear(pub(crate) Input);
+pub(crate) struct KeeperInput(pub(crate) Input);
 
-impl Handler<Hear> for Config {
+impl Handler<KeeperInput> for Config {
     type Result = ();
 
-    fn handle(&mut self, msg: Hear, ctx: &mut Self::Context) {
-        self.take(msg.0, ctx);
+    fn handle(&mut self, msg: KeeperInput, ctx: &mut Self::Context) {
+        self.apply(msg.0, ctx);
     }
 }
 
-/// The live daemons, this one among them.
+/// Sets the live daemons, this one included.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub(crate) struct SetPeers(pub(crate) Vec<gossip::Peer>);
@@ -250,7 +258,7 @@
             incarnation: peer.incarnation,
             zone: peer.zone.clone(),
         });
-        self.take(Input::Peers(known.collect()), ctx);
+        self.apply(Input::Peers(known.collect()), ctx);
     }
 }
 
@@ -265,25 +273,25 @@
     fn handle(&mut self, msg: Edit, ctx: &mut Self::Context) -> Self::Result {
         let (sender, receiver) = oneshot::channel();
         self.waiting.push((msg.0.id.clone(), sender));
-        self.take(Input::Edit(msg.0), ctx);
+        self.apply(Input::Edit(msg.0), ctx);
         Box::pin(async { receiver.await.unwrap_or(Verdict::Unknown) })
     }
 }
 
-/// A peer's question for what this daemon has above a revision.
+/// A peer's request for the lists that are newer than a revision.
 #[derive(Clone, Copy, Debug, Message)]
 #[rtype(result = "Part")]
-pub(crate) struct AskLists {
+pub(crate) struct ReadLists {
     /// Revision that the peer has.
     pub(crate) have: Revision,
-    /// Where the part begins that it asks for.
+    /// Byte offset of the requested part.
     pub(crate) from: u64,
 }
 
-impl Handler<AskLists> for Config {
-    type Result = actix::MessageResult<AskLists>;
+impl Handler<ReadLists> for Config {
+    type Result = actix::MessageResult<ReadLists>;
 
-    fn handle(&mut self, msg: AskLists, _: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, msg: ReadLists, _: &mut Self::Context) -> Self::Result {
         let pull = Pull { have: msg.have };
         let pulled = self.keeper.answer(Instant::now(), &pull);
         actix::MessageResult(pull::part(pulled, msg.from))
--- a/daemon/src/config/pull.rs
+++ b/daemon/src/config/pull.rs
@@ -1,9 +1,9 @@
-//! Lists from a peer, in parts.
+//! Transfers the lists between daemons in parts.
 //!
-//! Both lists can have a megabyte, and a frame between daemons a tenth of it,
-//! since anybody on the network can make a daemon set a frame's memory aside.
-//! So a large answer goes in parts. Each names the whole it is of: if the peer
-//! adopts another revision in between, the asker begins again.
+//! Both lists together can have a megabyte, but a frame between daemons only a tenth of that,
+//! because anybody on the network can make a daemon allocate the memory of a frame. So a large
+//! answer is sent in parts. Each part carries the hash of the full answer: if the peer adopts
+//! another revision meanwhile, the transfer fails and is started again.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,15 +16,15 @@
 
 use crate::peers::Client;
 
-/// Bytes of a part; with its own fields it stays below a frame.
+/// Size of a part; with its other fields it fits in a frame.
 const PART_BYTES: usize = 96 * 1024;
-/// Largest answer: both lists at their largest, and what names them.
-const MOST_BYTES: u64 = 3 * MAX_VALUE_BYTES as u64;
+/// Largest answer: both lists at their maximum size, with their identifiers.
+const MAX_ANSWER_BYTES: u64 = 3 * MAX_VALUE_BYTES as u64;
 
-/// The part of an answer that begins at a byte.
+/// The part of an answer that begins at a byte offset.
 pub(super) fn part(pulled: Pulled, from: u64) -> Part {
     let age = pulled.age;
-    // Numbers and texts only, which cannot fail.
+    // Only numbers and strings are encoded, which cannot fail.
     let whole = serde_json::to_vec(&Pulled {
         age: None,
         ..pulled
@@ -40,15 +40,15 @@
     }
 }
 
-/// Asks a peer for what it has above a revision; none if that fails.
-pub(super) async fn ask(client: &Client, to: SocketAddr, pull: &Pull) -> Option<Pulled> {
+/// Pulls the lists that are newer than a revision from a peer; none if that fails.
+pub(super) async fn pull(client: &Client, to: SocketAddr, pull: &Pull) -> Option<Pulled> {
     let mut bytes: Vec<u8> = Vec::new();
     let mut whole = None;
     loop {
         let answer = client.get_lists(to, pull.have, bytes.len() as u64).await;
         let part = Part::decode(answer.ok()?.as_slice()).ok()?;
         let same = *whole.get_or_insert(part.whole) == part.whole;
-        if !same || part.bytes.is_empty() || part.length > MOST_BYTES {
+        if !same || part.bytes.is_empty() || part.length > MAX_ANSWER_BYTES {
             return None;
         }
         bytes.extend_from_slice(&part.bytes);
--- a/daemon/src/fleet.rs
+++ b/daemon/src/fleet.rs
@@ -1,8 +1,8 @@
-//! The other daemons as this one knows them.
+//! What this daemon knows of the other daemons.
 //!
-//! Gossip tells of rows; this actor keeps what other parts look up (where a
-//! daemon serves callers, which revision it has) and passes the rest on to the
-//! part it concerns.
+//! The actor receives the changes of gossip rows. It keeps what other actors look up (the address
+//! at which a daemon serves callers, the revision of its lists) and forwards the rest to the actor
+//! that it concerns.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -18,7 +18,7 @@
 use prost::Message as _;
 
 use crate::claims::{Claims, Known, SetDaemons};
-use crate::config::{Config, Hear};
+use crate::config::{Config, KeeperInput};
 use crate::core::{Core, Report};
 use crate::hosts::{self, Hosts};
 use crate::kinds::{CALLERS, FRESH, HOLDS, LOAD};
@@ -27,8 +27,8 @@
 use crate::probe;
 use crate::shares;
 
-/// How often the live daemons are asked for.
-const LIVE_GAP: Duration = Duration::from_secs(1);
+/// Interval at which the live daemons are requested from the gossip actor.
+const LIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Another daemon.
 #[derive(Clone, Debug)]
@@ -68,7 +68,7 @@
 }
 
 impl Fleet {
-    /// Fleet that knows nobody yet.
+    /// Fleet without any known daemon.
     pub fn new(me: Incarnation, core: Addr<Core>) -> Self {
         Self {
             me,
@@ -83,20 +83,20 @@
         }
     }
 
-    fn take(&mut self, change: Change) {
+    fn apply_change(&mut self, change: Change) {
         match change {
             Change::Joined(peer) => log::info!(
-                "fleet: daemon {:016x} of {} is known.",
+                "fleet: daemon {:016x} of {} joined.",
                 peer.incarnation,
                 peer.zone
             ),
             Change::Departed(id) => {
                 self.daemons.remove(&id);
                 self.core.do_send(Report(Input::PeerEnded(id)));
-                log::info!("fleet: daemon {id:016x} is forgotten.");
+                log::info!("fleet: daemon {id:016x} departed, its rows are removed.");
             }
             Change::Put { origin, key, value } => {
-                self.put(origin, &key, &value);
+                self.apply_row(origin, &key, &value);
                 if let Some(moves) = &self.moves {
                     moves.do_send(moves::Heard(Change::Put { origin, key, value }));
                 }
@@ -110,24 +110,24 @@
         }
     }
 
-    /// Takes a row. One that cannot be read is passed over: another version of
-    /// the daemon may write it in another way.
-    fn put(&mut self, origin: Incarnation, key: &Key, value: &[u8]) {
+    /// Applies a row. One that cannot be decoded is ignored, because another version of the daemon
+    /// may encode it differently.
+    fn apply_row(&mut self, origin: Incarnation, key: &Key, value: &[u8]) {
         let number = key.kind;
         if number == CALLERS.number {
             let row = Callers::decode(value).unwrap_or_default();
             self.daemon(origin).callers = row.address.parse().ok();
         } else if number == Kind::REVISION.number || number == FRESH.number {
-            self.adopted(origin, &Adopted::decode(value).unwrap_or_default());
+            self.apply_revision(origin, &Adopted::decode(value).unwrap_or_default());
         } else if number == HOLDS.number {
             let ids = value.as_chunks().0;
             let ids = ids.iter().map(|id| Incarnation::from_be_bytes(*id));
             self.daemon(origin).holds = ids.collect();
-            self.tell_claims();
+            self.update_claims();
         } else if number == Kind::DEMAND.number {
-            self.demand(origin, key, value);
+            self.apply_demand(origin, key, value);
         } else if number == LOAD.number {
-            self.load(key, value);
+            self.apply_load(key, value);
         } else if number == Kind::ENDPOINT.number {
             let row = LeavingEndpoint::decode(value).unwrap_or_default();
             let until = Instant::now() + Duration::from_millis(row.left_ms);
@@ -141,8 +141,8 @@
         }
     }
 
-    /// A row of a customer, or the one without a name that ends a round.
-    fn demand(&self, origin: Incarnation, key: &Key, value: &[u8]) {
+    /// Applies a customer's demand, or the row without a name, which ends a daemon's round of rows.
+    fn apply_demand(&self, origin: Incarnation, key: &Key, value: &[u8]) {
         let input = if key.name.is_empty() {
             Some(Input::PeerSeen(origin))
         } else {
@@ -153,7 +153,8 @@
         }
     }
 
-    fn load(&self, key: &Key, value: &[u8]) {
+    /// Passes the load report of an endpoint to the core.
+    fn apply_load(&self, key: &Key, value: &[u8]) {
         let Ok(row) = LoadRow::decode(value) else {
             return;
         };
@@ -162,11 +163,12 @@
         self.core.do_send(Report(Input::Routing(event)));
     }
 
-    fn adopted(&mut self, origin: Incarnation, row: &Adopted) {
+    /// Records the revision of a daemon's lists and passes it to the keeper.
+    fn apply_revision(&mut self, origin: Incarnation, row: &Adopted) {
         let daemon = self.daemon(origin);
         daemon.revision = daemon.revision.max(row.revision);
         if let Some(config) = &self.config {
-            config.do_send(Hear(config::Input::Heard {
+            config.do_send(KeeperInput(config::Input::Heard {
                 peer: origin,
                 revision: row.revision,
                 age: row.age_ms.map(Duration::from_millis),
@@ -174,6 +176,7 @@
         }
     }
 
+    /// Row of a daemon, inserted if missing.
     fn daemon(&mut self, id: Incarnation) -> &mut Daemon {
         if !self.daemons.contains(&id) {
             self.daemons.insert(Daemon {
@@ -183,15 +186,15 @@
                 holds: Vec::new(),
             });
         }
-        self.daemons.get_mut(&id).expect("it was put in just now")
+        self.daemons.get_mut(&id).expect("it was inserted above")
     }
 
-    fn ask_live(&mut self, ctx: &mut Context<Self>) {
+    fn request_live(&mut self, ctx: &mut Context<Self>) {
         let Some(gossip) = self.gossip.clone() else {
             return;
         };
-        let asked = async move { gossip.send(Live).await }.into_actor(self);
-        ctx.spawn(asked.map(|live, fleet, _| {
+        let request = async move { gossip.send(Live).await }.into_actor(self);
+        ctx.spawn(request.map(|live, fleet, _| {
             if let Ok(live) = live {
                 fleet.set_live(live);
             }
@@ -207,18 +210,18 @@
         if let Some(moves) = &self.moves {
             moves.do_send(moves::SetLive(self.live.clone()));
         }
-        self.tell_claims();
+        self.update_claims();
     }
 
-    /// Live daemons that share customers' limits with this one, itself included:
-    /// those of its region, as their rows go no further.
+    /// Number of live daemons that share the customers' limits with this one, itself included:
+    /// those of its region, because demand rows do not leave a region.
     fn sharers(&self) -> usize {
         let me = self.live.iter().find(|peer| peer.incarnation == self.me);
-        let near = |peer: &&Peer| me.is_none_or(|me| peer.region == me.region);
-        self.live.iter().filter(near).count()
+        let in_region = |peer: &&Peer| me.is_none_or(|me| peer.region == me.region);
+        self.live.iter().filter(in_region).count()
     }
 
-    fn tell_claims(&self) {
+    fn update_claims(&self) {
         let Some(claims) = &self.claims else {
             return;
         };
@@ -242,7 +245,7 @@
     type Context = Context<Self>;
 
     fn started(&mut self, ctx: &mut Self::Context) {
-        ctx.run_interval(LIVE_GAP, Self::ask_live);
+        ctx.run_interval(LIVE_INTERVAL, Self::request_live);
     }
 }
 
@@ -251,24 +254,24 @@
 
     fn handle(&mut self, msg: Changed, _: &mut Self::Context) {
         for change in msg.0 {
-            self.take(change);
+            self.apply_change(change);
         }
     }
 }
 
-/// Joins the fleet with the parts that were started after it.
+/// Connects the fleet to the actors that were started after it.
 #[derive(Clone, Debug, Message)]
 #[rtype(result = "()")]
 pub(crate) struct Attach {
-    /// Replica's actor.
+    /// Actor that owns the replica.
     pub(crate) gossip: Addr<Gossip>,
     /// Actor of the version moves.
     pub(crate) moves: Addr<Moves>,
-    /// Claimer of idempotency keys.
+    /// Actor that claims idempotency keys.
     pub(crate) claims: Addr<Claims>,
-    /// Keeper of the lists, if there is a platform.
+    /// Actor that keeps the lists, if there is a platform.
     pub(crate) config: Option<Addr<Config>>,
-    /// What follows the list of hosts, if there is one.
+    /// Actor that reads the list of hosts, if there is one.
     pub(crate) hosts: Option<Addr<Hosts>>,
     /// Where this daemon serves callers.
     pub(crate) callers: SocketAddr,
@@ -289,7 +292,7 @@
         self.claims = Some(msg.claims);
         self.moves = Some(msg.moves);
         self.hosts = msg.hosts;
-        self.ask_live(ctx);
+        self.request_live(ctx);
     }
 }
 
@@ -306,12 +309,12 @@
     }
 }
 
-/// How far a revision has come.
+/// Asks how many daemons have a revision.
 #[derive(Clone, Copy, Debug, Message)]
 #[rtype(result = "Spread")]
-pub(crate) struct SpreadOf(pub(crate) Revision);
+pub(crate) struct GetSpread(pub(crate) Revision);
 
-/// Daemons among the live ones, this one left out.
+/// Numbers of live daemons, without this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Spread {
     /// Live daemons.
@@ -320,10 +323,10 @@
     pub(crate) reached: u32,
 }
 
-impl Handler<SpreadOf> for Fleet {
-    type Result = MessageResult<SpreadOf>;
+impl Handler<GetSpread> for Fleet {
+    type Result = MessageResult<GetSpread>;
 
-    fn handle(&mut self, msg: SpreadOf, _: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, msg: GetSpread, _: &mut Self::Context) -> Self::Result {
         let others = self.live.len().saturating_sub(1);
         let has = |peer: &&Peer| {
             let daemon = self.daemons.get(&peer.incarnation);
--- a/daemon/src/hosts.rs
+++ b/daemon/src/hosts.rs
@@ -106,7 +106,7 @@
         match answer {
             Ok(answer) => {
                 self.failed = false;
-                let inputs = self.list.take(Instant::now(), &answer);
+                let inputs = self.list.apply(Instant::now(), &answer);
                 self.tell(inputs, ctx);
             }
             Err(error) if !self.failed => {
--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -1,7 +1,8 @@
 //! The daemon that runs on every entry host.
 //!
-//! Borders turn bytes into inputs and commands into calls; one actor owns the
-//! deciding core of `poplarvale-lib` between them.
+//! The modules for callers, operators, peers and the platform turn bytes into inputs of the core
+//! and execute its commands as calls. Between them, one actor owns the core of `poplarvale-lib`,
+//! which makes all decisions.
 
 mod answer;
 mod attempt;
--- a/daemon/src/logs.rs
+++ b/daemon/src/logs.rs
@@ -1,12 +1,12 @@
-//! Logs on standard error, by logforth. Each part begins its lines with its
-//! name, so that the lines of one part can be picked out.
+//! Writes logs to standard error with logforth. Each module starts its lines with its name, so that
+//! the lines of one module can be filtered.
 
 use logforth::append;
 use logforth::filter::rustlog::RustLogFilterBuilder;
 use logforth::layout::TextLayout;
 
-/// Begins to write logs of a level and above. The libraries' own lines are left
-/// out, as they would drown ours at the finer levels.
+/// Starts logging at a level and above. The lines of libraries are left out, because at the finer
+/// levels they would far outnumber those of the daemon.
 pub fn start(level: &str) {
     let spec = format!("off,poplarvaled={level}");
     logforth::starter_log::builder()
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -1,8 +1,8 @@
 //! `poplarvaled`, the daemon of poplarvale.
 //!
-//! It keeps the system's allocator. With mimalloc a relaying daemon peaked at 15.1 MB on a
-//! calm day and 17.8 MB on one with faults, without it at 3.7 and 5.1 MB, for 5 in 100
-//! more processor time; a host may have 160 MB for everything.
+//! It uses the system's allocator. With mimalloc, the peak memory of a relaying daemon was 15.1 MB
+//! on a day without faults and 17.8 MB on a day with faults; with the system's allocator it is 3.7
+//! and 5.1 MB, at 5% more processor time. A host may have only 160 MB for everything.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/daemon/src/operators.rs
+++ b/daemon/src/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' HTTP border. Nobody without the token gets anything.
+//! HTTP interface for operators. Every request without the operators' token is rejected.
 
 mod dump;
 mod lists;
@@ -19,7 +19,7 @@
 use crate::moves::Moves;
 use crate::peers::Token;
 
-/// What the handlers share.
+/// State shared by the request handlers.
 #[derive(Clone)]
 pub struct Shared {
     pub(crate) core: Addr<Core>,
@@ -36,7 +36,7 @@
     }
 }
 
-/// Routes of the operators' port.
+/// Registers the routes of the operators' port.
 pub fn routes(config: &mut web::ServiceConfig) {
     let guarded = web::scope("")
         .wrap(from_fn(token::check))
--- a/daemon/src/operators/dump.rs
+++ b/daemon/src/operators/dump.rs
@@ -1,4 +1,4 @@
-//! The tables of this process.
+//! Dumps the tables of the core, for diagnosis.
 
 use actix_web::{HttpResponse, web};
 use poplarvale_lib::Code;
--- a/daemon/src/operators/lists.rs
+++ b/daemon/src/operators/lists.rs
@@ -1,4 +1,4 @@
-//! The two lists.
+//! Reads and edits the two lists: customers and plans.
 
 use actix_web::{HttpRequest, HttpResponse, web};
 use compact_str::format_compact;
@@ -9,7 +9,7 @@
 use super::Shared;
 use crate::config::Edit;
 use crate::core::{GetLists, GetStatus, PutError, PutLists};
-use crate::fleet::SpreadOf;
+use crate::fleet::GetSpread;
 use crate::problem::Problem;
 
 pub(super) async fn get(shared: web::Data<Shared>) -> HttpResponse {
@@ -19,8 +19,8 @@
     }
 }
 
-/// Takes an edit; its revision is the one that was edited. An `Idempotency-Key`
-/// names the edit, so that it can be sent again after a lost answer.
+/// Accepts an edit; its revision is the one on which the edit is based. An `Idempotency-Key`
+/// identifies the edit, so that it can be retried after a lost answer.
 pub(super) async fn put(
     shared: web::Data<Shared>,
     request: HttpRequest,
@@ -55,7 +55,7 @@
             lists: edit.lists,
         };
         let put = shared.core.send(put).await.map_err(|_closed| internal())?;
-        return put.map_err(refused);
+        return put.map_err(put_problem);
     };
     let named = request.headers().get("idempotency-key");
     let id = match named.and_then(|id| id.to_str().ok()) {
@@ -68,16 +68,16 @@
         lists: edit.lists,
     };
     let verdict = config.send(Edit(proposal)).await;
-    judge(verdict.map_err(|_closed| internal())?)
+    verdict_result(verdict.map_err(|_closed| internal())?)
 }
 
-/// How many of the live daemons have a revision.
+/// Reports how many of the live daemons have a revision.
 pub(super) async fn spread(
     shared: web::Data<Shared>,
     revision: web::Path<Revision>,
 ) -> HttpResponse {
     let revision = *revision;
-    let others = shared.fleet.send(SpreadOf(revision)).await;
+    let others = shared.fleet.send(GetSpread(revision)).await;
     let own = shared.core.send(GetStatus).await;
     let (Ok(others), Ok(own)) = (others, own) else {
         return Problem::new(Code::Internal).response();
@@ -89,7 +89,7 @@
     })
 }
 
-fn judge(verdict: Verdict) -> Result<Revision, Problem> {
+fn verdict_result(verdict: Verdict) -> Result<Revision, Problem> {
     match verdict {
         Verdict::Accepted(revision) => Ok(revision),
         Verdict::Conflict {
@@ -98,10 +98,10 @@
             difference,
         } => {
             let head = format!("edited was revision {base}, in force is {revision}");
-            let what = difference.map_or_else(String::new, |d| show(&d));
+            let what = difference.map_or_else(String::new, |d| describe(&d));
             Err(Problem::new(Code::Conflict).detail(head + &what))
         }
-        Verdict::Refused(mistakes) => Err(Problem::new(Code::BadLists).detail(lines(&mistakes))),
+        Verdict::Refused(errors) => Err(Problem::new(Code::BadLists).detail(join_errors(&errors))),
         Verdict::NotDone => Err(Problem::new(Code::StoreOut).detail("the edit was not accepted")),
         Verdict::Unknown => {
             let mut problem = Problem::new(Code::StoreOut);
@@ -111,15 +111,15 @@
     }
 }
 
-fn refused(error: PutError) -> Problem {
+fn put_problem(error: PutError) -> Problem {
     match error {
-        PutError::Mistakes(mistakes) => Problem::new(Code::BadLists).detail(lines(&mistakes)),
+        PutError::Mistakes(errors) => Problem::new(Code::BadLists).detail(join_errors(&errors)),
         PutError::Conflict { .. } => Problem::new(Code::Conflict).detail(error.to_string()),
     }
 }
 
-/// What another edit changed, a line for each kind of change.
-fn show(difference: &Difference) -> String {
+/// Changes of another edit, one line for each kind of change.
+fn describe(difference: &Difference) -> String {
     let Difference { customers, plans } = difference;
     let kinds = [
         ("customers added", &customers.added),
@@ -139,7 +139,7 @@
     text
 }
 
-fn lines(mistakes: &[ValidationError]) -> String {
-    let lines: Vec<String> = mistakes.iter().map(ToString::to_string).collect();
+fn join_errors(errors: &[ValidationError]) -> String {
+    let lines: Vec<String> = errors.iter().map(ToString::to_string).collect();
     lines.join("\n")
 }
--- a/daemon/src/operators/moves.rs
+++ b/daemon/src/operators/moves.rs
@@ -1,4 +1,4 @@
-//! Version moves.
+//! Starts, cancels and shows version moves.
 
 use actix_web::{HttpResponse, web};
 use poplarvale_lib::moves::ask::Refusal;
@@ -10,20 +10,24 @@
 use crate::problem::Problem;
 
 pub(super) async fn start(shared: web::Data<Shared>, body: web::Bytes) -> HttpResponse {
-    let ask: MoveAsk = match serde_json::from_slice(&body) {
-        Ok(ask) => ask,
+    let order: MoveAsk = match serde_json::from_slice(&body) {
+        Ok(order) => order,
         Err(error) => {
             return Problem::new(Code::BadMove)
                 .detail(error.to_string())
                 .response();
         }
     };
-    log::info!("operators: move of {} to {} asked.", ask.service, ask.to);
-    respond(shared.moves.send(Start(ask)).await)
+    log::info!(
+        "operators: an operator starts the version move of {} to {}.",
+        order.service,
+        order.to
+    );
+    respond(shared.moves.send(Start(order)).await)
 }
 
 pub(super) async fn cancel(shared: web::Data<Shared>, service: web::Path<String>) -> HttpResponse {
-    log::info!("operators: move of {service} is to be cancelled.");
+    log::info!("operators: an operator cancels the version move of {service}.");
     respond(shared.moves.send(Cancel(id(&service))).await)
 }
 
@@ -41,8 +45,8 @@
     service.into()
 }
 
-fn respond(asked: Result<Result<MoveState, Refusal>, actix::MailboxError>) -> HttpResponse {
-    match asked {
+fn respond(result: Result<Result<MoveState, Refusal>, actix::MailboxError>) -> HttpResponse {
+    match result {
         Ok(Ok(state)) => HttpResponse::Ok().json(state),
         Ok(Err(refusal)) => Problem::new(refusal.code)
             .detail(refusal.reason.as_str())
--- a/daemon/src/operators/status.rs
+++ b/daemon/src/operators/status.rs
@@ -1,4 +1,4 @@
-//! State in short, and metrics.
+//! Status summary and metrics page.
 
 use actix_web::{HttpResponse, web};
 use poplarvale_lib::Code;
--- a/daemon/src/operators/token.rs
+++ b/daemon/src/operators/token.rs
@@ -1,4 +1,4 @@
-//! The operators' bearer token.
+//! Checks the operators' bearer token.
 
 use actix_web::body::{BoxBody, MessageBody};
 use actix_web::dev::{ServiceRequest, ServiceResponse};
@@ -10,7 +10,7 @@
 use crate::peers::Token;
 use crate::problem::Problem;
 
-/// Lets only requests with the token through.
+/// Middleware that rejects requests without the right token.
 pub(super) async fn check(
     shared: web::Data<Shared>,
     request: ServiceRequest,
@@ -25,7 +25,7 @@
         .and_then(Token::new);
     if !shown.is_some_and(|shown| shared.token.matches(&shown)) {
         log::warn!(
-            "operators: {} {} without the token.",
+            "operators: rejecting {} {} without the right token.",
             request.method(),
             request.path()
         );
--- a/daemon/src/peers.rs
+++ b/daemon/src/peers.rs
@@ -1,13 +1,13 @@
-//! What daemons tell one another, over tarpc.
+//! Gossip between daemons, over tarpc.
 //!
-//! A daemon listens on its peers' port and keeps connections to the peers it
-//! calls. The rows themselves, and whom to call when, are decided in
-//! `poplarvale_lib::gossip`; here is what that needs of a network and a clock:
-//! an actor that owns the replica, a service that others call, and a client.
+//! A daemon listens on its peers' port and keeps connections to the peers that it calls.
+//! `poplarvale_lib::gossip` decides on the rows and on which peer to call when. This module adds
+//! the network and the clock: an actor that owns the replica, a service for the calls of peers, and
+//! a client.
 //!
-//! Every call carries the token that all daemons of a deployment share. It is
-//! compared before anything of the call is decoded, so that a stranger on the
-//! network can neither read a row nor reach the decoder.
+//! Every call carries the token that all daemons of a deployment share. It is compared before the
+//! message in the call is decoded, so that an unauthorized host on the network can neither read a
+//! row nor reach the decoder.
 
 mod actor;
 mod client;
@@ -20,5 +20,5 @@
 pub use client::Client;
 pub use error::PeerError;
 pub use server::{Listener, Parts, Server};
-pub use service::{Payload, PeersClient, Refusal};
+pub use service::{Payload, PeersClient, Rejection};
 pub use token::Token;
--- a/daemon/src/peers/actor.rs
+++ b/daemon/src/peers/actor.rs
@@ -1,9 +1,8 @@
 //! The actor that owns the daemon's replica.
 //!
-//! It runs a round when its timer fires, answers the calls of others from the
-//! replica, and hands what others changed to a recipient. Nothing here waits
-//! for the network while it holds the replica: a peer that does not answer must
-//! not keep others from getting theirs.
+//! It runs a gossip round whenever its timer fires, answers the calls of peers from the replica,
+//! and sends the changes that it receives to a recipient. It never waits for the network while it
+//! handles a message, so an unresponsive peer does not delay the answers to others.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -20,19 +19,19 @@
 
 use crate::peers::{Client, PeerError};
 
-/// Owns the replica.
+/// Actor that owns the replica.
 #[derive(Debug)]
 pub struct Gossip {
     replica: Replica,
     rng: fastrand::Rng,
     client: Client,
     changed: Recipient<Changed>,
-    /// Whether rounds run by themselves.
+    /// Whether a timer starts the rounds.
     timed: bool,
 }
 
 impl Gossip {
-    /// Actor whose rounds run by themselves.
+    /// Actor whose rounds are started by a timer.
     pub fn new(replica: Replica, client: Client, changed: Recipient<Changed>) -> Self {
         Self {
             replica,
@@ -43,7 +42,7 @@
         }
     }
 
-    /// Actor that runs a round only when it gets a [`Round`].
+    /// Actor that runs a round only when it receives a [`Round`].
     pub fn untimed(replica: Replica, client: Client, changed: Recipient<Changed>) -> Self {
         Self {
             timed: false,
@@ -51,16 +50,17 @@
         }
     }
 
-    /// Sets the next round off, a little early or late: daemons that started
-    /// together would else call all at the same moment, round after round.
+    /// Schedules the next round with a jitter of 10%. Without it, daemons that started together
+    /// would all make their calls at the same moment in every round.
     fn schedule(&mut self, ctx: &mut Context<Self>) {
-        let part = 0.9 + 0.2 * self.rng.f64();
-        ctx.run_later(ROUND.mul_f64(part), |gossip, ctx| {
+        let factor = 0.9 + 0.2 * self.rng.f64();
+        ctx.run_later(ROUND.mul_f64(factor), |gossip, ctx| {
             ctx.notify(Round);
             gossip.schedule(ctx);
         });
     }
 
+    /// Sends changes to the recipient.
     fn report(&self, changes: Vec<Change>) {
         if !changes.is_empty() {
             self.changed.do_send(Changed(changes));
@@ -75,6 +75,7 @@
         }
     }
 
+    /// Merges a delta, if there is one, and reports the changes.
     fn merge(&mut self, delta: Option<Delta>) -> Result<(), GossipError> {
         let Some(delta) = delta else {
             return Ok(());
@@ -96,12 +97,12 @@
     }
 }
 
-/// What others changed.
+/// Changes received from other daemons.
 #[derive(Clone, Debug, Message)]
 #[rtype(result = "()")]
 pub struct Changed(pub Vec<Change>);
 
-/// Runs a round; tells how many of its calls were answered.
+/// Runs a round; returns how many of its calls were answered.
 #[derive(Clone, Copy, Debug, Message)]
 #[rtype(result = "usize")]
 pub struct Round;
@@ -161,7 +162,7 @@
     }
 }
 
-/// Value of a row.
+/// Requests the value of a row.
 #[derive(Clone, Debug, Message)]
 #[rtype(result = "Option<Vec<u8>>")]
 pub struct Get {
@@ -179,7 +180,7 @@
     }
 }
 
-/// Live daemons, this one among them.
+/// Requests the live daemons, this one included.
 #[derive(Clone, Copy, Debug, Message)]
 #[rtype(result = "Vec<Peer>")]
 pub struct Live;
@@ -192,7 +193,7 @@
     }
 }
 
-/// Sets the addresses to ask when no other daemon is known.
+/// Sets the addresses to call while no other daemon is known.
 #[derive(Clone, Debug, Message)]
 #[rtype(result = "()")]
 pub struct SetSeeds(pub Vec<SocketAddr>);
@@ -205,42 +206,42 @@
     }
 }
 
-/// A peer's digest.
+/// A peer's digest, to be answered from the replica.
 #[derive(Message)]
 #[rtype(result = "Result<Answer, Code>")]
-pub(crate) struct Ask(pub(crate) Digest);
+pub(crate) struct AnswerDigest(pub(crate) Digest);
 
-impl Handler<Ask> for Gossip {
+impl Handler<AnswerDigest> for Gossip {
     type Result = Result<Answer, Code>;
 
-    fn handle(&mut self, msg: Ask, _: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, msg: AnswerDigest, _: &mut Self::Context) -> Self::Result {
         let answer = self.replica.answer(Instant::now(), &msg.0);
         answer.map_err(GossipError::code)
     }
 }
 
-/// A delta that this replica asked for in its answer.
+/// A delta that this replica requested in its answer to a digest.
 #[derive(Message)]
 #[rtype(result = "Result<(), Code>")]
-pub(crate) struct Settle(pub(crate) Delta);
+pub(crate) struct ApplyDelta(pub(crate) Delta);
 
-impl Handler<Settle> for Gossip {
+impl Handler<ApplyDelta> for Gossip {
     type Result = Result<(), Code>;
 
-    fn handle(&mut self, msg: Settle, _: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, msg: ApplyDelta, _: &mut Self::Context) -> Self::Result {
         self.merge(Some(msg.0)).map_err(GossipError::code)
     }
 }
 
-/// Urgent rows of a peer.
+/// Urgent rows pushed by a peer.
 #[derive(Message)]
 #[rtype(result = "Result<(), Code>")]
-pub(crate) struct Receive(pub(crate) Push);
+pub(crate) struct ApplyPush(pub(crate) Push);
 
-impl Handler<Receive> for Gossip {
+impl Handler<ApplyPush> for Gossip {
     type Result = Result<(), Code>;
 
-    fn handle(&mut self, msg: Receive, ctx: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, msg: ApplyPush, ctx: &mut Self::Context) -> Self::Result {
         let mut changes = Vec::new();
         let received = self.replica.receive(Instant::now(), msg.0, &mut changes);
         self.report(changes);
@@ -250,15 +251,15 @@
     }
 }
 
-/// A peer's answer to a digest of this replica; gives what the peer asked back.
+/// A peer's answer to a digest of this replica; returns the delta that the peer requested.
 #[derive(Message)]
 #[rtype(result = "Result<Option<Delta>, GossipError>")]
-struct Take(Answer);
+struct ApplyAnswer(Answer);
 
-impl Handler<Take> for Gossip {
+impl Handler<ApplyAnswer> for Gossip {
     type Result = Result<Option<Delta>, GossipError>;
 
-    fn handle(&mut self, msg: Take, _: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, msg: ApplyAnswer, _: &mut Self::Context) -> Self::Result {
         self.merge(msg.0.delta)?;
         let Some(wants) = msg.0.wants else {
             return Ok(None);
@@ -268,7 +269,7 @@
     }
 }
 
-/// Makes calls at the same time; returns how many were answered.
+/// Makes calls concurrently; returns how many were answered.
 async fn run_calls(gossip: Addr<Gossip>, client: Client, calls: Vec<Call>) -> usize {
     let results = calls
         .into_iter()
@@ -277,7 +278,7 @@
     results.into_iter().filter(|answered| *answered).count()
 }
 
-/// Makes one call; whether it was answered.
+/// Makes one call; returns whether it was answered.
 async fn run_call(gossip: &Addr<Gossip>, client: &Client, call: Call) -> bool {
     let result = match call.message {
         gossip::Message::Exchange(digest) => exchange(gossip, client, call.to, digest).await,
@@ -285,15 +286,16 @@
     };
     match &result {
         Ok(()) => {}
-        Err(PeerError::Refused(code)) => {
-            log::warn!("peers: {} refused a call with code {code}", call.to);
+        Err(PeerError::Rejected(code)) => {
+            log::warn!("peers: {} rejected a call with code {code}", call.to);
         }
-        // An ordinary event: hosts vanish all day, and rounds go on.
+        // Expected: hosts vanish at any time, and the next rounds call other peers.
         Err(error) => log::debug!("peers: call to {} failed: {error}", call.to),
     }
     result.is_ok()
 }
 
+/// Sends a digest, applies the answer and sends the delta that the peer requested.
 async fn exchange(
     gossip: &Addr<Gossip>,
     client: &Client,
@@ -301,7 +303,7 @@
     digest: Digest,
 ) -> Result<(), PeerError> {
     let answer = client.exchange(to, &digest).await?;
-    if let Some(delta) = gossip.send(Take(answer)).await?? {
+    if let Some(delta) = gossip.send(ApplyAnswer(answer)).await?? {
         client.settle(to, &delta).await?;
     }
     Ok(())
--- a/daemon/src/peers/client.rs
+++ b/daemon/src/peers/client.rs
@@ -1,10 +1,9 @@
-//! Calls other daemons.
+//! Client for calls to other daemons.
 //!
-//! One connection to a peer is kept and shared by all calls to it. A call that
-//! fails drops it, so that the next one connects anew: a peer that was replaced
-//! behind its address, or that vanished without a word, would else hold up each
-//! call until the operating system gives the connection up, which takes
-//! minutes.
+//! One connection per peer is kept and shared by all calls to it. A failed call drops it, so that
+//! the next call reconnects. Otherwise, if a peer was replaced behind its address or vanished
+//! without closing the connection, every call would hang until the operating system drops the
+//! connection, which takes minutes.
 
 use std::cell::RefCell;
 use std::io;
@@ -22,26 +21,26 @@
 use tarpc::tokio_serde::formats::Bincode;
 use tokio::time::timeout;
 
-use crate::peers::server::FRAME_BYTES;
-use crate::peers::{Payload, PeerError, PeersClient, Refusal, Token};
+use crate::peers::server::MAX_FRAME_BYTES;
+use crate::peers::{Payload, PeerError, PeersClient, Rejection, Token};
 
-/// Time in which a connection must be made.
-const CONNECT_LIMIT: Duration = Duration::from_secs(1);
+/// Timeout for a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Most connections kept: those to the whole zone, and some to bridges.
-const CONNECTIONS: usize = 64;
+/// Most connections kept: enough for all daemons of the zone and for some bridges.
+const MAX_CONNECTIONS: usize = 64;
 
-/// Time after its last call in which a connection is used again.
+/// Time since its last call within which a connection is reused.
 ///
-/// Half of what the server allows, so that no call goes out on a connection
-/// that the server closes at that moment; an urgent row would be lost by it.
-const KEEP: Duration = Duration::from_mins(5);
+/// Half of the server's idle timeout, so that no call is sent on a connection that the server is
+/// just closing; an urgent row would be lost with it.
+const REUSE_TIME: Duration = Duration::from_mins(5);
 
 /// A kept connection.
 struct Connection {
     to: SocketAddr,
     client: PeersClient,
-    /// When it is no longer used.
+    /// When it may no longer be reused.
     until: Instant,
 }
 
@@ -63,7 +62,7 @@
 }
 
 impl Client {
-    /// Client that shows a token.
+    /// Client that authenticates with a token.
     pub fn new(token: Token) -> Self {
         Self {
             token,
@@ -75,55 +74,55 @@
     ///
     /// # Errors
     ///
-    /// If the peer can't be reached, refuses, or answers what can't be read.
+    /// If the peer can't be reached, rejects the call, or its answer can't be decoded.
     pub async fn exchange(&self, to: SocketAddr, digest: &Digest) -> Result<Answer, PeerError> {
         let client = self.connect(to).await?;
         let payload = digest.encode_to_vec();
-        let reply = client.exchange(in_time(), self.token.clone(), payload);
-        let answer = self.checked(to, reply.await)?;
+        let reply = client.exchange(with_deadline(), self.token.clone(), payload);
+        let answer = self.check_reply(to, reply.await)?;
         Ok(Answer::decode(answer.as_slice())?)
     }
 
-    /// Sends the delta that an answer asked for.
+    /// Sends the delta that the peer requested in its answer.
     ///
     /// # Errors
     ///
-    /// If the peer can't be reached or refuses.
+    /// If the peer can't be reached or rejects the call.
     pub async fn settle(&self, to: SocketAddr, delta: &Delta) -> Result<(), PeerError> {
         let client = self.connect(to).await?;
         let payload = delta.encode_to_vec();
-        let reply = client.settle(in_time(), self.token.clone(), payload);
-        self.checked(to, reply.await)
+        let reply = client.settle(with_deadline(), self.token.clone(), payload);
+        self.check_reply(to, reply.await)
     }
 
     /// Sends urgent rows.
     ///
     /// # Errors
     ///
-    /// If the peer can't be reached or refuses.
+    /// If the peer can't be reached or rejects the call.
     pub async fn push(&self, to: SocketAddr, push: &Push) -> Result<(), PeerError> {
         let client = self.connect(to).await?;
         let payload = push.encode_to_vec();
-        let reply = client.push(in_time(), self.token.clone(), payload);
-        self.checked(to, reply.await)
+        let reply = client.push(with_deadline(), self.token.clone(), payload);
+        self.check_reply(to, reply.await)
     }
 
-    /// Asks about a claim, or gives a key space.
+    /// Queries a claim, or hands over a key space.
     ///
     /// # Errors
     ///
-    /// If the peer can't be reached or refuses.
+    /// If the peer can't be reached or rejects the call.
     pub async fn claim(&self, to: SocketAddr, call: Payload) -> Result<Payload, PeerError> {
         let client = self.connect(to).await?;
-        let reply = client.claim(in_time(), self.token.clone(), call);
-        self.checked(to, reply.await)
+        let reply = client.claim(with_deadline(), self.token.clone(), call);
+        self.check_reply(to, reply.await)
     }
 
-    /// Asks for what lists there are above a revision, from a byte on.
+    /// Requests the lists that are newer than a revision, from a byte offset on.
     ///
     /// # Errors
     ///
-    /// If the peer can't be reached or refuses.
+    /// If the peer can't be reached or rejects the call.
     pub async fn get_lists(
         &self,
         to: SocketAddr,
@@ -131,55 +130,58 @@
         from: u64,
     ) -> Result<Payload, PeerError> {
         let client = self.connect(to).await?;
-        let reply = client.get_lists(in_time(), self.token.clone(), have, from);
-        self.checked(to, reply.await)
+        let reply = client.get_lists(with_deadline(), self.token.clone(), have, from);
+        self.check_reply(to, reply.await)
     }
 
+    /// Reuses the connection to a peer or makes a new one.
     async fn connect(&self, to: SocketAddr) -> Result<PeersClient, PeerError> {
-        if let Some(client) = self.kept(to) {
+        if let Some(client) = self.reuse(to) {
             return Ok(client);
         }
         let mut connect = tcp::connect(to, Bincode::default);
-        connect.config_mut().max_frame_length(FRAME_BYTES);
-        let connected = timeout(CONNECT_LIMIT, connect).await;
+        connect.config_mut().max_frame_length(MAX_FRAME_BYTES);
+        let connected = timeout(CONNECT_TIMEOUT, connect).await;
         let transport = connected
             .map_err(|late| PeerError::Connect(io::Error::new(io::ErrorKind::TimedOut, late)))?
             .map_err(PeerError::Connect)?;
         let client = PeersClient::new(Config::default(), transport).spawn();
-        self.keep(to, client.clone());
+        self.store(to, client.clone());
         Ok(client)
     }
 
-    fn kept(&self, to: SocketAddr) -> Option<PeersClient> {
+    /// Connection to a peer that may still be reused.
+    fn reuse(&self, to: SocketAddr) -> Option<PeersClient> {
         let now = Instant::now();
         let mut connections = self.connections.borrow_mut();
         connections.retain(|c| now < c.until);
         let at = connections.binary_search_by_key(&to, |c| c.to).ok()?;
-        connections[at].until = now + KEEP;
+        connections[at].until = now + REUSE_TIME;
         Some(connections[at].client.clone())
     }
 
-    fn keep(&self, to: SocketAddr, client: PeersClient) {
+    /// Stores a new connection; drops a random one if there are too many.
+    fn store(&self, to: SocketAddr, client: PeersClient) {
         let mut connections = self.connections.borrow_mut();
         connections.retain(|c| c.to != to);
-        if connections.len() >= CONNECTIONS {
+        if connections.len() >= MAX_CONNECTIONS {
             let at = fastrand::usize(..connections.len());
             connections.remove(at);
         }
         let at = connections.partition_point(|c| c.to < to);
-        let until = Instant::now() + KEEP;
+        let until = Instant::now() + REUSE_TIME;
         connections.insert(at, Connection { to, client, until });
     }
 
-    /// Drops the connection after a broken call, and tells refusals apart.
-    fn checked<T>(
+    /// Returns the value or the rejection of a call; drops the connection if the call failed.
+    fn check_reply<T>(
         &self,
         to: SocketAddr,
-        reply: Result<Result<T, Refusal>, RpcError>,
+        reply: Result<Result<T, Rejection>, RpcError>,
     ) -> Result<T, PeerError> {
         match reply {
             Ok(Ok(value)) => Ok(value),
-            Ok(Err(refusal)) => Err(PeerError::Refused(refusal.code)),
+            Ok(Err(rejection)) => Err(PeerError::Rejected(rejection.code)),
             Err(error) => {
                 self.connections.borrow_mut().retain(|c| c.to != to);
                 Err(PeerError::Call(error))
@@ -188,8 +190,8 @@
     }
 }
 
-/// Context of a call whose answer is of no use after the limit.
-fn in_time() -> Context {
+/// Call context whose deadline is the exchange timeout, after which an answer is of no use.
+fn with_deadline() -> Context {
     let mut context = context::current();
     context.deadline = Instant::now() + EXCHANGE_LIMIT;
     context
--- a/daemon/src/peers/error.rs
+++ b/daemon/src/peers/error.rs
@@ -1,26 +1,26 @@
-//! Why a call to a peer failed.
+//! Errors of calls to peers.
 
 use poplarvale_lib::gossip::GossipError;
 
 /// Why a call to a peer failed.
 #[derive(Debug, thiserror::Error)]
 pub enum PeerError {
-    /// No connection, or none in time.
-    #[error("no connection")]
+    /// The connection failed or timed out.
+    #[error("the peer could not be reached")]
     Connect(#[source] std::io::Error),
-    /// The connection broke, or no answer came in time.
-    #[error("no answer")]
+    /// The connection broke, or the call timed out.
+    #[error("the peer did not answer")]
     Call(#[from] tarpc::client::RpcError),
-    /// The peer refused with a numbered code.
-    #[error("refused with code {0}")]
-    Refused(u32),
-    /// The answer could not be read.
-    #[error("the answer cannot be read")]
+    /// The peer rejected the call with a numbered code.
+    #[error("the peer rejected the call with code {0}")]
+    Rejected(u32),
+    /// The answer could not be decoded.
+    #[error("the answer could not be decoded")]
     Decode(#[from] prost::DecodeError),
-    /// The replica did not take the answer.
-    #[error("the answer was not taken")]
+    /// The replica rejected the answer.
+    #[error("the replica rejected the answer")]
     Answer(#[from] GossipError),
-    /// The actor is gone; the daemon shuts down.
+    /// The actor has stopped because the daemon shuts down.
     #[error("the daemon is shutting down")]
     Stopped(#[from] actix::MailboxError),
 }
--- a/daemon/src/peers/server.rs
+++ b/daemon/src/peers/server.rs
@@ -1,4 +1,4 @@
-//! Answers the calls of other daemons.
+//! Server for the calls of other daemons.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,32 +19,32 @@
 use tokio::time::timeout;
 
 use crate::claims::{Asked, Call, Claims, TakeOver};
-use crate::config::{AskLists, Config};
-use crate::peers::actor::{Ask, Receive, Settle};
+use crate::config::{Config, ReadLists};
+use crate::peers::actor::{AnswerDigest, ApplyDelta, ApplyPush};
 use crate::peers::service::Peers;
-use crate::peers::{Gossip, Payload, Refusal, Token};
+use crate::peers::{Gossip, Payload, Rejection, Token};
 
-/// Most bytes of a frame: a delta, or a digest of as many daemons as are
-/// allowed, and what the transport adds.
+/// Largest frame: a delta, or a digest of the largest allowed number of daemons, with the overhead
+/// of the transport.
 ///
-/// Without a limit the first four bytes of a stranger's connection could make a
-/// daemon set aside gigabytes.
-pub(crate) const FRAME_BYTES: usize = 128 * 1024;
+/// Without a limit, the first four bytes of an unauthorized connection could make a daemon allocate
+/// gigabytes.
+pub(crate) const MAX_FRAME_BYTES: usize = 128 * 1024;
 
-/// Most connections at once; each peer keeps one.
-const CONNECTIONS: usize = ORIGINS;
+/// Most open connections; each peer keeps one.
+const MAX_CONNECTIONS: usize = ORIGINS;
 
 /// Time after which a connection without a call is closed.
 ///
-/// A host that vanishes closes nothing. Its connections would stay until all
-/// places are taken and new peers are turned away, which would show only after
-/// days. Clients use a connection for less long after its last call.
-const IDLE_LIMIT: Duration = Duration::from_mins(10);
+/// A host that vanishes does not close its connections. They would accumulate up to the limit, and
+/// new peers would be rejected, which would show only after days. Clients reuse a connection for a
+/// shorter time than this.
+const IDLE_TIMEOUT: Duration = Duration::from_mins(10);
 
 /// A server that listens until it is dropped.
 #[derive(Debug)]
 pub struct Server {
-    /// Address that it listens on.
+    /// Address on which it listens.
     pub address: SocketAddr,
     task: JoinHandle<()>,
 }
@@ -53,7 +53,7 @@
     /// Stops listening and closes all connections.
     pub async fn stop(mut self) {
         self.task.abort();
-        // It was aborted just now; there is nothing else to learn.
+        // The task was just aborted, so its result is known.
         let _ = (&mut self.task).await;
     }
 }
@@ -64,19 +64,19 @@
     }
 }
 
-/// Listens for other daemons.
+/// Bound socket for calls of other daemons.
 ///
-/// The address is bound before the replica exists, as the replica tells it to
-/// others; [`Listener::serve`] begins to answer.
+/// The address is bound before the replica exists, because the replica advertises it;
+/// [`Listener::serve`] starts answering.
 #[derive(Debug)]
 pub struct Listener {
-    /// Address that it is bound to.
+    /// Address to which it is bound.
     pub address: SocketAddr,
     inner: tokio::net::TcpListener,
 }
 
 impl Listener {
-    /// Binds an address; port 0 takes any free one.
+    /// Binds an address; port 0 selects any free port.
     ///
     /// # Errors
     ///
@@ -89,11 +89,11 @@
         })
     }
 
-    /// Begins to answer, from the replica of an actor and the other parts.
+    /// Starts answering calls with the gossip actor and the other actors.
     ///
     /// # Errors
     ///
-    /// If the socket can't be used any more.
+    /// If the socket can no longer be used.
     pub async fn serve(
         self,
         token: Token,
@@ -101,7 +101,7 @@
         parts: Parts,
     ) -> io::Result<Server> {
         let mut incoming = tcp::listen_on(self.inner, Bincode::default).await?;
-        incoming.config_mut().max_frame_length(FRAME_BYTES);
+        incoming.config_mut().max_frame_length(MAX_FRAME_BYTES);
         let handler = Handler {
             token,
             gossip,
@@ -114,10 +114,10 @@
                 let Ok(transport) = accepted else {
                     continue;
                 };
-                // Over the limit the connection is closed at once, which the
-                // caller sees as a broken call and tries another peer.
-                if connections.len() >= CONNECTIONS {
-                    log::warn!("peers: too many connections");
+                // Above the limit the connection is closed at once; the peer's call then fails, and
+                // it tries another peer.
+                if connections.len() >= MAX_CONNECTIONS {
+                    log::warn!("peers: too many connections, closing the new one");
                     continue;
                 }
                 let channel = BaseChannel::with_defaults(transport);
@@ -132,24 +132,24 @@
     }
 }
 
-/// Parts besides the replica that calls go to; without one its calls are refused.
+/// Actors besides the replica's that handle calls; calls to a missing one are rejected.
 #[derive(Clone, Debug, Default)]
 pub struct Parts {
-    /// Keeper of the lists.
+    /// Actor that keeps the lists.
     pub config: Option<Addr<Config>>,
-    /// Claimer of idempotency keys.
+    /// Actor that claims idempotency keys.
     pub claims: Option<Addr<Claims>>,
 }
 
-/// Answers the calls of a connection one by one, until it breaks or is idle.
+/// Answers the calls of a connection one after another, until it breaks or its idle timeout ends.
 async fn answer_all<R: Future<Output = ()>>(responses: impl Stream<Item = R>) {
     let mut responses = pin!(responses);
-    while let Ok(Some(response)) = timeout(IDLE_LIMIT, responses.next()).await {
+    while let Ok(Some(response)) = timeout(IDLE_TIMEOUT, responses.next()).await {
         response.await;
     }
 }
 
-/// Answers one call.
+/// Handles the calls of one connection.
 #[derive(Clone)]
 struct Handler {
     token: Token,
@@ -158,17 +158,21 @@
 }
 
 impl Handler {
-    /// Refuses whoever has not the token, before anything else is looked at.
-    fn check(&self, token: &Token) -> Result<(), Refusal> {
+    /// Rejects a call without the right token, before anything else of it is read.
+    fn check(&self, token: &Token) -> Result<(), Rejection> {
         if self.token.matches(token) {
             return Ok(());
         }
-        log::warn!("peers: a call without the token was refused");
+        log::warn!("peers: rejecting a call without the right token");
         Err(Code::NoPeer.into())
     }
 
-    /// Decodes a message and has the actor handle it.
-    async fn pass<P, M, T>(&self, payload: Payload, wrap: impl FnOnce(P) -> M) -> Result<T, Refusal>
+    /// Decodes a message and sends it to the gossip actor.
+    async fn dispatch<P, M, T>(
+        &self,
+        payload: Payload,
+        wrap: impl FnOnce(P) -> M,
+    ) -> Result<T, Rejection>
     where
         P: prost::Message + Default,
         M: actix::Message<Result = Result<T, Code>> + Send + 'static,
@@ -185,23 +189,28 @@
 }
 
 impl Peers for Handler {
-    async fn exchange(self, _: Context, token: Token, digest: Payload) -> Result<Payload, Refusal> {
+    async fn exchange(
+        self,
+        _: Context,
+        token: Token,
+        digest: Payload,
+    ) -> Result<Payload, Rejection> {
         self.check(&token)?;
-        let answer = self.pass(digest, Ask).await?;
+        let answer = self.dispatch(digest, AnswerDigest).await?;
         Ok(answer.encode_to_vec())
     }
 
-    async fn settle(self, _: Context, token: Token, delta: Payload) -> Result<(), Refusal> {
+    async fn settle(self, _: Context, token: Token, delta: Payload) -> Result<(), Rejection> {
         self.check(&token)?;
-        self.pass(delta, Settle).await
+        self.dispatch(delta, ApplyDelta).await
     }
 
-    async fn push(self, _: Context, token: Token, push: Payload) -> Result<(), Refusal> {
+    async fn push(self, _: Context, token: Token, push: Payload) -> Result<(), Rejection> {
         self.check(&token)?;
-        self.pass(push, Receive).await
+        self.dispatch(push, ApplyPush).await
     }
 
-    async fn claim(self, _: Context, token: Token, call: Payload) -> Result<Payload, Refusal> {
+    async fn claim(self, _: Context, token: Token, call: Payload) -> Result<Payload, Rejection> {
         self.check(&token)?;
         let claims = self.parts.claims.as_ref().ok_or(Code::NoPeer)?;
         let call = serde_json::from_slice(&call).map_err(|_error| Code::BadExchange)?;
@@ -224,10 +233,10 @@
         token: Token,
         have: Revision,
         from: u64,
-    ) -> Result<Payload, Refusal> {
+    ) -> Result<Payload, Rejection> {
         self.check(&token)?;
         let config = self.parts.config.as_ref().ok_or(Code::NoLists)?;
-        let part = config.send(AskLists { have, from }).await;
+        let part = config.send(ReadLists { have, from }).await;
         let part = part.map_err(|_stopped| Code::Draining)?;
         Ok(part.encode_to_vec())
     }
--- a/daemon/src/peers/service.rs
+++ b/daemon/src/peers/service.rs
@@ -1,8 +1,7 @@
 //! Calls between daemons.
 //!
-//! Messages travel as encoded `protos::peer` messages within the calls: they
-//! are smaller so than in the transport's own form, and a field that one
-//! version of the daemon does not know does no harm to it.
+//! Calls carry encoded `protos::peer` messages. These are smaller than the transport's own
+//! encoding, and a version of the daemon that does not know a field skips it.
 
 use poplarvale_lib::{Code, Revision};
 use serde::{Deserialize, Serialize};
@@ -12,14 +11,14 @@
 /// An encoded message.
 pub type Payload = Vec<u8>;
 
-/// A refused call.
+/// A rejected call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Refusal {
+pub struct Rejection {
     /// Numbered code, listed in docs/errors.md.
     pub code: u32,
 }
 
-impl From<Code> for Refusal {
+impl From<Code> for Rejection {
     fn from(code: Code) -> Self {
         Self {
             code: code.number(),
@@ -27,21 +26,21 @@
     }
 }
 
-/// What one daemon can ask of another.
+/// Calls that one daemon makes to another.
 #[tarpc::service]
 pub trait Peers {
     /// Answers a digest.
-    async fn exchange(token: Token, digest: Payload) -> Result<Payload, Refusal>;
+    async fn exchange(token: Token, digest: Payload) -> Result<Payload, Rejection>;
 
-    /// Takes the delta that the answer to a digest asked for.
-    async fn settle(token: Token, delta: Payload) -> Result<(), Refusal>;
+    /// Applies the delta that the answer to a digest requested.
+    async fn settle(token: Token, delta: Payload) -> Result<(), Rejection>;
 
-    /// Takes urgent rows.
-    async fn push(token: Token, push: Payload) -> Result<(), Refusal>;
+    /// Applies urgent rows.
+    async fn push(token: Token, push: Payload) -> Result<(), Rejection>;
 
-    /// A question about a claim, or a key space to take over.
-    async fn claim(token: Token, call: Payload) -> Result<Payload, Refusal>;
+    /// Answers a query about a claim, or takes over a key space.
+    async fn claim(token: Token, call: Payload) -> Result<Payload, Rejection>;
 
-    /// What lists there are above a revision: the part from a byte on.
-    async fn get_lists(token: Token, have: Revision, from: u64) -> Result<Payload, Refusal>;
+    /// Returns the lists that are newer than a revision: the part from a byte offset on.
+    async fn get_lists(token: Token, have: Revision, from: u64) -> Result<Payload, Rejection>;
 }
--- a/daemon/src/peers/token.rs
+++ b/daemon/src/peers/token.rs
@@ -1,4 +1,4 @@
-//! The token that daemons show one another.
+//! The token with which daemons authenticate to each other.
 
 use std::fmt;
 
@@ -13,18 +13,17 @@
 impl Token {
     /// Token from the text of its file; none if that is blank.
     ///
-    /// A blank file would let in everybody who sends a blank token, which looks
-    /// like a working deployment until somebody tries.
+    /// With a blank file, anybody who sends a blank token would be accepted, and the deployment
+    /// would seem to work until somebody tries that.
     pub fn new(text: &str) -> Option<Self> {
         let text = text.trim();
         (!text.is_empty()).then(|| Self(text.into()))
     }
 
-    /// Whether both are the same.
+    /// Whether both are equal, compared in constant time.
     ///
-    /// Takes as long for a token that is wrong from its first byte as for one
-    /// that is wrong in its last; else a stranger could find it byte by byte
-    /// from the times of the refusals. Only the length may show.
+    /// Otherwise an attacker could guess the token byte by byte from the time that a rejection
+    /// takes. Only the length may be learned from the time.
     pub fn matches(&self, other: &Self) -> bool {
         self.0.as_bytes().ct_eq(other.0.as_bytes()).into()
     }
--- a/daemon/src/platform.rs
+++ b/daemon/src/platform.rs
@@ -1,4 +1,4 @@
-//! Clients of the platform's services.
+//! Clients for the platform's services.
 
 pub mod hosts;
 pub mod perform;
--- a/daemon/src/platform/hosts.rs
+++ b/daemon/src/platform/hosts.rs
@@ -1,14 +1,12 @@
-//! The platform's list of hosts: its client, and what its answers amount to.
+//! Client for the platform's list of hosts, and the endpoints derived from its answers.
 //!
-//! The list lags and can be wrong for a while, so its answers are not taken at
-//! their word. An endpoint that is missing from one answer may be there in the
-//! next, and streams that were moved away for it would be computed again; it
-//! counts as gone only after [`ABSENT`] answers without it. A list that has just
-//! been restarted may name few hosts or none. Were it believed, a daemon would
-//! refuse all work before healthy endpoints; so when most of the known ones are
-//! missing at once, [`ABSENT_MANY`] answers are asked for. An endpoint that is
-//! really gone costs little meanwhile: its connections are refused, and it is
-//! shunned for that.
+//! The list lags and can be wrong for a while, so a single answer is not trusted. An endpoint that
+//! is missing from one answer may be back in the next, and the streams moved off it would have been
+//! recomputed for nothing; it counts as gone only after [`GONE_ANSWERS`] answers without it. A list
+//! service that has just restarted may name few hosts or none. If it were trusted, a daemon would
+//! reject all requests although its endpoints are healthy; so while more than half of the known
+//! ones are missing, [`MASS_GONE_ANSWERS`] answers are required. An endpoint that is really gone
+//! costs little meanwhile: its connections are refused, and it is ejected for that.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -16,34 +14,33 @@
 use poplarvale_lib::protos::platform::{ListedHost, ListedHosts};
 use poplarvale_lib::{EndpointId, Input, ListedEndpoint, Row, Table};
 
-/// Time for a whole call; one that takes longer is made anew.
-const CALL_TIME: Duration = Duration::from_secs(2);
-/// Largest answer: 4,400 hosts of about 200 bytes each, and as much again four
-/// times over.
-const MOST_ANSWER: usize = 4 << 20;
-/// Answers in a row without an endpoint after which it is gone.
-pub const ABSENT: u32 = 3;
-/// The same while more than half of the known endpoints are missing.
-pub const ABSENT_MANY: u32 = 30;
-/// Supposed time until a leaving endpoint is gone if the list names none: short,
-/// as streams that are carried on too early lose less than those cut off.
-pub const SUPPOSED: Duration = Duration::from_secs(10);
-/// How much earlier an end must be to be told again: the same notice, read
-/// twice, differs by the time that the answers took.
-const EARLIER: Duration = Duration::from_millis(500);
-
-/// Why there is no answer.
+/// Timeout of a call; the list is requested again after it.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Largest answer: 4,400 hosts of about 200 bytes each, and four times as much in reserve.
+const MAX_ANSWER_BYTES: usize = 4 << 20;
+/// Consecutive answers without an endpoint after which it counts as gone.
+pub const GONE_ANSWERS: u32 = 3;
+/// The same number while more than half of the known endpoints are missing.
+pub const MASS_GONE_ANSWERS: u32 = 30;
+/// Assumed time until a leaving endpoint is gone if the list gives none. It is short, because a
+/// stream that is moved too early loses less than one that is cut off.
+pub const DEFAULT_NOTICE: Duration = Duration::from_secs(10);
+/// How much earlier a new end must be to be reported again: the end of one notice differs between
+/// two answers by the time that the answers took.
+const MIN_ADVANCE: Duration = Duration::from_millis(500);
+
+/// Why a call to the list failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HostsError {
     /// The list could not be reached in time.
-    #[error("the list of hosts was not reached")]
-    Unreached,
-    /// It gave another status than 200 or something that is no list.
-    #[error("the list of hosts gave no list")]
+    #[error("the list of hosts could not be reached")]
+    Unreachable,
+    /// The status was not a success, or the body was no list.
+    #[error("the answer of the list of hosts was invalid")]
     Malformed,
 }
 
-/// Client of the list.
+/// Client of the list of hosts.
 #[derive(Clone, Copy, Debug)]
 pub struct HostsClient {
     address: SocketAddr,
@@ -55,27 +52,27 @@
         Self { address }
     }
 
-    /// Asks for the list.
+    /// Requests the list.
     ///
     /// # Errors
-    /// If it is not reached, or answers with something else.
+    /// If it cannot be reached or its answer is invalid.
     pub async fn list(&self) -> Result<ListedHosts, HostsError> {
-        let client = awc::Client::builder().timeout(CALL_TIME).finish();
-        let asked = client.get(format!("http://{}/hosts", self.address)).send();
-        let mut response = asked.await.map_err(|_unsent| HostsError::Unreached)?;
+        let client = awc::Client::builder().timeout(CALL_TIMEOUT).finish();
+        let sent = client.get(format!("http://{}/hosts", self.address)).send();
+        let mut response = sent.await.map_err(|_unsent| HostsError::Unreachable)?;
         if !response.status().is_success() {
             return Err(HostsError::Malformed);
         }
-        let body = response.json().limit(MOST_ANSWER).await;
+        let body = response.json().limit(MAX_ANSWER_BYTES).await;
         body.map_err(|_broken| HostsError::Malformed)
     }
 }
 
-/// An endpoint that the list has named.
+/// An endpoint that the list contained.
 #[derive(Clone, Debug, PartialEq)]
 struct Host {
     known: ListedEndpoint,
-    /// Answers in a row without it.
+    /// Consecutive answers without it.
     absent: u32,
 }
 
@@ -86,32 +83,31 @@
     }
 }
 
-/// A notice that was told already.
+/// A notice that was reported to the core.
 #[derive(Clone, Debug, PartialEq)]
-struct Told {
+struct Reported {
     endpoint: EndpointId,
     until: Instant,
 }
 
-impl Row for Told {
+impl Row for Reported {
     type Id = EndpointId;
     fn id(&self) -> &EndpointId {
         &self.endpoint
     }
 }
 
-/// What the answers so far amount to.
+/// Endpoints derived from the answers so far.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HostList {
-    /// Endpoints named in the settings, sorted. The list only tells when they
-    /// leave.
+    /// Endpoints of the settings, sorted. From the list, only their reclaim notices are used.
     fixed: Vec<EndpointId>,
     hosts: Table<Host>,
-    told: Table<Told>,
+    reported: Table<Reported>,
 }
 
 impl HostList {
-    /// List without an answer yet, beside the endpoints of the settings.
+    /// List before the first answer, with the endpoints of the settings.
     pub fn new(mut fixed: Vec<EndpointId>) -> Self {
         fixed.sort_unstable();
         Self {
@@ -120,36 +116,35 @@
         }
     }
 
-    /// Takes an answer; returns what the core is to hear of it. Hosts that serve
-    /// nothing, or whose address cannot be read, are passed over.
-    pub fn take(&mut self, now: Instant, answer: &ListedHosts) -> Vec<Input> {
+    /// Applies an answer; returns the inputs for the core. Hosts without a service or with an
+    /// invalid address are skipped.
+    pub fn apply(&mut self, now: Instant, answer: &ListedHosts) -> Vec<Input> {
         let mut inputs = Vec::new();
         let mut named: Vec<EndpointId> = Vec::with_capacity(answer.hosts.len());
         for (listed, known) in answer.hosts.iter().filter_map(endpoint) {
             named.push(known.id.clone());
-            // The notice goes first: the endpoint then never takes work.
+            // The notice comes first, so that a leaving endpoint never gets a request.
             inputs.extend(self.notice(now, listed, &known.id));
-            inputs.extend(self.name(known));
+            inputs.extend(self.apply_endpoint(known));
         }
         named.sort_unstable();
-        inputs.extend(self.miss(&named));
+        inputs.extend(self.count_absent(&named));
         inputs
     }
 
-    /// A notice that was not told yet.
+    /// Input for a notice that is new or now ends earlier.
     fn notice(&mut self, now: Instant, listed: &ListedHost, id: &EndpointId) -> Option<Input> {
         if !listed.leaving {
             return None;
         }
-        let left = listed.left_ms.map_or(SUPPOSED, Duration::from_millis);
-        // The list may name any number, and one beyond the clock must not stop
-        // the daemon.
-        let until = now.checked_add(left).unwrap_or(now + SUPPOSED);
-        let told = self.told.get(id).map(|told| told.until);
-        if told.is_some_and(|told| until + EARLIER > told) {
+        let left = listed.left_ms.map_or(DEFAULT_NOTICE, Duration::from_millis);
+        // The list may give any number; one beyond the range of the clock must not panic.
+        let until = now.checked_add(left).unwrap_or(now + DEFAULT_NOTICE);
+        let reported = self.reported.get(id).map(|reported| reported.until);
+        if reported.is_some_and(|reported| until + MIN_ADVANCE > reported) {
             return None;
         }
-        self.told.insert(Told {
+        self.reported.insert(Reported {
             endpoint: id.clone(),
             until,
         });
@@ -159,8 +154,8 @@
         })
     }
 
-    /// An endpoint that is new or has changed.
-    fn name(&mut self, known: ListedEndpoint) -> Option<Input> {
+    /// Input for an endpoint that is new or has changed.
+    fn apply_endpoint(&mut self, known: ListedEndpoint) -> Option<Input> {
         if self.fixed.binary_search(&known.id).is_ok() {
             return None;
         }
@@ -173,32 +168,37 @@
         changed.then_some(Input::Endpoint(known))
     }
 
-    /// Counts the answer against the endpoints that it lacks.
-    fn miss(&mut self, named: &[EndpointId]) -> Vec<Input> {
-        let lacks = |id: &EndpointId| named.binary_search(id).is_err();
-        let absent = self.hosts.iter().filter(|h| lacks(&h.known.id)).count();
-        let most = if absent * 2 > self.hosts.len() && absent > 1 {
-            ABSENT_MANY
+    /// Counts an answer for the endpoints missing from it; returns inputs for those that are gone.
+    fn count_absent(&mut self, named: &[EndpointId]) -> Vec<Input> {
+        let is_missing = |id: &EndpointId| named.binary_search(id).is_err();
+        let absent = self
+            .hosts
+            .iter()
+            .filter(|h| is_missing(&h.known.id))
+            .count();
+        let required = if absent * 2 > self.hosts.len() && absent > 1 {
+            MASS_GONE_ANSWERS
         } else {
-            ABSENT
+            GONE_ANSWERS
         };
         let mut gone = Vec::new();
         for host in &mut self.hosts {
-            if lacks(&host.known.id) {
+            if is_missing(&host.known.id) {
                 host.absent += 1;
             }
-            if host.absent >= most {
+            if host.absent >= required {
                 gone.push(host.known.id.clone());
             }
         }
         for id in &gone {
             self.hosts.remove(id);
-            self.told.remove(id);
+            self.reported.remove(id);
         }
         gone.into_iter().map(Input::Gone).collect()
     }
 }
 
+/// Endpoint of a listed host; none if the host has no service or an invalid address.
 fn endpoint(listed: &ListedHost) -> Option<(&ListedHost, ListedEndpoint)> {
     if listed.id.is_empty() || listed.service.is_empty() {
         return None;
--- a/daemon/src/platform/perform.rs
+++ b/daemon/src/platform/perform.rs
@@ -1,7 +1,7 @@
-//! Carries out what the keeper of the lists and the claimer ask of the
-//! key-value service, and turns the outcomes into their inputs.
+//! Executes the commands of the keeper of the lists and of the claimer at the key-value service,
+//! and turns the results into their inputs.
 //!
-//! Commands that are not for the service are given back to the caller.
+//! Commands that are not for the service are returned as errors.
 
 use std::time::Instant;
 
@@ -9,9 +9,9 @@
 use poplarvale_lib::store::Store;
 use poplarvale_lib::{Revision, claims};
 
-/// Carries out a command of the keeper that was given at a time.
+/// Executes a command that the keeper issued at `sent`.
 ///
-/// A watch runs until it breaks and has a function of its own, [`watch`].
+/// Not for watches, which run until they break: see [`watch`].
 pub async fn config(
     store: &impl Store,
     sent: Instant,
@@ -34,18 +34,18 @@
     }
 }
 
-/// Holds the keeper's watch from a revision on, until it breaks.
+/// Runs the keeper's watch from a revision on, until it breaks.
 pub async fn watch(
     store: &impl Store,
     from: Revision,
-    mut tell: impl FnMut(config::Input),
+    mut send: impl FnMut(config::Input),
 ) -> config::Input {
-    let on_change = |held| tell(config::Input::Watched(held));
+    let on_change = |value| send(config::Input::Watched(value));
     store.watch(HEAD, from, on_change).await;
     config::Input::WatchEnded
 }
 
-/// Carries out a command of the claimer.
+/// Executes a command of the claimer.
 pub async fn claims(
     store: &impl Store,
     command: claims::Command,
@@ -55,8 +55,8 @@
             let result = store.write(write).await;
             Ok(claims::Input::Written { number, result })
         }
-        claims::Command::Lease(lasts) => {
-            let result = store.grant(lasts).await;
+        claims::Command::Lease(ttl) => {
+            let result = store.grant(ttl).await;
             Ok(claims::Input::Leased(result))
         }
         other => Err(other),
--- a/daemon/src/platform/store.rs
+++ b/daemon/src/platform/store.rs
@@ -1,9 +1,9 @@
-//! Client of the key-value service's JSON gateway.
+//! Client for the key-value service's JSON gateway.
 //!
-//! Each call has a timeout, only so many run at once, and a breaker fails them
-//! at once while the service counts as out. What is certain is kept apart: a
-//! call is [`Failure::NotDone`] only if it was never sent or was refused as
-//! malformed; everything else that goes wrong is [`Failure::Unknown`].
+//! Each call has a timeout, the number of concurrent calls is limited, and a circuit breaker fails
+//! calls immediately while the service counts as unavailable. A failed call is [`Failure::NotDone`]
+//! only if it was certainly not done, because it was never sent or was rejected as malformed; every
+//! other failure is [`Failure::Unknown`].
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -22,14 +22,14 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Time for a whole call; healthy ones take milliseconds, and a claim that
-/// waits longer makes its request late anyhow.
-const CALL_TIME: Duration = Duration::from_secs(1);
-/// Calls at once: enough for claims and reads of one daemon at a few ms each,
-/// and few enough that a service which hangs holds little memory here.
-const MOST_RUNNING: u32 = 16;
-/// Largest answer: both lists in base64, with some room.
-const MOST_ANSWER: usize = 4 * MAX_VALUE_BYTES;
+/// Timeout of a call. Healthy calls take milliseconds, and a claim that waits longer makes its
+/// request late anyway.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Most concurrent calls: enough for the claims and reads of one daemon at a few milliseconds each,
+/// and few enough that the calls to a hanging service occupy little memory.
+const MAX_CALLS: u32 = 16;
+/// Largest answer: both lists in base64, with some reserve.
+const MAX_ANSWER_BYTES: usize = 4 * MAX_VALUE_BYTES;
 
 /// Client of the key-value service.
 #[derive(Debug)]
@@ -39,10 +39,10 @@
     breaker: RefCell<Breaker>,
 }
 
-/// Counts a call as running until it is dropped, also when it is given up.
-struct Place<'a>(&'a Cell<u32>);
+/// Counts a call as running until dropped, also if the call is cancelled.
+struct CallSlot<'a>(&'a Cell<u32>);
 
-impl Drop for Place<'_> {
+impl Drop for CallSlot<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -58,84 +58,88 @@
         }
     }
 
-    /// Notes how many daemons share the service.
+    /// Sets how many daemons share the service.
     pub fn set_daemons(&self, daemons: u32) {
         self.breaker.borrow_mut().set_daemons(daemons);
     }
 
-    /// Whether the service counts as out.
-    pub fn is_out(&self) -> bool {
+    /// Whether the circuit breaker treats the service as unavailable.
+    pub fn is_unavailable(&self) -> bool {
         self.breaker.borrow().is_open()
     }
 
+    /// Makes a call, if the limit and the breaker allow it, and records its result in the breaker.
     async fn call<A: DeserializeOwned>(
         &self,
         path: &str,
-        ask: &impl Serialize,
+        message: &impl Serialize,
     ) -> Result<A, Failure> {
-        let _place = self.place()?;
+        let _slot = self.take_slot()?;
         let sent = Instant::now();
         if let Allow::No(_) = self.breaker.borrow_mut().allow(sent) {
             return Err(Failure::NotDone);
         }
-        let called = timeout(CALL_TIME, self.send(path, ask)).await;
+        let called = timeout(CALL_TIMEOUT, self.send(path, message)).await;
         let result = called.unwrap_or(Err(Failure::Unknown));
         let answered = result.is_ok();
-        self.note(sent, answered);
+        self.record(sent, answered);
         result
     }
 
-    fn note(&self, sent: Instant, answered: bool) {
+    fn record(&self, sent: Instant, answered: bool) {
         let mut breaker = self.breaker.borrow_mut();
         breaker.record(Instant::now(), sent, answered);
     }
 
-    fn place(&self) -> Result<Place<'_>, Failure> {
-        if self.running.get() >= MOST_RUNNING {
+    fn take_slot(&self) -> Result<CallSlot<'_>, Failure> {
+        if self.running.get() >= MAX_CALLS {
             return Err(Failure::NotDone);
         }
         self.running.set(self.running.get() + 1);
-        Ok(Place(&self.running))
+        Ok(CallSlot(&self.running))
     }
 
     async fn send<A: DeserializeOwned>(
         &self,
         path: &str,
-        ask: &impl Serialize,
+        message: &impl Serialize,
     ) -> Result<A, Failure> {
         let client = client();
         let request = client.post(self.url(path));
-        let mut response = request.send_json(ask).await.map_err(|e| unsent(&e))?;
+        let mut response = request
+            .send_json(message)
+            .await
+            .map_err(|e| send_failure(&e))?;
         if response.status().is_client_error() {
             return Err(Failure::NotDone);
         }
         if !response.status().is_success() {
             return Err(Failure::Unknown);
         }
-        let body = response.json().limit(MOST_ANSWER).await;
+        let body = response.json().limit(MAX_ANSWER_BYTES).await;
         body.map_err(|_broken| Failure::Unknown)
     }
 
     async fn read(&self, key: &str, end: &[u8]) -> Result<Snapshot, Failure> {
-        let ask = range(key, end);
-        let found: wire::RangeResponse = self.call("/v3/kv/range", &ask).await?;
+        let message = range(key, end);
+        let found: wire::RangeResponse = self.call("/v3/kv/range", &message).await?;
         snapshot(found.header.as_ref(), &found.kvs)
     }
 
-    /// Reads lines of a watch until it breaks; never ends well.
-    async fn follow(
+    /// Reads the lines of a watch until it breaks; always ends with an error.
+    async fn read_watch(
         &self,
         sent: Instant,
-        ask: &wire::WatchRequest,
+        message: &wire::WatchRequest,
         on_change: &mut impl FnMut(StoredValue),
     ) -> Result<(), Failure> {
         let client = client();
-        let request = client.post(self.url("/v3/watch")).send_json(ask);
-        let begun = timeout(CALL_TIME, request).await;
-        let answered = matches!(&begun, Ok(Ok(response)) if response.status().is_success());
-        self.note(sent, answered);
-        let begun = begun.map_err(|_late| Failure::Unknown)?;
-        let mut response = begun.map_err(|e| unsent(&e))?;
+        let request = client.post(self.url("/v3/watch")).send_json(message);
+        let started = timeout(CALL_TIMEOUT, request).await;
+        let answered = matches!(&started, Ok(Ok(response)) if response.status().is_success());
+        self.record(sent, answered);
+        let started = started.map_err(|_late| Failure::Unknown)?;
+        let mut response = started.map_err(|e| send_failure(&e))?;
         if !response.status().is_success() {
             return Err(Failure::Unknown);
         }
@@ -144,9 +148,9 @@
             buffer.extend(chunk.map_err(|_broken| Failure::Unknown)?);
             while let Some(at) = buffer.iter().position(|byte| *byte == b'\n') {
                 let line = buffer.split_to(at + 1);
-                told(&line, on_change)?;
+                apply_line(&line, on_change)?;
             }
-            if buffer.len() > MOST_ANSWER {
+            if buffer.len() > MAX_ANSWER_BYTES {
                 return Err(Failure::Unknown);
             }
         }
@@ -183,12 +187,12 @@
             request_range: Some(range(c.key(), &[])),
             request_put: None,
         });
-        let ask = wire::TxnRequest {
+        let message = wire::TxnRequest {
             compare: write.conditions.iter().map(compare).collect(),
             success: write.puts.iter().map(put).collect(),
             failure: reads.collect(),
         };
-        let done: wire::TxnResponse = self.call("/v3/kv/txn", &ask).await?;
+        let done: wire::TxnResponse = self.call("/v3/kv/txn", &message).await?;
         if done.succeeded {
             return Ok(Written::Done(revision(done.header.as_ref())?));
         }
@@ -199,11 +203,11 @@
 
     async fn grant(&self, lasts: Duration) -> Result<Lease, Failure> {
         let sent = Instant::now();
-        let ask = wire::LeaseGrantRequest {
+        let message = wire::LeaseGrantRequest {
             ttl: lasts.as_secs().to_string(),
             id: "0".into(),
         };
-        let given: wire::LeaseGrantResponse = self.call("/v3/lease/grant", &ask).await?;
+        let given: wire::LeaseGrantResponse = self.call("/v3/lease/grant", &message).await?;
         Ok(Lease {
             id: number(&given.id)?,
             until: sent + Duration::from_secs(number(&given.ttl)?),
@@ -212,10 +216,10 @@
 
     async fn renew(&self, lease: LeaseId) -> Result<Option<Lease>, Failure> {
         let sent = Instant::now();
-        let ask = wire::LeaseRequest {
+        let message = wire::LeaseRequest {
             id: lease.to_string(),
         };
-        let kept: wire::LeaseKeepAliveResponse = self.call("/v3/lease/keepalive", &ask).await?;
+        let kept: wire::LeaseKeepAliveResponse = self.call("/v3/lease/keepalive", &message).await?;
         let seconds = number(&kept.result.unwrap_or_default().ttl)?;
         Ok((seconds > 0).then(|| Lease {
             id: lease,
@@ -224,10 +228,10 @@
     }
 
     async fn revoke(&self, lease: LeaseId) -> Result<(), Failure> {
-        let ask = wire::LeaseRequest {
+        let message = wire::LeaseRequest {
             id: lease.to_string(),
         };
-        let _done: wire::LeaseRevokeResponse = self.call("/v3/lease/revoke", &ask).await?;
+        let _done: wire::LeaseRevokeResponse = self.call("/v3/lease/revoke", &message).await?;
         Ok(())
     }
 
@@ -241,36 +245,35 @@
         if let Allow::No(_) = self.breaker.borrow_mut().allow(sent) {
             return Failure::NotDone;
         }
-        let ask = wire::WatchRequest {
+        let message = wire::WatchRequest {
             create_request: Some(wire::WatchCreateRequest {
                 key: to_base64(key.as_bytes()),
                 range_end: String::new(),
                 start_revision: from.to_string(),
             }),
         };
-        let ended = self.follow(sent, &ask, &mut on_change).await;
+        let ended = self.read_watch(sent, &message, &mut on_change).await;
         ended.err().unwrap_or(Failure::Unknown)
     }
 }
 
-/// A client with connections of its own.
+/// A client for one call, with a new connection.
 ///
-/// A pooled connection that the service has closed meanwhile would turn a call
-/// that never left into one of unknown outcome; calls are few, and a fresh
-/// connection to a service that is down fails as not done.
+/// On a pooled connection that the service has closed, a call that was never sent would fail with
+/// unknown outcome. Calls are few, and a new connection to a service that is down fails as not
+/// done.
 fn client() -> awc::Client {
     let connector = awc::Connector::new().limit(1);
     let builder = awc::Client::builder().connector(connector);
-    builder.timeout(CALL_TIME).finish()
+    builder.timeout(CALL_TIMEOUT).finish()
 }
 
-/// Tells a call that never left from one that may have.
+/// Distinguishes a call that was never sent from one that may have been.
 ///
-/// The library also reports a connection that was made, carried the call and
-/// then broke as a failure to connect. Taking that as not done would make a
-/// write that took effect look free to be made again, so only the operating
-/// system's refusals to connect count.
-fn unsent(error: &SendRequestError) -> Failure {
+/// The library also reports a connection that broke after the call was sent as a failure to
+/// connect. If that counted as not done, a write that took effect might be made again; so only the
+/// operating system's errors for a failed connect count.
+fn send_failure(error: &SendRequestError) -> Failure {
     use std::io::ErrorKind::{ConnectionRefused, HostUnreachable, NetworkUnreachable};
     let SendRequestError::Connect(ConnectError::Io(error)) = error else {
         return Failure::Unknown;
@@ -281,12 +284,13 @@
     }
 }
 
-fn told(line: &[u8], on_change: &mut impl FnMut(StoredValue)) -> Result<(), Failure> {
+/// Calls `on_change` for each change in a line of a watch.
+fn apply_line(line: &[u8], on_change: &mut impl FnMut(StoredValue)) -> Result<(), Failure> {
     let line: wire::WatchLine =
         serde_json::from_slice(line).map_err(|_malformed| Failure::Unknown)?;
     let events = line.result.unwrap_or_default().events;
     for kv in events.iter().filter_map(|event| event.kv.as_ref()) {
-        on_change(held(kv)?);
+        on_change(stored_value(kv)?);
     }
     Ok(())
 }
@@ -324,7 +328,7 @@
 }
 
 fn snapshot(header: Option<&wire::Header>, kvs: &[wire::KeyValue]) -> Result<Snapshot, Failure> {
-    let rows = kvs.iter().map(held).collect::<Result<Vec<_>, _>>();
+    let rows = kvs.iter().map(stored_value).collect::<Result<Vec<_>, _>>();
     let mut rows = rows?;
     rows.sort_by(|a, b| a.key.cmp(&b.key));
     rows.dedup();
@@ -334,7 +338,7 @@
     })
 }
 
-fn held(kv: &wire::KeyValue) -> Result<StoredValue, Failure> {
+fn stored_value(kv: &wire::KeyValue) -> Result<StoredValue, Failure> {
     let key = from_base64(&kv.key).ok_or(Failure::Unknown)?;
     let key = String::from_utf8(key).map_err(|_invalid| Failure::Unknown)?;
     let value = from_base64(&kv.value).ok_or(Failure::Unknown)?;
@@ -351,7 +355,7 @@
     number(&header.ok_or(Failure::Unknown)?.revision)
 }
 
-/// Reads a 64-bit number; the gateway leaves out those that are 0.
+/// Parses a 64-bit number; the gateway omits fields that are 0.
 fn number(text: &str) -> Result<u64, Failure> {
     if text.is_empty() {
         return Ok(0);
--- a/daemon/src/run.rs
+++ b/daemon/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs a daemon from its start to its orderly end.
+//! Runs a daemon from its start to its graceful shutdown.
 
 use std::io::{self, Write as _};
 use std::net::{SocketAddr, TcpListener};
@@ -30,29 +30,29 @@
 use crate::start::{read_lists, read_token};
 use crate::{callers, operators};
 
-/// Threads for callers; the deciding core has one of its own.
+/// Worker threads for callers; the core runs on a thread of its own.
 const CALLER_THREADS: usize = 2;
-/// How often a daemon that shuts down looks whether all answers are out.
+/// Interval at which a daemon that shuts down checks whether all answers have been read.
 const IDLE_CHECK: Duration = Duration::from_millis(20);
 
-/// What a daemon failed at.
+/// Stage in which a daemon failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RunError {
-    /// Reading its files.
-    #[error("the daemon could not read what it starts from")]
+    /// Reading its input files.
+    #[error("the daemon could not read its input files")]
     Start,
-    /// Listening at an address.
-    #[error("the daemon could not listen at its addresses")]
+    /// Listening on its addresses.
+    #[error("the daemon could not listen on its addresses")]
     Listen,
-    /// Serving.
+    /// Waiting for signals while it serves.
     #[error("the daemon failed while it served")]
     Serve,
 }
 
-/// Runs until SIGTERM or SIGINT, and then until the last answer is out.
+/// Runs until SIGTERM or SIGINT, and then until the last answer has been read.
 ///
 /// # Errors
-/// If a file cannot be read or an address not be listened at.
+/// If a file cannot be read or an address cannot be bound.
 pub async fn run(settings: Settings) -> Result<(), Report<RunError>> {
     let token = read_token(&settings.credentials.operators).change_context(RunError::Start)?;
     let peers = read_token(&settings.credentials.peers).change_context(RunError::Start)?;
@@ -94,7 +94,7 @@
         limits: settings.limits.clone(),
         metrics: Arc::clone(&metrics),
     };
-    let for_operators = operators::Shared {
+    let operator_data = operators::Shared {
         core: core.clone(),
         config: joined.config.clone(),
         fleet: joined.fleet.clone(),
@@ -102,17 +102,17 @@
         metrics,
         token,
     };
-    let serving = serve_callers(caller_port, shared, &ready, &settings);
-    let serving = serving.change_context(RunError::Listen)?;
-    let operating = serve_operators(operator_port, for_operators, &ready);
-    let operating = operating.change_context(RunError::Listen)?;
+    let caller_server = serve_callers(caller_port, shared, &ready, &settings);
+    let caller_server = caller_server.change_context(RunError::Listen)?;
+    let operator_server = serve_operators(operator_port, operator_data, &ready);
+    let operator_server = operator_server.change_context(RunError::Listen)?;
 
     if let Some(lists) = lists {
         core.do_send(core::Report(Input::Lists(lists)));
         ready.set_lists();
     }
-    stopped().await.change_context(RunError::Serve)?;
-    log::info!("daemon: shutting down, letting nothing more in.");
+    wait_signal().await.change_context(RunError::Serve)?;
+    log::info!("daemon: shutting down, admitting no more requests.");
     ready.set_draining();
     core.do_send(Drain);
     joined.gossip.do_send(peers::Put {
@@ -121,18 +121,18 @@
         value: Vec::new(),
     });
     joined.claims.do_send(claims::Freeze);
-    drained(&core).await;
+    wait_idle(&core).await;
     if joined.claims.send(claims::Leave).await.is_err() {
-        log::warn!("daemon: the claimer stopped early.");
+        log::warn!("daemon: the claims actor has already stopped, continuing the shutdown.");
     }
-    serving.stop(true).await;
-    operating.stop(true).await;
+    caller_server.stop(true).await;
+    operator_server.stop(true).await;
     joined.server.stop().await;
-    log::info!("daemon: all answers are out.");
+    log::info!("daemon: all answers have been read, stopping.");
     Ok(())
 }
 
-/// What ties this daemon to the others and to the platform.
+/// Actors that connect this daemon to the others and to the platform.
 struct Joined {
     fleet: Addr<Fleet>,
     gossip: Addr<Gossip>,
@@ -143,6 +143,7 @@
     server: peers::Server,
 }
 
+/// Starts the actors that work with other daemons and with the platform.
 async fn join(
     settings: &Settings,
     setup: &Setup,
@@ -225,7 +226,7 @@
     })
 }
 
-/// Follows the list of hosts, if there is one.
+/// Starts the actor that reads the list of hosts, if there is one.
 fn start_hosts(
     settings: &Settings,
     core: &Addr<Core>,
@@ -253,9 +254,10 @@
     }
 }
 
+/// Starts the core with the endpoints of the settings.
 fn start_core(settings: &Settings, setup: Setup, metrics: Arc<Metrics>) -> Addr<Core> {
     log::info!(
-        "daemon: incarnation {:016x} in {}.",
+        "daemon: starting as incarnation {:016x} in {}.",
         setup.incarnation,
         setup.zone
     );
@@ -275,8 +277,8 @@
     core
 }
 
-/// Writes the addresses as the only line on standard output, for whoever asked
-/// for port 0.
+/// Writes the bound addresses as the only line on standard output, so that they are known if the
+/// settings give port 0.
 fn announce(ports: [io::Result<SocketAddr>; 3]) -> io::Result<()> {
     let [callers, operators, peers] = ports;
     let (callers, operators, peers) = (callers?, operators?, peers?);
@@ -309,8 +311,8 @@
         .max_connections(limits.connections as usize / CALLER_THREADS + 1)
         .client_request_timeout(Duration::from_millis(limits.head_ms))
         .h1_allow_half_closed(false)
-        // Tokens are small writes. Held back until the reader has acknowledged the
-        // one before, each would come some 40 ms late.
+        // Tokens are small writes. With Nagle's algorithm each would wait for the acknowledgement
+        // of the one before and arrive some 40 ms late.
         .tcp_nodelay(true)
         .disable_signals()
         .listen(listener)?
@@ -346,7 +348,8 @@
     Ok(handle)
 }
 
-async fn stopped() -> io::Result<()> {
+/// Waits for SIGTERM or SIGINT.
+async fn wait_signal() -> io::Result<()> {
     let mut term = signal(SignalKind::terminate())?;
     let mut int = signal(SignalKind::interrupt())?;
     tokio::select! {
@@ -356,8 +359,8 @@
     Ok(())
 }
 
-/// Waits until nothing runs and every answer has been read.
-async fn drained(core: &Addr<Core>) {
+/// Waits until no request runs and every answer has been read.
+async fn wait_idle(core: &Addr<Core>) {
     while let Ok(false) = core.send(IsIdle).await {
         tokio::time::sleep(IDLE_CHECK).await;
     }
--- a/daemon/src/start.rs
+++ b/daemon/src/start.rs
@@ -1,4 +1,4 @@
-//! Reads what a daemon needs before it can run.
+//! Reads the files that a daemon needs to start: settings, credentials and lists.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -9,27 +9,27 @@
 
 use crate::peers::Token;
 
-/// What could not be read at the start.
+/// A file that could not be read at the start.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StartError {
-    /// The settings file.
+    /// The settings file could not be read.
     #[error("{code}: settings file {path} could not be read", code = Code::NoSettings.number(), path = .0.display())]
     File(PathBuf),
-    /// A field of the settings.
-    #[error("settings file {path} is not allowed", path = .0.display())]
+    /// The settings file is invalid.
+    #[error("settings file {path} is invalid", path = .0.display())]
     Settings(PathBuf),
-    /// A credential.
+    /// A credential file could not be read or is empty.
     #[error("{code}: credential file {file} could not be read or is empty", code = Code::BadSetting.number(), file = .0)]
     Credential(CompactString),
-    /// One of the lists.
-    #[error("{code}: list {file} could not be read", code = Code::BadLists.number(), file = .0)]
+    /// One of the lists could not be read or is invalid.
+    #[error("{code}: list {file} could not be read or is invalid", code = Code::BadLists.number(), file = .0)]
     List(CompactString),
 }
 
 /// Reads and checks a settings file.
 ///
 /// # Errors
-/// Names the file, and each field that is wrong.
+/// If the file cannot be read or is invalid; names the file and every invalid field.
 pub fn read_settings(path: &Path) -> Result<Settings, Report<StartError>> {
     let text = fs::read_to_string(path).change_context_lazy(|| StartError::File(path.into()))?;
     let mut settings =
@@ -52,10 +52,10 @@
     let customers = read_list(&files.customers)?;
     let plans = read_list(&files.plans)?;
     let lists = Lists { customers, plans };
-    let mistakes = lists.check();
-    if let Some(mistake) = mistakes.first() {
+    let errors = lists.check();
+    if let Some(invalid) = errors.first() {
         let error = StartError::List(files.customers.clone());
-        return Err(Report::new(mistake.clone()).change_context(error));
+        return Err(Report::new(invalid.clone()).change_context(error));
     }
     Ok(Accepted { revision: 1, lists })
 }
--- a/daemon/tests/test_leaving.rs
+++ b/daemon/tests/test_leaving.rs
@@ -6,7 +6,7 @@
 use futures::StreamExt as _;
 use poplarvale_lib::Input;
 use poplarvale_lib::protos::platform::{ListedHost, ListedHosts};
-use poplarvaled::platform::hosts::{ABSENT, ABSENT_MANY, HostList, SUPPOSED};
+use poplarvaled::platform::hosts::{DEFAULT_NOTICE, GONE_ANSWERS, HostList, MASS_GONE_ANSWERS};
 use serde_json::{Value, json};
 use testutils::process::Process;
 use testutils::words::answer;
@@ -44,11 +44,11 @@
 fn an_endpoint_is_told_once_and_again_when_it_changes() {
     let now = Instant::now();
     let mut list = HostList::new(Vec::new());
-    assert_eq!(list.take(now, &hosts(&["a", "b"])).len(), 2);
-    assert!(list.take(now, &hosts(&["a", "b"])).is_empty());
+    assert_eq!(list.apply(now, &hosts(&["a", "b"])).len(), 2);
+    assert!(list.apply(now, &hosts(&["a", "b"])).is_empty());
     let mut moved = hosts(&["a", "b"]);
     moved.hosts[1].version = "v2".into();
-    let told = list.take(now, &moved);
+    let told = list.apply(now, &moved);
     assert!(
         matches!(told.as_slice(), [Input::Endpoint(known)] if known.version == "v2"),
         "{told:?}"
@@ -61,15 +61,15 @@
 fn an_endpoint_is_gone_only_after_several_answers_without_it() {
     let now = Instant::now();
     let mut list = HostList::new(Vec::new());
-    list.take(now, &hosts(&["a", "b", "c"]));
-    for _ in 1..ABSENT {
-        assert!(list.take(now, &hosts(&["a", "b"])).is_empty());
+    list.apply(now, &hosts(&["a", "b", "c"]));
+    for _ in 1..GONE_ANSWERS {
+        assert!(list.apply(now, &hosts(&["a", "b"])).is_empty());
     }
-    assert!(list.take(now, &hosts(&["a", "b", "c"])).is_empty());
-    for _ in 1..ABSENT {
-        assert!(list.take(now, &hosts(&["a", "b"])).is_empty());
+    assert!(list.apply(now, &hosts(&["a", "b", "c"])).is_empty());
+    for _ in 1..GONE_ANSWERS {
+        assert!(list.apply(now, &hosts(&["a", "b"])).is_empty());
     }
-    assert_eq!(gone(&list.take(now, &hosts(&["a", "b"]))), ["c"]);
+    assert_eq!(gone(&list.apply(now, &hosts(&["a", "b"]))), ["c"]);
 }
 
 /// The list's server restarts and names no host for a while. The daemons would
@@ -78,11 +78,11 @@
 fn a_list_that_has_lost_most_hosts_is_not_believed_for_long() {
     let now = Instant::now();
     let mut list = HostList::new(Vec::new());
-    list.take(now, &hosts(&["a", "b", "c"]));
-    for _ in 1..ABSENT_MANY {
-        assert!(list.take(now, &hosts(&[])).is_empty());
+    list.apply(now, &hosts(&["a", "b", "c"]));
+    for _ in 1..MASS_GONE_ANSWERS {
+        assert!(list.apply(now, &hosts(&[])).is_empty());
     }
-    let told = list.take(now, &hosts(&[]));
+    let told = list.apply(now, &hosts(&[]));
     assert_eq!(gone(&told), ["a", "b", "c"]);
 }
 
@@ -99,14 +99,14 @@
         [Input::Leaving { until, .. }] => Some(*until),
         other => panic!("{other:?}"),
     };
-    assert_eq!(until(list.take(now, &answer)), Some(now + SUPPOSED));
+    assert_eq!(until(list.apply(now, &answer)), Some(now + DEFAULT_NOTICE));
     let later = now + Duration::from_secs(1);
-    assert_eq!(until(list.take(later, &answer)), None);
+    assert_eq!(until(list.apply(later, &answer)), None);
     answer.hosts[0].left_ms = Some(2_000);
     let earlier = later + Duration::from_secs(2);
-    assert_eq!(until(list.take(later, &answer)), Some(earlier));
+    assert_eq!(until(list.apply(later, &answer)), Some(earlier));
     answer.hosts[0].left_ms = Some(u64::MAX);
-    assert_eq!(until(list.take(later, &answer)), None);
+    assert_eq!(until(list.apply(later, &answer)), None);
 }
 
 /// Endpoints of the settings are there although the platform's list may not
@@ -115,9 +115,9 @@
 fn endpoints_of_the_settings_stay() {
     let now = Instant::now();
     let mut list = HostList::new(vec!["a".into()]);
-    assert!(list.take(now, &hosts(&["a"])).is_empty());
-    for _ in 0..=ABSENT_MANY {
-        assert!(list.take(now, &hosts(&[])).is_empty());
+    assert!(list.apply(now, &hosts(&["a"])).is_empty());
+    for _ in 0..=MASS_GONE_ANSWERS {
+        assert!(list.apply(now, &hosts(&[])).is_empty());
     }
 }
 
@@ -127,7 +127,7 @@
     answer.hosts[0].service = String::new();
     answer.hosts[1].address = "somewhere".into();
     let mut list = HostList::new(Vec::new());
-    assert!(list.take(Instant::now(), &answer).is_empty());
+    assert!(list.apply(Instant::now(), &answer).is_empty());
 }
 
 /// A daemon's row of an endpoint; null if it does not know the endpoint.
--- a/daemon/tests/test_peers.rs
+++ b/daemon/tests/test_peers.rs
@@ -202,7 +202,7 @@
 
 fn refused<T: std::fmt::Debug>(result: &Result<T, PeerError>) {
     assert!(
-        matches!(result, Err(PeerError::Refused(6001))),
+        matches!(result, Err(PeerError::Rejected(6001))),
         "{result:?}"
     );
 }
@@ -246,7 +246,7 @@
     let to = a.server.address;
     let nameless = client.exchange(to, &Digest::default()).await;
     assert!(
-        matches!(nameless, Err(PeerError::Refused(6004))),
+        matches!(nameless, Err(PeerError::Rejected(6004))),
         "{nameless:?}"
     );
     let digest = Digest {
--- a/daemon/tests/test_platform.rs
+++ b/daemon/tests/test_platform.rs
@@ -135,7 +135,7 @@
     for _ in 0..20 {
         client.get("a").await.unwrap_err();
     }
-    assert!(client.is_out());
+    assert!(client.is_unavailable());
     assert!(counts(address).await.reads < 20);
 }
 
