--- a/daemon/src/config.rs
+++ b/daemon/src/config.rs
@@ -157,9 +157,7 @@
         let watch = async move {
             let on_change = |value| me.do_send(KeeperInput(Input::Watched(value)));
             let failure = store.watch(HEAD, from, on_change).await;
-            log::info!(
-                "config: the watch of the lists ended, the keeper decides on the next one: {failure}."
-            );
+            log::info!("config: the watch of the lists ended, the keeper is notified: {failure}.");
         };
         let ended = |(), config: &mut Self, ctx: &mut Context<Self>| {
             config.watch = None;
