--- a/daemon/src/config.rs
+++ b/daemon/src/config.rs
@@ -14,7 +14,7 @@
     SpawnHandle, WrapFuture as _,
 };
 use poplarvale_lib::config::{
-    Command, EditId, HEAD, Input, Keeper, PREFIX, Peer, Proposal, Pull, Verdict,
+    Command, EditId, HEAD_KEY, Input, KEY_PREFIX, Keeper, Peer, Proposal, Pull, Verdict,
 };
 use poplarvale_lib::gossip::{self, Kind};
 use poplarvale_lib::protos::peer::{Adopted, Part};
@@ -104,8 +104,8 @@
                     ctx.cancel_future(watch);
                 }
             }
-            Command::Glance => self.glance(ctx),
-            Command::Read => self.read(ctx),
+            Command::ReadHead => self.glance(ctx),
+            Command::ReadLists => self.read(ctx),
             Command::Write { edit, write } => {
                 let store = Rc::clone(&self.parts.store);
                 let call = async move {
@@ -118,7 +118,7 @@
             // The row of an adopted revision is urgent: gossip pushes it at once.
             Command::Announce { .. } => {}
             Command::Adopt(accepted) => self.adopt(accepted),
-            Command::Tell { edit, verdict } => self.answer(&edit, &verdict),
+            Command::Reply { edit, verdict } => self.answer(&edit, &verdict),
         }
     }
 
@@ -132,8 +132,8 @@
         let store = Rc::clone(&self.parts.store);
         let sent = Instant::now();
         let call = async move {
-            let result = store.get(HEAD).await;
-            Input::Glanced { sent, result }
+            let result = store.get(HEAD_KEY).await;
+            Input::HeadRead { sent, result }
         };
         self.call(call, ctx);
     }
@@ -142,8 +142,8 @@
         let store = Rc::clone(&self.parts.store);
         let sent = Instant::now();
         let call = async move {
-            let result = store.range(PREFIX).await;
-            Input::Read { sent, result }
+            let result = store.range(KEY_PREFIX).await;
+            Input::ListsRead { sent, result }
         };
         self.call(call, ctx);
     }
@@ -155,8 +155,8 @@
         let store = Rc::clone(&self.parts.store);
         let me = ctx.address();
         let watch = async move {
-            let on_change = |value| me.do_send(KeeperInput(Input::Watched(value)));
-            let failure = store.watch(HEAD, from, on_change).await;
+            let on_change = |value| me.do_send(KeeperInput(Input::HeadChanged(value)));
+            let failure = store.watch(HEAD_KEY, from, on_change).await;
             log::info!("config: the watch of the lists ended, the keeper is notified: {failure}.");
         };
         let ended = |(), config: &mut Self, ctx: &mut Context<Self>| {
--- a/daemon/src/fleet.rs
+++ b/daemon/src/fleet.rs
@@ -168,7 +168,7 @@
         let daemon = self.daemon(origin);
         daemon.revision = daemon.revision.max(row.revision);
         if let Some(config) = &self.config {
-            config.do_send(KeeperInput(config::Input::Heard {
+            config.do_send(KeeperInput(config::Input::PeerRevision {
                 peer: origin,
                 revision: row.revision,
                 age: row.age_ms.map(Duration::from_millis),
--- a/daemon/src/operators/lists.rs
+++ b/daemon/src/operators/lists.rs
@@ -101,7 +101,7 @@
             let what = difference.map_or_else(String::new, |d| describe(&d));
             Err(Problem::new(Code::Conflict).detail(head + &what))
         }
-        Verdict::Refused(errors) => Err(Problem::new(Code::BadLists).detail(join_errors(&errors))),
+        Verdict::Invalid(errors) => Err(Problem::new(Code::BadLists).detail(join_errors(&errors))),
         Verdict::NotDone => Err(Problem::new(Code::StoreOut).detail("the edit was not accepted")),
         Verdict::Unknown => {
             let mut problem = Problem::new(Code::StoreOut);
--- a/daemon/src/peers/client.rs
+++ b/daemon/src/peers/client.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 use poplarvale_lib::Revision;
-use poplarvale_lib::gossip::EXCHANGE_LIMIT;
+use poplarvale_lib::gossip::EXCHANGE_TIMEOUT;
 use poplarvale_lib::protos::peer::{Answer, Delta, Digest, Push};
 use prost::Message as _;
 use tarpc::client::{Config, RpcError};
@@ -193,6 +193,6 @@
 /// Call context whose deadline is the exchange timeout, after which an answer is of no use.
 fn with_deadline() -> Context {
     let mut context = context::current();
-    context.deadline = Instant::now() + EXCHANGE_LIMIT;
+    context.deadline = Instant::now() + EXCHANGE_TIMEOUT;
     context
 }
--- a/daemon/src/peers/server.rs
+++ b/daemon/src/peers/server.rs
@@ -8,7 +8,7 @@
 use actix::Addr;
 use actix::dev::ToEnvelope;
 use futures::{Stream, StreamExt as _};
-use poplarvale_lib::gossip::ORIGINS;
+use poplarvale_lib::gossip::MAX_ORIGINS;
 use poplarvale_lib::{Code, Revision};
 use prost::Message as _;
 use tarpc::context::Context;
@@ -32,7 +32,7 @@
 pub(crate) const MAX_FRAME_BYTES: usize = 128 * 1024;
 
 /// Most open connections; each peer keeps one.
-const MAX_CONNECTIONS: usize = ORIGINS;
+const MAX_CONNECTIONS: usize = MAX_ORIGINS;
 
 /// Time after which a connection without a call is closed.
 ///
--- a/daemon/src/relay/duties.rs
+++ b/daemon/src/relay/duties.rs
@@ -89,7 +89,7 @@
     // that its lease is gone.
     let is_over = !state
         .eras
-        .may_outlast(state.settings.bounds.lease, Instant::now());
+        .old_lease_valid(state.settings.bounds.lease, Instant::now());
     state.listed.get() && state.phase().is_serving() && is_free && is_over
 }
 
