--- a/daemon/tests/runner.rs
+++ b/daemon/tests/runner.rs
@@ -1,4 +1,4 @@
-//! Integration tests of the daemon, gathered in one program.
+//! Integration tests of the daemon, built as one binary.
 
 mod relay_site;
 mod site;
--- a/daemon/tests/site.rs
+++ b/daemon/tests/site.rs
@@ -1,4 +1,5 @@
-//! A small site for tests: stand-ins and a daemon as processes of their own.
+//! A small test site: daemons, simulated endpoints and simulated platform services, each in its own
+//! process.
 
 use std::net::SocketAddr;
 use std::ops::Deref;
@@ -17,17 +18,17 @@
 pub(crate) const KEY: &str = "surf-demo";
 /// API key of a customer whose plan includes the model only.
 pub(crate) const READER: &str = "smog-demo";
-/// API key of a customer whose plan lets one request in, and the next 50 s later.
+/// API key of a customer whose plan admits one request, and the next one 50 s later.
 pub(crate) const SLOW: &str = "slow-demo";
-/// API key of a customer whose plan lets ten requests be in progress.
+/// API key of a customer whose plan allows ten running requests.
 pub(crate) const FEW: &str = "few-demo";
 /// The operators' token.
 pub(crate) const TOKEN: &str = "operators";
 
-/// Time between two looks at something that is waited for.
+/// Interval between two checks of an awaited condition.
 pub(crate) const PAUSE: Duration = Duration::from_millis(50);
 
-/// An answer that a caller got.
+/// Response that a caller received.
 #[derive(Debug)]
 pub(crate) struct Got {
     pub(crate) status: StatusCode,
@@ -40,7 +41,7 @@
         serde_json::from_str(&self.body).unwrap_or_else(|e| panic!("{e}: {:?}", self.body))
     }
 
-    /// Number of the result code of an error.
+    /// Numbered code of an error.
     pub(crate) fn code(&self) -> u64 {
         self.json()["code"].as_u64().unwrap_or_default()
     }
@@ -53,7 +54,7 @@
     }
 }
 
-/// A daemon's process and its ports.
+/// Process of a daemon and its addresses.
 pub(crate) struct Daemon {
     pub(crate) process: Process,
     pub(crate) callers: SocketAddr,
@@ -73,7 +74,7 @@
         }
     }
 
-    /// A caller's request.
+    /// Sends a caller's request.
     pub(crate) async fn post(&self, key: &str, path: &str, body: &Value) -> Got {
         let request = client()
             .post(format!("http://{}{path}", self.callers))
@@ -81,7 +82,7 @@
         read(request.send_json(body).await.expect("the daemon answers")).await
     }
 
-    /// A caller's request without a body.
+    /// Sends a caller's request without a body.
     pub(crate) async fn get(&self, key: &str, path: &str, last: Option<&str>) -> Got {
         let mut request = client()
             .get(format!("http://{}{path}", self.callers))
@@ -92,7 +93,7 @@
         read(request.send().await.expect("the daemon answers")).await
     }
 
-    /// An operator's question.
+    /// Sends an operator's GET request.
     pub(crate) async fn operate(&self, token: &str, path: &str) -> Got {
         let request = client()
             .get(format!("http://{}{path}", self.operators))
@@ -100,7 +101,7 @@
         read(request.send().await.expect("the daemon answers")).await
     }
 
-    /// An operator's edit of the lists.
+    /// Sends an operator's edit of the lists.
     pub(crate) async fn put_lists(&self, lists: &Value) -> Got {
         let request = client()
             .put(format!("http://{}/lists", self.operators))
@@ -108,14 +109,14 @@
         read(request.send_json(lists).await.expect("the daemon answers")).await
     }
 
-    /// Revision of the lists in force.
+    /// Reads the revision of the lists in force.
     pub(crate) async fn revision(&self) -> u64 {
         let lists = self.operate(TOKEN, "/lists").await.json();
         lists["revision"].as_u64().unwrap_or(0)
     }
 
-    /// Waits until it knows so many daemons to have a revision, itself included.
-    async fn meet(&self, revision: u64, daemons: usize) {
+    /// Waits until it knows that this number of daemons, itself included, have a revision.
+    async fn wait_spread(&self, revision: u64, daemons: usize) {
         let path = format!("/lists/spread/{revision}");
         while self.operate(TOKEN, &path).await.json()["reached"] != daemons {
             tokio::time::sleep(PAUSE).await;
@@ -123,14 +124,14 @@
     }
 
     /// Waits until lists of at least this revision are in force.
-    pub(crate) async fn reach(&self, revision: u64) {
+    pub(crate) async fn wait_revision(&self, revision: u64) {
         while self.revision().await < revision {
             tokio::time::sleep(PAUSE).await;
         }
     }
 }
 
-/// Daemons with two model engines, a booking application and perhaps a platform.
+/// Daemons with two model engines, a booking application and optionally a platform.
 pub(crate) struct Site {
     pub(crate) engines: Vec<Process>,
     pub(crate) plain: Process,
@@ -141,7 +142,7 @@
     folder: Folder,
 }
 
-/// The first daemon, which most tests have only.
+/// The first daemon, which in most tests is the only one.
 impl Deref for Site {
     type Target = Daemon;
 
@@ -165,14 +166,14 @@
         site
     }
 
-    /// Some daemons with a key-value service, which holds the lists already.
+    /// Daemons with a key-value service that already holds the lists.
     pub(crate) async fn fleet(daemons: usize) -> Self {
         Self::fleet_with(&vec![false; daemons], &[], |_, _| ()).await
     }
 
-    /// Daemons with a key-value service, of which some read a list of hosts;
-    /// `engine` is what the engines are started with, and `edit` may change the
-    /// daemons' settings and the engines.
+    /// Daemons with a key-value service. `readers` tells which of them read a list of hosts,
+    /// `engine` holds the arguments of the engines, and `edit` may change the daemons' settings and
+    /// the engines.
     pub(crate) async fn fleet_with(
         readers: &[bool],
         engine: &[&str],
@@ -206,13 +207,13 @@
         }
         let revision = put.json()["revision"].as_u64().expect("a revision");
         for daemon in &site.daemons {
-            daemon.reach(revision).await;
-            daemon.meet(revision, daemons).await;
+            daemon.wait_revision(revision).await;
+            daemon.wait_spread(revision, daemons).await;
         }
         site
     }
 
-    /// Adds a daemon that knows the others.
+    /// Adds a daemon with the others as its seeds.
     pub(crate) fn add_joined(&mut self) {
         let seeds: Vec<SocketAddr> = self
             .daemons
@@ -247,10 +248,10 @@
         }
     }
 
-    /// Orders faults at the key-value service.
+    /// Sets faults at the key-value service.
     pub(crate) async fn store_fault(&self, faults: &Value) {
         let store = self.store.as_ref().expect("the site has a platform");
-        order(store.address("listening"), faults).await;
+        set_faults(store.address("listening"), faults).await;
     }
 
     /// Changes the list of hosts.
@@ -259,21 +260,21 @@
         post(hosts.address("listening"), "/orders", orders).await;
     }
 
-    /// An engine as the list of hosts names it.
+    /// Entry of an engine in the list of hosts.
     pub(crate) fn listed(&self, engine: usize) -> Value {
         json!({"id": format!("engine-{engine}"), "zone": "hanko",
                "address": self.engines[engine].address("listening").to_string(),
                "service": "surf-lm", "version": "", "leaving": false, "left_ms": null})
     }
 
-    /// The booking application as the list of hosts names it.
+    /// Entry of the booking application in the list of hosts.
     pub(crate) fn listed_plain(&self) -> Value {
         json!({"id": "booking-1", "zone": "hanko",
                "address": self.plain.address("listening").to_string(),
                "service": "bookings", "version": "", "leaving": false, "left_ms": null})
     }
 
-    /// What an engine did so far, by its own count.
+    /// Counters of an engine.
     pub(crate) async fn counts(&self, engine: usize) -> Value {
         let url = format!(
             "http://{}/counts",
@@ -283,17 +284,17 @@
         read(got).await.json()
     }
 
-    /// Orders faults at an engine.
+    /// Sets faults at an engine.
     pub(crate) async fn fault(&self, engine: usize, faults: &Value) {
-        order(self.engines[engine].address("listening"), faults).await;
+        set_faults(self.engines[engine].address("listening"), faults).await;
     }
 
-    /// Orders faults at the booking application.
+    /// Sets faults at the booking application.
     pub(crate) async fn plain_fault(&self, faults: &Value) {
-        order(self.plain.address("listening"), faults).await;
+        set_faults(self.plain.address("listening"), faults).await;
     }
 
-    /// How often a booking ran, by the application's own count.
+    /// How often a booking ran, as counted by the application.
     pub(crate) async fn ran(&self, booking: &str) -> u64 {
         let url = format!("http://{}/counts", self.plain.address("listening"));
         let counts = read(client().get(url).send().await.expect("it answers"))
@@ -309,7 +310,7 @@
     Client::builder().timeout(Duration::from_mins(1)).finish()
 }
 
-/// A chat completion of some tokens.
+/// Body of a chat completion with a number of tokens.
 pub(crate) fn chat(text: &str, tokens: u32, stream: bool) -> Value {
     json!({
         "model": "surf-lm", "stream": stream, "max_tokens": tokens,
@@ -322,7 +323,7 @@
     json!([{"role": "user", "content": text}]).to_string()
 }
 
-/// Text and event ids of a stream, and whether its end mark came.
+/// Text and event ids of a stream, and whether its end marker arrived.
 pub(crate) fn events(body: &str) -> (String, Vec<String>, bool) {
     let mut text = String::new();
     let mut ids = Vec::new();
@@ -345,7 +346,7 @@
     (text, ids, done)
 }
 
-async fn order(address: SocketAddr, faults: &Value) {
+async fn set_faults(address: SocketAddr, faults: &Value) {
     post(address, "/faults", faults).await;
 }
 
@@ -353,7 +354,7 @@
     let url = format!("http://{address}{path}");
     let response = client().post(url).send_json(orders);
     let response = response.await.expect("it answers");
-    assert!(response.status().is_success(), "{path} was refused");
+    assert!(response.status().is_success(), "{path} was rejected");
 }
 
 pub(crate) async fn read<S>(mut response: awc::ClientResponse<S>) -> Got
@@ -364,7 +365,7 @@
         .body()
         .limit(64 << 20)
         .await
-        .expect("the answer is whole");
+        .expect("the response is complete");
     Got {
         status: response.status(),
         headers: response.headers().clone(),
@@ -423,7 +424,7 @@
     })
 }
 
-/// Replaces fields of an object, also within objects.
+/// Replaces fields of an object, recursively.
 fn merge(value: &mut Value, changes: Value) {
     match (value, changes) {
         (Value::Object(old), Value::Object(new)) => {
--- a/daemon/tests/test_answer.rs
+++ b/daemon/tests/test_answer.rs
@@ -1,4 +1,4 @@
-//! Answers as they grow, over generated events of several attempts.
+//! Answers that receive generated events of several attempts.
 
 use bytes::Bytes;
 use poplarvaled::{Answer, PieceError};
@@ -11,10 +11,10 @@
 proptest! {
     #![proptest_config(testutils::fixed(256))]
 
-    /// Events of a stream arrive late, twice, or from an attempt that was given
-    /// up. A caller would read words twice or somebody else's words.
+    /// Events of a stream arrive late, twice, or from an abandoned attempt. Without a check the
+    /// caller would read words twice, or words of another answer.
     #[test]
-    fn whatever_arrives_the_pieces_are_each_once_and_in_order(
+    fn every_piece_is_kept_once_and_in_order(
         events in prop::collection::vec((0u128..4, 0u32..12), 0..120),
         turns in prop::collection::vec(0usize..120, 0..4),
     ) {
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn an_answer_over_its_limit_is_refused() {
+fn an_answer_over_its_limit_is_rejected() {
     let answer = Answer::new(1, "desk".into(), 10);
     answer.set_attempt(7);
     assert_eq!(answer.push(7, 0, Bytes::from_static(b"12345678")), Ok(1));
--- a/daemon/tests/test_failures.rs
+++ b/daemon/tests/test_failures.rs
@@ -1,4 +1,4 @@
-//! What callers get when endpoints fail.
+//! Responses to callers while endpoints fail.
 
 use awc::http::StatusCode;
 use serde_json::json;
@@ -6,11 +6,10 @@
 
 use crate::site::{KEY, Site, chat, events, prompt};
 
-/// An engine's process dies or its connection breaks while it streams. Without
-/// care the guest's answer stops in the middle, or begins again from its start;
-/// the guest must see every word once, from whichever engine it comes.
+/// An engine dies or its connection breaks while it streams. The answer would stop in the middle or
+/// start again from its beginning; the caller must receive every word once, from whichever engine.
 #[actix_web::test]
-async fn a_stream_that_breaks_goes_on_at_another_engine() {
+async fn a_broken_stream_continues_at_another_engine() {
     let site = Site::start();
     site.fault(0, &json!({"break_after": 5})).await;
     for n in 0..6 {
@@ -25,8 +24,7 @@
     }
 }
 
-/// An engine mixes up two streams and sends events of one on the other. The
-/// guest would read words of somebody else's answer.
+/// An engine sends events of one stream on another. The caller would read words of another answer.
 #[actix_web::test]
 async fn events_of_another_attempt_never_reach_the_caller() {
     let site = Site::start();
@@ -40,10 +38,9 @@
     }
 }
 
-/// An engine sends an event twice, as after a retry inside it. The guest would
-/// read a word twice.
+/// An engine sends an event twice, as after an internal retry. The caller would read a word twice.
 #[actix_web::test]
-async fn doubled_events_reach_the_caller_once() {
+async fn duplicate_events_reach_the_caller_once() {
     let site = Site::start();
     site.fault(0, &json!({"doubled": 1000})).await;
     site.fault(1, &json!({"doubled": 1000})).await;
@@ -53,8 +50,8 @@
     assert_eq!(events(&got.body).0, answer(&prompt("once"), 10));
 }
 
-/// A whole host goes: its engine's process is killed and nothing listens there
-/// any more. Guests would get errors for half of their messages.
+/// A host is lost: its engine's process is killed and nothing listens there any more. Callers would
+/// get errors for half of their requests.
 #[actix_web::test]
 async fn a_killed_engine_costs_no_answer() {
     let mut site = Site::start();
@@ -69,11 +66,10 @@
     }
 }
 
-/// The booking application confirms a booking and its answer is lost. A second
-/// sending would charge the family twice, so the desk is told that nobody knows
-/// whether it ran, and it is not sent again.
+/// The booking application runs a booking and its response is lost. A retry would charge the
+/// customer twice, so the request is not retried and the caller learns that the outcome is unknown.
 #[actix_web::test]
-async fn a_booking_whose_answer_is_lost_is_not_sent_again() {
+async fn a_booking_whose_response_is_lost_is_not_retried() {
     let site = Site::start();
     site.plain_fault(&json!({"mute": 1})).await;
     let booking = json!({"id": "lost"});
@@ -84,10 +80,10 @@
     assert_eq!(site.ran("lost").await, 1);
 }
 
-/// The booking application's host is gone before the booking was sent. The desk
-/// must hear that it was not run, so that it may book again at once.
+/// The booking application's host is gone before the booking is sent. The caller must learn that it
+/// did not run, so that it may retry at once.
 #[actix_web::test]
-async fn a_booking_that_never_left_is_told_as_not_run() {
+async fn a_booking_that_was_never_sent_is_reported_as_not_run() {
     let mut site = Site::start();
     site.plain.kill();
     let got = site
@@ -96,10 +92,10 @@
     assert_eq!(got.json()["ran"], "no");
 }
 
-/// The booking application dies while it sends an answer. The desk would see the
-/// first half as if it were all of it, and read no error from it.
+/// The booking application dies while it sends a response. The caller would take the first half for
+/// the complete response and see no error.
 #[actix_web::test]
-async fn half_an_answer_is_not_passed_on_as_a_whole_one() {
+async fn a_truncated_response_is_not_forwarded_as_complete() {
     let site = Site::start();
     site.plain_fault(&json!({"cut": true})).await;
     let got = site
--- a/daemon/tests/test_limits.rs
+++ b/daemon/tests/test_limits.rs
@@ -1,4 +1,4 @@
-//! Limits at the callers' border.
+//! Limits on callers' requests.
 
 use std::io::{Read as _, Write as _};
 use std::net::TcpStream;
@@ -8,10 +8,10 @@
 
 use crate::site::{KEY, PAUSE, SLOW, Site, chat};
 
-/// A caller sends a body far larger than any prompt. Read whole it would take
-/// the memory of everybody else's requests.
+/// A caller sends a body far larger than any prompt. Read completely, it would take the memory that
+/// other requests need.
 #[actix_web::test]
-async fn a_body_over_the_limit_is_refused() {
+async fn a_body_over_the_limit_is_rejected() {
     let site = Site::with(json!({"limits": {"body_bytes": 2048}}));
     let long = "x".repeat(4096);
     let got = site
@@ -23,21 +23,19 @@
     );
 }
 
-/// A caller begins a body and never ends it. Its connection would be held for
-/// ever, and some hundreds of them would shut everybody out.
+/// A caller starts a body and never completes it. Its connection would stay occupied for ever, and
+/// some hundreds of such connections would lock out all other callers.
 #[test]
-fn a_body_that_never_ends_is_given_up() {
+fn an_incomplete_body_times_out() {
     let site = Site::with(json!({"limits": {"body_ms": 200}}));
     let mut stream = TcpStream::connect(site.callers).expect("the daemon listens");
     let head = format!(
         "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {KEY}\r\n\
          content-length: 100\r\n\r\n{{"
     );
-    stream
-        .write_all(head.as_bytes())
-        .expect("the head is taken");
+    stream.write_all(head.as_bytes()).expect("the head is sent");
     let mut answer = [0; 16];
-    stream.read_exact(&mut answer).expect("an answer comes");
+    stream.read_exact(&mut answer).expect("a response arrives");
     assert!(
         answer.starts_with(b"HTTP/1.1 408"),
         "{:?}",
@@ -45,19 +43,20 @@
     );
 }
 
-/// A plain service answers with more than the daemon may keep for one request.
+/// A plain service responds with more than the daemon may buffer for one request. The caller must
+/// get an error with its own code.
 #[actix_web::test]
-async fn an_answer_over_the_limit_is_told() {
+async fn a_response_over_the_limit_is_an_error() {
     let site = Site::with(json!({"limits": {"answer_bytes": 1024}}));
     let long = format!("/services/bookings/bookings/{}", "b".repeat(2000));
     let got = site.get(KEY, &long, None).await;
     assert_eq!((got.status, got.code()), (StatusCode::BAD_GATEWAY, 3004));
 }
 
-/// A caller asks thousands of short questions a second. Each answer is kept for a
-/// minute for whoever comes back, and together they would fill the memory.
+/// A caller makes thousands of short requests a second. Each answer is kept for a minute so that it
+/// can be fetched again, and together they would fill the memory.
 #[actix_web::test]
-async fn only_so_many_answers_are_kept() {
+async fn the_number_of_kept_answers_is_limited() {
     let site = Site::with(json!({"limits": {"kept": 3}}));
     let mut ids = Vec::new();
     for n in 0..8 {
@@ -74,10 +73,10 @@
     }
 }
 
-/// A plan's requests per second are used up. Who is turned away must hear it at
-/// once, with the time at which coming back helps.
+/// A plan's requests per second are used up. A rejected caller must learn it at once, with the time
+/// after which a retry can succeed.
 #[actix_web::test]
-async fn a_customer_over_its_rate_hears_when_to_come_back() {
+async fn a_customer_over_its_rate_learns_when_to_retry() {
     let site = Site::start();
     let path = "/services/bookings/bookings/none";
     assert_eq!(
--- a/daemon/tests/test_operators.rs
+++ b/daemon/tests/test_operators.rs
@@ -1,14 +1,14 @@
-//! The operators' port.
+//! Requests at the operators' port.
 
 use awc::http::StatusCode;
 use serde_json::json;
 
 use crate::site::{KEY, Site, TOKEN, chat, client, read};
 
-/// Somebody in the network reaches the operators' port without the token. They
-/// could read the customers or put lists of their own in force.
+/// An unauthorized client reaches the operators' port without the token. It could read the
+/// customers or replace the lists.
 #[actix_web::test]
-async fn nobody_without_the_token_gets_anything() {
+async fn requests_without_the_token_are_rejected() {
     let site = Site::start();
     for path in [
         "/status",
@@ -54,7 +54,7 @@
 }
 
 #[actix_web::test]
-async fn metrics_count_what_was_asked_and_sent() {
+async fn metrics_count_requests_and_attempts() {
     let site = Site::start();
     let got = site
         .post(KEY, "/v1/chat/completions", &chat("count", 2, false))
@@ -71,7 +71,7 @@
 }
 
 #[actix_web::test]
-async fn an_edit_is_taken_once_and_mistakes_are_named() {
+async fn an_edit_is_accepted_once_and_errors_are_named() {
     let site = Site::start();
     let mut lists = site.operate(TOKEN, "/lists").await.json();
     lists["lists"]["plans"][0]["running"] = json!(7);
--- a/daemon/tests/test_path.rs
+++ b/daemon/tests/test_path.rs
@@ -1,4 +1,4 @@
-//! The whole path: callers, daemon and endpoints as processes of their own.
+//! End to end: requests from callers through a daemon to endpoints, each in its own process.
 
 use awc::http::StatusCode;
 use serde_json::json;
@@ -7,7 +7,7 @@
 use crate::site::{KEY, READER, Site, chat, events, prompt};
 
 #[actix_web::test]
-async fn a_streamed_chat_comes_whole() {
+async fn a_streamed_chat_is_complete() {
     let site = Site::start();
     let got = site
         .post(KEY, "/v1/chat/completions", &chat("waves?", 40, true))
@@ -20,7 +20,7 @@
 }
 
 #[actix_web::test]
-async fn completions_come_in_one_piece() {
+async fn completions_can_be_buffered() {
     let site = Site::start();
     let got = site
         .post(KEY, "/v1/chat/completions", &chat("waves?", 7, false))
@@ -35,7 +35,7 @@
 }
 
 #[actix_web::test]
-async fn a_booking_runs_once_and_its_answer_is_passed_on() {
+async fn a_booking_runs_once_and_its_response_is_forwarded() {
     let site = Site::start();
     let got = site
         .post(KEY, "/services/bookings/bookings", &json!({"id": "b-1"}))
@@ -50,7 +50,7 @@
 #[actix_web::test]
 async fn many_callers_each_get_their_own_answer() {
     let site = Site::start();
-    let asks = (0..60).map(|n| {
+    let requests = (0..60).map(|n| {
         let site = &site;
         async move {
             let text = format!("caller {n}");
@@ -66,7 +66,7 @@
             assert_eq!(body, answer(&prompt(&text), 10));
         }
     });
-    futures::future::join_all(asks).await;
+    futures::future::join_all(requests).await;
 }
 
 #[actix_web::test]
@@ -82,8 +82,8 @@
 
     let rest = site.get(KEY, &path, Some(&format!("{id}-8"))).await;
     let (text, ids, done) = events(&rest.body);
-    let whole = answer(&prompt("again"), 12);
-    assert!(done && whole.ends_with(&text));
+    let full = answer(&prompt("again"), 12);
+    assert!(done && full.ends_with(&text));
     assert_eq!(
         ids,
         [format!("{id}-9"), format!("{id}-10"), format!("{id}-11")]
@@ -91,7 +91,7 @@
 }
 
 #[actix_web::test]
-async fn nobody_fetches_the_answer_of_another_customer() {
+async fn the_answer_of_another_customer_cannot_be_fetched() {
     let site = Site::start();
     let got = site
         .post(KEY, "/v1/chat/completions", &chat("mine", 3, true))
@@ -102,7 +102,7 @@
 }
 
 #[actix_web::test]
-async fn what_a_plan_leaves_out_is_refused() {
+async fn services_outside_the_plan_are_rejected() {
     let site = Site::start();
     let booking = json!({"id": "b-2"});
     let got = site
--- a/daemon/tests/test_peers.rs
+++ b/daemon/tests/test_peers.rs
@@ -1,4 +1,4 @@
-//! Peers over real connections.
+//! Gossip between daemons over real connections.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -13,7 +13,7 @@
 
 const TOKEN: &str = "the token of the deployment";
 
-/// Passes on what changed.
+/// Forwards changes to the test.
 struct Watcher(mpsc::UnboundedSender<Change>);
 
 impl Actor for Watcher {
@@ -31,7 +31,7 @@
     }
 }
 
-/// A daemon's peers' part.
+/// The gossip part of a daemon.
 struct Daemon {
     gossip: Addr<Gossip>,
     server: Server,
@@ -96,7 +96,7 @@
 }
 
 #[actix::test]
-async fn two_peers_hold_the_same_rows_after_a_round() {
+async fn two_peers_have_the_same_rows_after_a_round() {
     let a = start(1, Vec::new()).await;
     let mut b = start(2, vec![a.server.address]).await;
     put(&a, Kind::EVIDENCE, "chat/v2", b"good").await;
@@ -116,7 +116,7 @@
     assert!(matches!(first, Some(Change::Joined(peer)) if peer.incarnation == 1));
 }
 
-// An endpoint is about to go. Its zone hears at once, without a round between.
+// An endpoint is about to leave. Its zone must learn it at once, not only in the next gossip round.
 #[actix::test]
 async fn an_urgent_row_is_pushed_without_a_round() {
     let a = start(1, Vec::new()).await;
@@ -133,16 +133,16 @@
     }
 }
 
-// Somebody on the network speaks to the peers' port without the token, or with
-// one that is nearly right. Could they read, they would learn every customer;
-// could they write, they would turn endpoints and versions off for everybody.
+// An unauthorized client calls the peers' port with a wrong token, or one that is nearly right. If
+// it could read, it would learn every customer; if it could write, it could disable endpoints and
+// versions for all daemons.
 #[actix::test]
-async fn nobody_reads_or_writes_a_row_without_the_token() {
+async fn rows_cannot_be_read_or_written_without_the_token() {
     let a = start(1, Vec::new()).await;
     put(&a, Kind::EVIDENCE, "chat/v2", b"good").await;
     let to = a.server.address;
     let digest = Digest {
-        from: Some(stranger()),
+        from: Some(unauthorized_peer()),
         ..Digest::default()
     };
     for wrong in [
@@ -151,37 +151,37 @@
         "the token of the deployment2",
     ] {
         let client = Client::new(token(wrong));
-        refused(&client.exchange(to, &digest).await);
-        refused(&client.settle(to, &written_by_stranger()).await);
+        assert_rejected(&client.exchange(to, &digest).await);
+        assert_rejected(&client.settle(to, &delta_of_unauthorized_peer()).await);
         let push = Push {
-            from: Some(stranger()),
+            from: Some(unauthorized_peer()),
             rows: Vec::new(),
         };
-        refused(&client.push(to, &push).await);
-        refused(&client.get_lists(to, 0, 0).await);
+        assert_rejected(&client.push(to, &push).await);
+        assert_rejected(&client.get_lists(to, 0, 0).await);
     }
     assert_eq!(live(&a).await, [1]);
-    let known = Client::new(token(TOKEN));
+    let authorized = Client::new(token(TOKEN));
     assert!(
-        known.exchange(to, &digest).await.is_ok(),
-        "the same call with it"
+        authorized.exchange(to, &digest).await.is_ok(),
+        "the same call with the right token"
     );
 }
 
 #[test]
-fn a_blank_token_is_none() {
+fn a_blank_token_is_invalid() {
     assert!(Token::new("").is_none());
     assert!(Token::new(" \n").is_none());
 }
 
-/// A delta that the daemon would take if it came with the token.
-fn written_by_stranger() -> Delta {
+/// A delta that the daemon would accept with the right token.
+fn delta_of_unauthorized_peer() -> Delta {
     let lane = Lane {
         origin: 9,
         scope: 2,
         prefix: 1,
         left_ms: 1_200_000,
-        peer: Some(stranger()),
+        peer: Some(unauthorized_peer()),
         ..Lane::default()
     };
     Delta {
@@ -191,7 +191,7 @@
     }
 }
 
-fn stranger() -> poplarvale_lib::protos::peer::Peer {
+fn unauthorized_peer() -> poplarvale_lib::protos::peer::Peer {
     poplarvale_lib::protos::peer::Peer {
         incarnation: 9,
         zone: "brno".to_owned(),
@@ -200,36 +200,36 @@
     }
 }
 
-fn refused<T: std::fmt::Debug>(result: &Result<T, PeerError>) {
+fn assert_rejected<T: std::fmt::Debug>(result: &Result<T, PeerError>) {
     assert!(
         matches!(result, Err(PeerError::Rejected(6001))),
         "{result:?}"
     );
 }
 
-// A peer's host is replaced and another daemon listens behind its address. The
-// kept connection is broken; were it kept on, the peer would stay unreachable
-// from here for the minutes that the operating system takes to give it up.
+// A peer's host is replaced and another daemon listens on its address. The kept connection is
+// broken; if it were kept, the peer would stay unreachable for the minutes that the operating
+// system takes to drop the connection.
 #[actix::test]
-async fn a_broken_connection_is_made_anew() {
+async fn a_broken_connection_is_replaced() {
     let a = start(1, Vec::new()).await;
     let to = a.server.address;
     let client = Client::new(token(TOKEN));
     let digest = Digest {
-        from: Some(stranger()),
+        from: Some(unauthorized_peer()),
         ..Digest::default()
     };
     assert_eq!(origins(client.exchange(to, &digest).await), Ok(vec![1]));
     a.server.stop().await;
     let _b = start_at(to, 2, Vec::new()).await;
-    let mut tries = 0;
+    let mut failures = 0;
     while origins(client.exchange(to, &digest).await) != Ok(vec![2]) {
-        tries += 1;
-        assert!(tries < 3, "the broken connection is kept");
+        failures += 1;
+        assert!(failures < 3, "the broken connection is still used");
     }
 }
 
-/// Origins of the lanes in an answer, or that there was none.
+/// Origins of the lanes in an answer; an error if there was none.
 fn origins(answer: Result<Answer, PeerError>) -> Result<Vec<u64>, ()> {
     let delta = answer.map_err(|_error| ())?.delta.ok_or(())?;
     let mut origins: Vec<_> = delta.lanes.iter().map(|l| l.origin).collect();
@@ -237,10 +237,10 @@
     Ok(origins)
 }
 
-// A peer sends what cannot be read, by a fault or another version. It gets a
-// numbered code, and the next call on the connection works.
+// A peer sends an invalid message, through a fault or another version. It must get a numbered code,
+// and the next call on the connection must work.
 #[actix::test]
-async fn a_message_that_cannot_be_read_is_refused_by_its_code() {
+async fn an_invalid_message_is_rejected_with_its_code() {
     let a = start(1, Vec::new()).await;
     let client = Client::new(token(TOKEN));
     let to = a.server.address;
@@ -250,7 +250,7 @@
         "{nameless:?}"
     );
     let digest = Digest {
-        from: Some(stranger()),
+        from: Some(unauthorized_peer()),
         ..Digest::default()
     };
     assert!(client.exchange(to, &digest).await.is_ok());
--- a/daemon/tests/test_platform.rs
+++ b/daemon/tests/test_platform.rs
@@ -1,5 +1,5 @@
-//! The client of the key-value service against its stand-in, and the other
-//! stand-ins of the platform, over HTTP.
+//! The client of the key-value service against a simulated service, and the other simulated
+//! services of the platform, over HTTP.
 
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
@@ -21,15 +21,15 @@
 use testutils::platform::store::serve;
 use testutils::platform::{cloud, hosts, weights};
 
-/// Starts a stand-in in this process.
-fn started() -> (SocketAddr, StoreClient) {
+/// Starts a simulated key-value service in this process.
+fn start_store() -> (SocketAddr, StoreClient) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     actix_web::rt::spawn(serve(listener).unwrap());
     (address, StoreClient::new(address, 1))
 }
 
-async fn order(address: SocketAddr, faults: &Faults) {
+async fn set_faults(address: SocketAddr, faults: &Faults) {
     let url = format!("http://{address}/faults");
     let answer = awc::Client::new().post(url).send_json(faults).await;
     assert!(answer.unwrap().status().is_success());
@@ -50,7 +50,7 @@
 
 #[actix_web::test]
 async fn a_value_is_created_once_and_replaced_at_its_revision() {
-    let (_, client) = started();
+    let (_, client) = start_store();
     let done = client.write(create("a/1", "one")).await.unwrap();
     let Written::Done(revision) = done else {
         panic!("{done:?}");
@@ -73,8 +73,8 @@
 }
 
 #[actix_web::test]
-async fn a_range_holds_the_prefix_and_large_values_pass() {
-    let (_, client) = started();
+async fn a_range_has_all_keys_of_a_prefix_and_large_values_are_accepted() {
+    let (_, client) = start_store();
     let large = Bytes::from(vec![7; MAX_VALUE_BYTES]);
     for key in ["a/1", "a/2", "b/1"] {
         let write = Write {
@@ -93,24 +93,24 @@
     assert_eq!(client.write(over).await, Err(Failure::NotDone));
 }
 
-/// The service does a write and the connection breaks before the answer. The
-/// writer can't know; if it took this for a failure it would write again, and a
-/// booking would run twice.
+/// The service does a write and the connection breaks before the response. The outcome is unknown
+/// to the writer; if it counted as failed, the write would be repeated and a booking would run
+/// twice.
 #[actix_web::test]
-async fn a_lost_answer_is_unknown_and_the_write_stands() {
-    let (address, client) = started();
+async fn a_lost_response_is_unknown_and_the_write_is_done() {
+    let (address, client) = start_store();
     let lose = Faults {
         lose: 1,
         ..Faults::default()
     };
-    order(address, &lose).await;
+    set_faults(address, &lose).await;
     let lost = client.write(create("a", "one")).await;
     assert_eq!(lost, Err(Failure::Unknown));
     assert_eq!(client.get("a").await.unwrap().rows[0].value, "one");
 }
 
-/// Nothing listens at the address, as when the service's host is gone. Such a
-/// call was not done, and callers may be told so.
+/// Nothing listens at the address, as when the service's host is gone. Such a call was certainly
+/// not done, and may be reported so.
 #[actix_web::test]
 async fn a_refused_connection_is_not_done() {
     let gone = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -121,17 +121,16 @@
     assert_eq!(refused, Err(Failure::NotDone));
 }
 
-/// The service answers every call with an error. After a few the client stops
-/// calling, so that waiting callers are told at once and the service is left to
-/// recover.
+/// The service answers every call with an error. After a few failures the client must stop calling,
+/// so that waiting callers get an error at once and the service can recover.
 #[actix_web::test]
 async fn calls_stop_while_the_service_is_down() {
-    let (address, client) = started();
+    let (address, client) = start_store();
     let down = Faults {
         down: true,
         ..Faults::default()
     };
-    order(address, &down).await;
+    set_faults(address, &down).await;
     for _ in 0..20 {
         client.get("a").await.unwrap_err();
     }
@@ -140,8 +139,8 @@
 }
 
 #[actix_web::test]
-async fn values_go_with_their_lease() {
-    let (_, client) = started();
+async fn values_are_removed_with_their_lease() {
+    let (_, client) = start_store();
     let lasts = Duration::from_mins(1);
     let lease = client.grant(lasts).await.unwrap();
     let held = Put {
@@ -160,13 +159,13 @@
 }
 
 #[actix_web::test]
-async fn a_watch_tells_each_change_and_counts_as_one_call() {
-    let (address, client) = started();
+async fn a_watch_reports_each_change_and_counts_as_one_call() {
+    let (address, client) = start_store();
     let client = Rc::new(client);
-    let (tell, mut told) = tokio::sync::mpsc::unbounded_channel();
+    let (sender, mut changes) = tokio::sync::mpsc::unbounded_channel();
     let watcher = Rc::clone(&client);
     actix_web::rt::spawn(async move {
-        let on_change = |held: StoredValue| tell.send(held.value).unwrap();
+        let on_change = |held: StoredValue| sender.send(held.value).unwrap();
         watcher.watch("a", 1, on_change).await
     });
     for value in ["one", "two"] {
@@ -175,13 +174,13 @@
             puts: vec![put("a", value)],
         };
         client.write(write).await.unwrap();
-        assert_eq!(told.recv().await.unwrap(), value);
+        assert_eq!(changes.recv().await.unwrap(), value);
     }
     assert_eq!(counts(address).await.watches, 1);
 }
 
-/// Binds a stand-in's address.
-fn bound() -> (SocketAddr, TcpListener) {
+/// Binds an address for a simulated service.
+fn bind() -> (SocketAddr, TcpListener) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     (listener.local_addr().unwrap(), listener)
 }
@@ -204,11 +203,11 @@
     answer.json().await.unwrap()
 }
 
-/// Two daemons ask for the same replacement, or one asks again after a lost
-/// answer. Two hosts would be paid for.
+/// Two daemons request the same replacement, or one retries after a lost response. Two hosts would
+/// be started and paid for.
 #[actix_web::test]
 async fn the_cloud_starts_one_host_for_a_token() {
-    let (address, listener) = bound();
+    let (address, listener) = bind();
     actix_web::rt::spawn(cloud::serve(listener).unwrap());
     let ask = wire::StartHost {
         token: "replaces-host-7".into(),
@@ -231,11 +230,10 @@
     assert!(found.hosts[0].left_ms.is_some());
 }
 
-/// A wave of reclaims leaves no capacity of a class in a zone, and starts there
-/// are refused.
+/// Many reclaims leave no capacity of a class in a zone, and starts there must be rejected.
 #[actix_web::test]
-async fn the_cloud_refuses_what_it_is_ordered_to() {
-    let (address, listener) = bound();
+async fn the_cloud_rejects_starts_without_capacity() {
+    let (address, listener) = bind();
     actix_web::rt::spawn(cloud::serve(listener).unwrap());
     let refuse = cloud::Orders {
         refuse: Some(vec![("small".into(), "espoo".into())]),
@@ -254,7 +252,7 @@
 
 #[actix_web::test]
 async fn the_host_list_lags() {
-    let (address, listener) = bound();
+    let (address, listener) = bind();
     actix_web::rt::spawn(hosts::serve(listener).unwrap());
     let host = wire::ListedHost {
         id: "w1".into(),
@@ -274,12 +272,15 @@
     };
     command(address, &gone).await;
     let found: wire::ListedHosts = get(address, "/hosts").await;
-    assert!(found.hosts.is_empty(), "nothing was so an hour ago");
+    assert!(
+        found.hosts.is_empty(),
+        "the list must be as it was an hour ago"
+    );
 }
 
 #[actix_web::test]
 async fn the_weight_store_sends_all_bytes() {
-    let (address, listener) = bound();
+    let (address, listener) = bind();
     actix_web::rt::spawn(weights::serve(listener).unwrap());
     let model = wire::Weights {
         model: "lakes-7b".into(),
@@ -295,8 +296,8 @@
     assert_eq!(answer.body().await.unwrap().len(), 200_000);
 }
 
-/// Carries out the keeper's commands until it asks for nothing more.
-async fn settled(
+/// Executes the keeper's commands until it issues no more.
+async fn run_keeper(
     keeper: &mut config::Keeper,
     client: &StoreClient,
     now: Instant,
@@ -318,8 +319,8 @@
 }
 
 #[actix_web::test]
-async fn an_edit_goes_through_the_service_to_another_daemon() {
-    let (_, client) = started();
+async fn an_edit_reaches_another_daemon_through_the_store() {
+    let (_, client) = start_store();
     let now = Instant::now();
     let keeper = |incarnation| {
         let zone = "espoo".into();
@@ -327,25 +328,25 @@
         config::Keeper::new(me, incarnation)
     };
     let mut first = keeper(1);
-    settled(&mut first, &client, now, Vec::new()).await;
+    run_keeper(&mut first, &client, now, Vec::new()).await;
     let edit = config::Input::Edit(config::Proposal {
         id: "first".into(),
         base: 0,
         lists: Lists::default(),
     });
-    let told = settled(&mut first, &client, now, vec![edit]).await;
+    let commands = run_keeper(&mut first, &client, now, vec![edit]).await;
     let verdict = config::Command::Reply {
         edit: "first".into(),
         verdict: config::Verdict::Accepted(1),
     };
-    assert!(told.contains(&verdict));
+    assert!(commands.contains(&verdict));
     let mut second = keeper(2);
-    settled(&mut second, &client, now, Vec::new()).await;
+    run_keeper(&mut second, &client, now, Vec::new()).await;
     assert_eq!(second.accepted().revision, 1);
 }
 
-/// Carries out the claimer's commands until it asks for nothing more.
-async fn claimed(
+/// Executes the claimer's commands until it issues no more.
+async fn run_claimer(
     claimer: &mut Claimer,
     client: &StoreClient,
     now: Instant,
@@ -364,11 +365,11 @@
     rest
 }
 
-/// A guest's confirmation is sent again through another daemon, after the first
-/// one has answered and is gone. The kept answer comes from the service.
+/// A request with an idempotency key is retried at another daemon, after the first one has answered
+/// and is gone. The stored answer must come from the key-value service.
 #[actix_web::test]
-async fn a_repeat_gets_the_answer_that_the_service_keeps() {
-    let (_, client) = started();
+async fn a_retry_gets_the_stored_answer() {
+    let (_, client) = start_store();
     let now = Instant::now();
     let ask = |request| {
         claims::Input::Begin(KeyedRequest {
@@ -381,7 +382,7 @@
         })
     };
     let mut first = Claimer::new(1, 1);
-    let mut commands = claimed(&mut first, &client, now, ask(10)).await;
+    let mut commands = run_claimer(&mut first, &client, now, ask(10)).await;
     let Some(claims::Command::Dispatch(permit)) = commands.pop() else {
         panic!("{commands:?}");
     };
@@ -391,12 +392,12 @@
         body: b"board 7 is yours".to_vec(),
     };
     let end = claims::Input::Ended(permit, RunResult::Answered(answer.clone()));
-    claimed(&mut first, &client, now, end).await;
+    run_claimer(&mut first, &client, now, end).await;
     let later = now + Duration::from_secs(1);
     let none = claims::Input::Peers(Vec::new());
-    claimed(&mut first, &client, later, none).await;
+    run_claimer(&mut first, &client, later, none).await;
     let mut second = Claimer::new(2, 2);
-    let commands = claimed(&mut second, &client, later, ask(11)).await;
+    let commands = run_claimer(&mut second, &client, later, ask(11)).await;
     let [
         claims::Command::Answer {
             request,
--- a/daemon/tests/test_shutdown.rs
+++ b/daemon/tests/test_shutdown.rs
@@ -1,4 +1,4 @@
-//! The orderly end of a daemon.
+//! Graceful shutdown of a daemon.
 
 use awc::http::StatusCode;
 use futures::StreamExt as _;
@@ -7,8 +7,8 @@
 
 use crate::site::{KEY, Site, chat, client, events, prompt};
 
-/// A daemon is told to end while guests read their answers. A stream that is cut
-/// off sends them to the phone; a new one must go to another daemon.
+/// A daemon receives SIGTERM while callers read their answers. Streams in progress must end
+/// normally, and new requests be rejected so that they go to another daemon.
 #[actix_web::test]
 async fn no_answer_in_progress_is_cut_off() {
     let mut site = Site::start();
@@ -24,11 +24,11 @@
     let first = stream
         .next()
         .await
-        .expect("a first part")
-        .expect("it is whole");
+        .expect("a first chunk")
+        .expect("it is no error");
     site.daemons[0].process.signal("TERM");
 
-    // The signal has arrived once the probe says so.
+    // The daemon has received the signal once its readiness probe fails.
     let ready = format!("http://{}/ready", site.operators);
     while client()
         .get(&ready)
@@ -36,11 +36,11 @@
         .await
         .is_ok_and(|r| r.status() == StatusCode::OK)
     {}
-    let refused = site
+    let rejected = site
         .post(KEY, "/v1/chat/completions", &chat("new", 1, false))
         .await;
-    assert_eq!(refused.code(), 2007);
-    assert_eq!(refused.json()["ran"], "no");
+    assert_eq!(rejected.code(), 2007);
+    assert_eq!(rejected.json()["ran"], "no");
 
     let mut body = String::from_utf8_lossy(&first).into_owned();
     while let Some(part) = stream.next().await {
