--- a/daemon/src/relay/attempt.rs
+++ b/daemon/src/relay/attempt.rs
@@ -20,7 +20,7 @@
 use poplarvale_lib::relay::rollout::Versions;
 use poplarvale_lib::relay::rollout::evidence::Sample;
 use poplarvale_lib::relay::selection::{self, Choice, Criteria};
-use poplarvale_platform::{NamedLimit, Outbound, request_head};
+use poplarvale_platform::{LimitField, Outbound, request_head};
 use tokio::net::tcp::WriteHalf;
 use tokio::time::{Instant, timeout_at};
 
@@ -211,14 +211,14 @@
 fn record_limit(state: &State, endpoint: &Listing, response: &EndpointResponse, sent_at: Std) {
     let now = Std::now();
     let rate = match response.meta.limit {
-        NamedLimit::Rate(rate) => Some(rate),
+        LimitField::Rate(rate) => Some(rate),
         // Responses overtake one another, and only one to a request that ran shows that the
         // endpoint needs no limit any more.
-        NamedLimit::Unnamed if response.meta.sealed && is_after_limit(state, endpoint, sent_at) => {
+        LimitField::Absent if response.meta.sealed && is_after_limit(state, endpoint, sent_at) => {
             None
         }
-        NamedLimit::Unnamed => return,
-        NamedLimit::Unreadable => {
+        LimitField::Absent => return,
+        LimitField::Invalid => {
             log::warn!(
                 "limit: the limit that endpoint {} announced is not a valid rate and is ignored.",
                 endpoint.id
@@ -329,13 +329,13 @@
         &Outbound {
             endpoint: &choice.id,
             team: job.team.map(|team| team.name.as_str()),
-            left,
+            time_left: left,
             rank: job.head.prompt.is_some().then_some(job.rank),
             resume: forwarded
                 .head_sent
                 .then(|| forwarded.events.last())
                 .flatten(),
-            body: job.body.len(),
+            body_len: job.body.len(),
         },
     );
     bytes.extend_from_slice(job.body);
--- a/daemon/src/relay/caller.rs
+++ b/daemon/src/relay/caller.rs
@@ -7,7 +7,7 @@
 use poplarvale_lib::http1::{Body, Framing, HeadError, Request};
 use poplarvale_lib::relay::catalog::CallerLimits;
 use poplarvale_lib::{Code, Ran};
-use poplarvale_platform::{read_ask, refusal};
+use poplarvale_platform::{read_request_head, rejection_response};
 use tokio::io::AsyncWriteExt as _;
 use tokio::net::TcpStream;
 use tokio::net::tcp::{ReadHalf, WriteHalf};
@@ -83,7 +83,7 @@
         Err(code) => return Some(reject(write, code, None).await),
     };
     let arrived = Instant::now();
-    let head = match read_ask(&request) {
+    let head = match read_request_head(&request) {
         Ok(head) => head,
         Err(error) => {
             log::info!("caller: request refused, {error}.");
@@ -209,7 +209,7 @@
 /// begins is not known, so the connection ends.
 async fn reject(write: &mut WriteHalf<'_>, code: Code, id: Option<&str>) -> Connection {
     let again = (code == Code::Draining).then_some(RETRY_SOON);
-    let out = refusal(code, Ran::No, id, again, false);
+    let out = rejection_response(code, Ran::No, id, again, false);
     if let Err(error) = write.write_all(&out).await {
         log::debug!("caller: refusal not sent, {error}.");
     }
--- a/daemon/src/relay/crash.rs
+++ b/daemon/src/relay/crash.rs
@@ -17,7 +17,7 @@
     incarnation_hash,
 };
 use poplarvale_lib::relay::listing::Listing;
-use poplarvale_platform::{Txn, grant, read_granted, read_txn, txn};
+use poplarvale_platform::{Txn, grant_lease, read_lease, read_txn, txn};
 use prost::Message as _;
 
 use super::client::{Client, WriteError};
@@ -237,7 +237,7 @@
 /// Makes the key of a request, which goes with its lease. One that is there already holds
 /// the same.
 async fn write(store: &mut Client, content: Fingerprint, value: &[u8]) -> Result<(), WriteError> {
-    let lease = read_granted(&store.call(&grant(CRASH_TTL), CALL).await?)?;
+    let lease = read_lease(&store.call(&grant_lease(CRASH_TTL), CALL).await?)?;
     let key = format_compact!("{CRASHES}{content:016x}");
     let call = txn(&Txn {
         expect: vec![(key.clone(), 0)],
--- a/daemon/src/relay/duties.rs
+++ b/daemon/src/relay/duties.rs
@@ -12,8 +12,8 @@
 use poplarvale_lib::relay::usage::{Counts, Report, WindowId};
 use poplarvale_lib::{Era, era_of};
 use poplarvale_platform::{
-    Duty, Item, Order, STATUS, Txn, get, grant, keep_alive, order_call, read_granted, read_item,
-    read_txn, status_value, txn, usage_call,
+    Duty, Item, Order, STATUS_PREFIX, Txn, get, grant_lease, order_call, read_item, read_lease,
+    read_txn, renew_lease, status_value, txn, usage_call,
 };
 use prost::Message as _;
 
@@ -99,7 +99,7 @@
 async fn acquire(state: &State, store: &mut Client) -> Result<Option<DutyLease>, WriteError> {
     let since = Instant::now();
     let life = state.settings.bounds.lease;
-    let lease = read_granted(&store.call(&grant(life), CALL).await?)?;
+    let lease = read_lease(&store.call(&grant_lease(life), CALL).await?)?;
     let name = format_compact!("{} {}", state.settings.name, lease);
     let call = txn(&Txn {
         expect: vec![(LEADER.into(), 0)],
@@ -245,7 +245,7 @@
 /// Renews the lease; `false` if it has ended.
 async fn renew(store: &mut Client, holder: &mut Holder) -> bool {
     let since = Instant::now();
-    match store.call(&keep_alive(holder.held.id), CALL).await {
+    match store.call(&renew_lease(holder.held.id), CALL).await {
         Ok(reply) if reply.status == 200 => {
             holder.held.renewed(since);
             true
@@ -347,7 +347,7 @@
     status: &Status,
 ) -> Result<Option<u64>, WriteError> {
     let value = status_value(&status.target, status.outcome)?;
-    let key = format_compact!("{STATUS}{}", status.service);
+    let key = format_compact!("{STATUS_PREFIX}{}", status.service);
     let call = txn(&Txn {
         expect: vec![(LEADER.into(), holder.duty.fence)],
         puts: vec![(key, value, 0)],
--- a/daemon/src/relay/exchange.rs
+++ b/daemon/src/relay/exchange.rs
@@ -4,7 +4,7 @@
 
 use bytes::{Bytes, BytesMut};
 use poplarvale_lib::http1::{Body, Response};
-use poplarvale_platform::{Answered, answered};
+use poplarvale_platform::{ResponseMeta, read_response_meta};
 use tokio::io::AsyncWriteExt as _;
 
 use super::wire::{Wire, fill};
@@ -37,7 +37,7 @@
 pub(crate) struct EndpointResponse {
     pub(crate) head: Response,
     /// What the endpoint states in its own fields of the head.
-    pub(crate) meta: Answered,
+    pub(crate) meta: ResponseMeta,
     /// Whether the whole request was sent by then. If not, the connection cannot be reused: the
     /// endpoint would parse the rest of this request as a new one.
     pub(crate) request_sent: bool,
@@ -62,8 +62,8 @@
             if (100..200).contains(&head.status) {
                 continue;
             }
-            let meta = answered(&head, id);
-            if meta.ours {
+            let meta = read_response_meta(&head, id);
+            if meta.matches_id {
                 let request_sent = written == request.len();
                 return Ok(EndpointResponse {
                     head,
--- a/daemon/src/relay/probe.rs
+++ b/daemon/src/relay/probe.rs
@@ -5,7 +5,7 @@
 use bytes::BytesMut;
 use poplarvale_lib::http1::Request;
 use poplarvale_lib::{Code, Ran};
-use poplarvale_platform::{is_ready_probe, refusal};
+use poplarvale_platform::{is_ready_probe, rejection_response};
 use tokio::net::TcpStream;
 
 use super::questions::serve_questions;
@@ -21,7 +21,7 @@
 
 fn answer(state: &State, request: &Request) -> BytesMut {
     if !is_ready_probe(request) {
-        return refusal(Code::NoRoute, Ran::No, None, None, request.keep_alive);
+        return rejection_response(Code::NoRoute, Ran::No, None, None, request.keep_alive);
     }
     if state.is_ready() {
         return BytesMut::from(READY);
@@ -31,5 +31,5 @@
     } else {
         Code::Draining
     };
-    refusal(code, Ran::No, None, None, request.keep_alive)
+    rejection_response(code, Ran::No, None, None, request.keep_alive)
 }
--- a/daemon/src/relay/serve.rs
+++ b/daemon/src/relay/serve.rs
@@ -15,7 +15,7 @@
 use poplarvale_lib::relay::request::RequestHead;
 use poplarvale_lib::relay::rollout::Versions;
 use poplarvale_lib::{Code, Ran};
-use poplarvale_platform::{refusal, response_head};
+use poplarvale_platform::{rejection_response, response_head};
 use tokio::io::AsyncWriteExt as _;
 use tokio::net::tcp::WriteHalf;
 use tokio::time::Instant;
@@ -241,7 +241,7 @@
     let retry_after = rejection
         .retry_after
         .map(|time| time.mul_f64(1.0 + RETRY_JITTER * fastrand::f64()));
-    let out = refusal(
+    let out = rejection_response(
         rejection.code,
         rejection.ran,
         Some(&head.id),
--- a/daemon/src/relay/status.rs
+++ b/daemon/src/relay/status.rs
@@ -9,7 +9,7 @@
 use poplarvale_lib::relay::endpoint_table::{Endpoint, EndpointState};
 use poplarvale_lib::relay::limit::Limit;
 use poplarvale_lib::{Code, Ran};
-use poplarvale_platform::refusal;
+use poplarvale_platform::rejection_response;
 use serde_json::{Value, json};
 use tokio::net::TcpStream;
 
@@ -28,7 +28,7 @@
             ("text/plain; version=0.0.4", page.unwrap_or_default())
         }
         b"/dump" => ("application/json", dump(state).to_string()),
-        _ => return refusal(Code::NoTable, Ran::No, None, None, request.keep_alive),
+        _ => return rejection_response(Code::NoTable, Ran::No, None, None, request.keep_alive),
     };
     let head = format!(
         "HTTP/1.1 200 OK\r\nContent-Type: {kind}\r\nContent-Length: {}\r\n\r\n",
--- a/daemon/src/relay/watch.rs
+++ b/daemon/src/relay/watch.rs
@@ -16,8 +16,9 @@
 use poplarvale_lib::relay::rollout::Order;
 use poplarvale_lib::{EndpointId, era_of};
 use poplarvale_platform::{
-    CONFIG_KEY, Change, Item, OPERATORS, REGISTRY, ROLLOUTS, Reply, STATUS, StoreError, range,
-    read_config, read_listing, read_range, read_rollout, read_status, read_watched, watch,
+    CONFIG_KEY, Change, Item, OPERATOR_PREFIX, REGISTRY_PREFIX, ROLLOUT_PREFIX, Reply,
+    STATUS_PREFIX, StoreError, range, read_config, read_listing, read_range, read_rollout,
+    read_status, read_watch, watch,
 };
 
 use super::checkpoint::{self, CHECKPOINT};
@@ -96,7 +97,7 @@
                     state.store_progress.borrow_mut().invalidate();
                     continue;
                 }
-                if matches!(error, WatchError::Store(StoreError::Returned)) {
+                if matches!(error, WatchError::Store(StoreError::Restored)) {
                     log::info!("store: it came back from an older copy, everything is read anew.");
                     state.store_progress.borrow_mut().invalidate();
                     state.crashes.borrow_mut().mark_unsaved();
@@ -145,13 +146,13 @@
 
 /// Reads the configuration and the whole list.
 async fn read_all(state: &State, client: &mut Client) -> Result<(), WatchError> {
-    let (items, revision) = list(client, OPERATORS).await?;
+    let (items, revision) = list(client, OPERATOR_PREFIX).await?;
     for item in &items {
         take_order(state, item);
     }
     let moves = !state.rollouts.borrow().is_empty();
     if moves {
-        let (items, _) = list(client, STATUS).await?;
+        let (items, _) = list(client, STATUS_PREFIX).await?;
         for item in &items {
             take_status(state, item);
         }
@@ -168,9 +169,9 @@
             checkpoint::restore_quota(state, &saved);
         }
     }
-    let (items, _) = list(client, REGISTRY).await?;
+    let (items, _) = list(client, REGISTRY_PREFIX).await?;
     if era_of(revision) != state.eras.newest() {
-        return Err(StoreError::Returned.into());
+        return Err(StoreError::Restored.into());
     }
     let now = Instant::now();
     let returned = state.eras.read_in(era_of(revision));
@@ -219,7 +220,7 @@
 async fn watch_once(state: &State, client: &mut Client, after: u64) -> Result<(), WatchError> {
     let call = watch(FOLLOWED, after, WAIT);
     let reply: Reply = client.call(&call, WAIT + SLACK).await?;
-    let watched = read_watched(&reply, after)?;
+    let watched = read_watch(&reply, after)?;
     for change in &watched.changes {
         take_change(state, change);
     }
@@ -230,21 +231,21 @@
 
 fn take_change(state: &State, change: &Change) {
     match change {
-        Change::Put(item) if item.key.starts_with(OPERATORS) => {
+        Change::Put(item) if item.key.starts_with(OPERATOR_PREFIX) => {
             state
                 .store_progress
                 .borrow_mut()
                 .record_config_change(item.revision);
             take_order(state, item);
         }
-        Change::Put(item) if item.key.starts_with(STATUS) => {
+        Change::Put(item) if item.key.starts_with(STATUS_PREFIX) => {
             state
                 .store_progress
                 .borrow_mut()
                 .record_config_change(item.revision);
             take_status(state, item);
         }
-        Change::Put(item) if item.key.starts_with(REGISTRY) => {
+        Change::Put(item) if item.key.starts_with(REGISTRY_PREFIX) => {
             if let Some(listing) = listing(item) {
                 let entry = RegistryChange::Put(listing);
                 take_entry(state, item.revision, entry);
@@ -257,15 +258,15 @@
                 .record_config_change(item.revision);
             take_leader(state, Some(item));
         }
-        Change::Gone(key, revision) if key == LEADER => {
+        Change::Removed(key, revision) if key == LEADER => {
             state
                 .store_progress
                 .borrow_mut()
                 .record_config_change(*revision);
             take_leader(state, None);
         }
-        Change::Gone(key, revision) => {
-            if let Some(id) = key.strip_prefix(REGISTRY) {
+        Change::Removed(key, revision) => {
+            if let Some(id) = key.strip_prefix(REGISTRY_PREFIX) {
                 take_entry(state, *revision, RegistryChange::Removed(id.into()));
             }
         }
@@ -331,7 +332,7 @@
 fn take_order(state: &State, item: &Item) {
     if item.key == CONFIG_KEY {
         take_config(state, item);
-    } else if item.key.starts_with(ROLLOUTS) {
+    } else if item.key.starts_with(ROLLOUT_PREFIX) {
         take_rollout(state, item);
     }
 }
@@ -359,7 +360,7 @@
 }
 
 fn take_status(state: &State, item: &Item) {
-    let Some(service) = item.key.strip_prefix(STATUS) else {
+    let Some(service) = item.key.strip_prefix(STATUS_PREFIX) else {
         return;
     };
     match read_status(&item.value) {
@@ -428,7 +429,7 @@
 }
 
 fn listing(item: &Item) -> Option<Listing> {
-    let id = item.key.strip_prefix(REGISTRY)?;
+    let id = item.key.strip_prefix(REGISTRY_PREFIX)?;
     match read_listing(id, &item.value) {
         Ok(listing) => Some(listing),
         Err(error) => {
