--- a/daemon/src/relay/dispatch.rs
+++ b/daemon/src/relay/dispatch.rs
@@ -17,7 +17,7 @@
 use tokio::time::Instant;
 
 use super::attempt::{AttemptOutcome, Job, attempt};
-use super::crash::quarantined;
+use super::crash::quarantine_left;
 use super::exchange::SERVER_ERROR;
 use super::serve::{Connection, RETRY_SOON, Rejection, connection, forward_response, reject};
 use super::state::State;
@@ -90,7 +90,7 @@
         if Instant::now() + MIN_TIME_LEFT >= job.deadline || self.stopped.is_some() {
             return None;
         }
-        if quarantined(state, &job.content).is_some() {
+        if quarantine_left(state, &job.content).is_some() {
             self.stopped = Some(SelectError::None);
             return None;
         }
@@ -208,7 +208,7 @@
             "serve: the stream failed and no endpoint resumes it; the connection is closed."
         );
         let code = Code::Broken.number();
-        state.measure(|metrics| metrics.ended(&job.route.name, code, Duration::ZERO));
+        state.measure(|metrics| metrics.record_request(&job.route.name, code, Duration::ZERO));
         Connection::Close
     }
 }
@@ -280,9 +280,9 @@
 /// Logs how a request ended: always if it failed or was late, a few a second otherwise.
 fn log_response(state: &State, job: &Job<'_>, endpoint: &str, status: u16, reached: u32) {
     let took = job.arrived.elapsed();
-    state.measure(|metrics| metrics.ended(&job.route.name, 0, took));
+    state.measure(|metrics| metrics.record_request(&job.route.name, 0, took));
     let late = !job.route.retry_policy.is_stream() && took > job.route.target;
-    if status < SERVER_ERROR && !late && !state.sampler.lets(Std::now()) {
+    if status < SERVER_ERROR && !late && !state.sampler.allows(Std::now()) {
         return;
     }
     log::info!(
