--- a/daemon/tests/soak.rs
+++ b/daemon/tests/soak.rs
@@ -15,8 +15,8 @@
 use fastrand::Rng;
 use poplarvale_platform::SETTINGS_VARIABLE;
 use poplarvale_standin::{
-    Answer, Caller, Cloud, Endpoint, Fault, Mode, Proxy, Seen, Step, Store, config, event, plain,
-    refusal, request, settings, stream,
+    Answer, Caller, Cloud, Endpoint, Fault, Mode, Proxy, SeenRequest, Step, Store, config, event,
+    plain, rejection, request, settings, stream,
 };
 use testutils::folder::Folder;
 use testutils::process::Process;
@@ -113,7 +113,7 @@
             .iter()
             .any(|prefix| seen.target().starts_with(prefix));
         if !is_stream && chance < 4 {
-            return vec![refusal(seen)];
+            return vec![rejection(seen)];
         }
         *work.runs.borrow_mut().entry(seen.id()).or_default() += 1;
         match chance {
@@ -134,12 +134,12 @@
     Rng::with_seed(sum).u64(..100)
 }
 
-fn answer(seen: &Seen) -> Step {
+fn answer(seen: &SeenRequest) -> Step {
     plain(seen, 200, &format!("answer to {}", seen.id()))
 }
 
-fn events(seen: &Seen, chance: u64) -> Vec<Step> {
-    let first = seen.after().parse::<u64>().map_or(0, |last| last + 1);
+fn events(seen: &SeenRequest, chance: u64) -> Vec<Step> {
+    let first = seen.last_event().parse::<u64>().map_or(0, |last| last + 1);
     let mut steps = vec![stream(seen)];
     for number in first..EVENTS {
         if chance < 5 && number == first + 2 {
@@ -311,10 +311,10 @@
             1 => pause(soak, daemon, lasts),
             2 => soak.daemons[daemon].borrow().process.signal("TERM"),
             3 => signal_if_alive(soak, daemon, "HUP"),
-            4 => spoil(&soak.proxies[endpoint], Fault::Silent, lasts),
-            5 => spoil(&soak.proxies[endpoint], Fault::OneWay, lasts),
+            4 => spoil(&soak.proxies[endpoint], Fault::Blocked, lasts),
+            5 => spoil(&soak.proxies[endpoint], Fault::ResponsesBlocked, lasts),
             6 => spoil(&soak.proxies[endpoint], Fault::Reset, lasts),
-            7 => spoil(&soak.store_proxy, Fault::Silent, lasts),
+            7 => spoil(&soak.store_proxy, Fault::Blocked, lasts),
             8 => spoil(&soak.store_proxy, Fault::Delay(lasts / 4), lasts),
             9 => misbehave(soak, random, lasts),
             10 => {
@@ -402,15 +402,15 @@
 /// The store itself refuses, loses answers or forgets its history.
 fn misbehave(soak: &Rc<Soak>, random: &mut Rng, lasts: Duration) {
     let mode = match random.u32(..3) {
-        0 => Mode::Busy,
-        1 => Mode::Lost,
+        0 => Mode::Rejecting,
+        1 => Mode::LosesReplies,
         _ => return soak.store.compact(),
     };
     soak.store.set(mode);
     let store = soak.store.clone();
     actix_web::rt::spawn(async move {
         tokio::time::sleep(lasts).await;
-        store.set(Mode::Well);
+        store.set(Mode::Healthy);
     });
 }
 
@@ -434,7 +434,7 @@
     for proxy in soak.proxies.iter().chain([&soak.store_proxy]) {
         proxy.set(Fault::None);
     }
-    soak.store.set(Mode::Well);
+    soak.store.set(Mode::Healthy);
     for daemon in 0..DAEMONS {
         signal_if_alive(soak, daemon, "CONT");
     }
@@ -519,7 +519,7 @@
         let calm = soak.calm.get();
         let asked = tokio::time::timeout(PATIENCE, caller.exchange(&text)).await;
         let answer = asked.ok().and_then(Result::ok);
-        let whole = answer.as_ref().is_some_and(|answer| answer.whole);
+        let whole = answer.as_ref().is_some_and(|answer| answer.complete);
         take(&soak, &id, prefix, answer.as_ref(), calm);
         if whole && answer.is_some_and(|answer| answer.head.keep_alive) {
             kept = Some((at, caller));
@@ -553,7 +553,7 @@
         once: prefix == "/once/" || prefix == "/stream/",
         promised,
     });
-    let Some(answer) = answer.filter(|answer| answer.whole) else {
+    let Some(answer) = answer.filter(|answer| answer.complete) else {
         soak.report.borrow_mut().failed += 1;
         if calm {
             soak.broken(format!("{prefix}{id} got no whole answer in a calm time"));
--- a/daemon/tests/test_relay_answers.rs
+++ b/daemon/tests/test_relay_answers.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use poplarvale_standin::{Endpoint, Step, ask, event, plain, refusal, request, stream};
+use poplarvale_standin::{Endpoint, Step, ask, event, plain, rejection, request, stream};
 
 use crate::relay_site::Site;
 
@@ -23,7 +23,7 @@
     let site = Site::start(&[&slow]).await;
     let answer = ask(site.address(), &request("GET", "/resume/a", "r1", "")).await;
     let answer = answer.expect("an answer");
-    assert!(answer.whole);
+    assert!(answer.complete);
     assert!(answer.body.contains("piece 1"));
     assert_eq!(slow.seen().len(), 1);
 }
@@ -32,8 +32,8 @@
 /// caller must get the rest from that one, and each event once.
 #[actix_web::test]
 async fn a_stalled_stream_is_resumed_at_another_engine() {
-    let script = |seen: &poplarvale_standin::Seen| {
-        if seen.after() == "0" {
+    let script = |seen: &poplarvale_standin::SeenRequest| {
+        if seen.last_event() == "0" {
             return vec![stream(seen), event(1), event(2), end()];
         }
         let half_event = Step::Send("8\r\nid: 1\nda\r\n".into());
@@ -49,7 +49,7 @@
     let site = Site::start(&[&one, &other]).await;
     let answer = ask(site.address(), &request("GET", "/resume/a", "r1", "")).await;
     let answer = answer.expect("an answer");
-    assert!(answer.whole);
+    assert!(answer.complete);
     let pieces: Vec<&str> = answer
         .body
         .lines()
@@ -62,7 +62,7 @@
 /// run it twice, and reporting it as not run might be wrong.
 #[actix_web::test]
 async fn a_non_idempotent_request_is_not_retried() {
-    let script = |_: &poplarvale_standin::Seen| vec![Step::Close];
+    let script = |_: &poplarvale_standin::SeenRequest| vec![Step::Close];
     let one = Endpoint::start("i-1", script).await;
     let other = Endpoint::start("i-2", script).await;
     let site = Site::start(&[&one, &other]).await;
@@ -75,7 +75,7 @@
 /// another one, also if it is non-idempotent.
 #[actix_web::test]
 async fn a_request_that_was_not_run_is_sent_to_another_endpoint() {
-    let full = Endpoint::start("i-1", |seen| vec![refusal(seen)]).await;
+    let full = Endpoint::start("i-1", |seen| vec![rejection(seen)]).await;
     let free = Endpoint::start("i-2", |seen| vec![plain(seen, 200, "done")]).await;
     let site = Site::start(&[&full, &free]).await;
     for number in 0..8 {
@@ -113,7 +113,7 @@
 /// endpoint; the caller must never get the half response as if it were complete.
 #[actix_web::test]
 async fn an_incomplete_response_is_never_forwarded() {
-    let script = |seen: &poplarvale_standin::Seen| {
+    let script = |seen: &poplarvale_standin::SeenRequest| {
         let Step::Send(text) = plain(seen, 200, "0123456789") else {
             return Vec::new();
         };
--- a/daemon/tests/test_relay_callers.rs
+++ b/daemon/tests/test_relay_callers.rs
@@ -1,6 +1,6 @@
 //! Requests of callers that must not be forwarded, or not unchanged.
 
-use poplarvale_standin::{Endpoint, FORGED, ask, config, plain, request, without_id};
+use poplarvale_standin::{Endpoint, FORGED_FIELDS, ask, config, plain, request, without_id};
 
 use crate::relay_site::{ROUTES, Site, until};
 
@@ -29,7 +29,7 @@
 #[actix_web::test]
 async fn callers_cannot_set_fields_of_the_system() {
     let (endpoint, site) = site().await;
-    let forged = format!("{FORGED}X-Own: kept\r\n");
+    let forged = format!("{FORGED_FIELDS}X-Own: kept\r\n");
     let answer = ask(
         site.address(),
         &request("GET", "/safe/a?q=1", "r1", &forged),
@@ -39,11 +39,11 @@
     let seen = &endpoint.seen()[0];
     assert_eq!(seen.target(), "/safe/a?q=1");
     assert_eq!(seen.team(), "club");
-    assert_eq!(seen.target_id(), "i-1");
+    assert_eq!(seen.target_endpoint(), "i-1");
     assert_eq!(seen.id(), "r1");
     assert_eq!(seen.field("X-Own"), "kept");
-    assert!(!seen.has_secret());
-    let left: u64 = seen.left().parse().expect("a number");
+    assert!(!seen.has_forbidden_field());
+    let left: u64 = seen.deadline_ms().parse().expect("a number");
     assert!((2000..=3000).contains(&left));
 }
 
--- a/daemon/tests/test_relay_closing.rs
+++ b/daemon/tests/test_relay_closing.rs
@@ -14,7 +14,8 @@
 use futures::future::join_all;
 use poplarvale_platform::SETTINGS_VARIABLE;
 use poplarvale_standin::{
-    Answer, Caller, Cloud, Endpoint, Seen, Step, Store, event, plain, request, settings, stream,
+    Answer, Caller, Cloud, Endpoint, SeenRequest, Step, Store, event, plain, request, settings,
+    stream,
 };
 use testutils::folder::Folder;
 use testutils::process::Process;
@@ -102,7 +103,7 @@
         let keep = answer.as_ref().is_ok_and(|answer| answer.head.keep_alive);
         let response = answer
             .ok()
-            .map(|answer: Answer| (answer.status, answer.whole));
+            .map(|answer: Answer| (answer.status, answer.complete));
         self.sent.borrow_mut().push(Sent {
             id,
             written: written.is_ok(),
@@ -212,7 +213,7 @@
     for caller in callers {
         caller.await.expect("the caller task ends without a panic");
     }
-    let reached: Vec<String> = endpoint.seen().iter().map(Seen::id).collect();
+    let reached: Vec<String> = endpoint.seen().iter().map(SeenRequest::id).collect();
     let sent = calls.sent.borrow();
     sent.iter()
         .filter_map(|sent| broken(sent, &reached))
--- a/daemon/tests/test_relay_crash.rs
+++ b/daemon/tests/test_relay_crash.rs
@@ -6,7 +6,7 @@
 
 use futures::future::join_all;
 use poplarvale_standin::{
-    Answer, Cloud, Endpoint, Seen, Step, ask, event, plain, request, settings, stream,
+    Answer, Cloud, Endpoint, SeenRequest, Step, ask, event, plain, request, settings, stream,
 };
 
 use crate::relay_site::{DAEMONS, Site, Zone, store_with, until};
@@ -25,7 +25,7 @@
 async fn endpoints(count: u32, arrivals: &Arrivals) -> Vec<Endpoint> {
     let start = |number: u32| {
         let arrivals = Rc::clone(arrivals);
-        let script = move |seen: &Seen| {
+        let script = move |seen: &SeenRequest| {
             if seen.target() != FATAL_PATH {
                 return vec![plain(seen, 200, "done")];
             }
@@ -57,7 +57,7 @@
         let text = request("GET", FATAL_PATH, &format!("r{number}"), "");
         let answer = ask(relay.callers(), &text).await;
         assert!(
-            answer.is_err() || answer.is_ok_and(|answer| !answer.whole || answer.status != 200)
+            answer.is_err() || answer.is_ok_and(|answer| !answer.complete || answer.status != 200)
         );
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
@@ -106,7 +106,7 @@
 /// Quarantining it would reject callers whose retry could succeed.
 #[actix_web::test]
 async fn a_request_that_breaks_off_at_running_endpoints_is_not_quarantined() {
-    let script = |_: &Seen| vec![Step::Close];
+    let script = |_: &SeenRequest| vec![Step::Close];
     let one = Endpoint::start("i-1", script).await;
     let other = Endpoint::start("i-2", script).await;
     let site = Site::start(&[&one, &other]).await;
@@ -123,7 +123,7 @@
 #[actix_web::test]
 async fn a_long_running_stream_is_not_suspected() {
     let crashes = usize::from(DAEMONS);
-    let script = |seen: &Seen| {
+    let script = |seen: &SeenRequest| {
         let run_time = Step::Wait(Duration::from_millis(1300));
         vec![stream(seen), event(0), run_time, Step::Crash]
     };
--- a/daemon/tests/test_relay_era.rs
+++ b/daemon/tests/test_relay_era.rs
@@ -5,7 +5,9 @@
 use std::time::{Duration, Instant};
 
 use poplarvale_lib::protos::relay::{Digest, digest};
-use poplarvale_standin::{Cloud, Endpoint, Seen, Step, ask, config, plain, request, settings};
+use poplarvale_standin::{
+    Cloud, Endpoint, SeenRequest, Step, ask, config, plain, request, settings,
+};
 use prost::Message as _;
 use serde_json::{Value, json};
 
@@ -36,7 +38,11 @@
 
 /// Fencing tokens of all reports, in the order of their arrival.
 fn fencing_tokens(cloud: &Cloud) -> Vec<u64> {
-    cloud.seen().iter().filter_map(Seen::fence).collect()
+    cloud
+        .seen()
+        .iter()
+        .filter_map(SeenRequest::fencing_token)
+        .collect()
 }
 
 /// After a restore the store assigns the same revisions again. A fencing token that comes from the
@@ -53,7 +59,7 @@
     let site = Site::with_grace(store, 3).await;
     until(SOON, async || site.cloud.seen().len() >= 2).await;
     let before = fencing_tokens(&site.cloud);
-    site.store.come_back();
+    site.store.restore();
     until(SOON, async || {
         fencing_tokens(&site.cloud).len() >= before.len() + 3
     })
@@ -73,7 +79,7 @@
     let zone = Zone::start_with(25, store, &["usage"]).await;
     let leader = || zone.store.get("poplarvale/leader");
     until(SOON, async || leader().is_some()).await;
-    zone.store.come_back();
+    zone.store.restore();
     let lost = Instant::now();
     until(SOON, async || leader().is_some()).await;
     // By the clock of the former holder its lease lasts one second.
@@ -101,7 +107,7 @@
     file["internalPorts"] = json!([peers.port(), peers.port()]);
     let site = Site::with_settings(store, cloud, &file.to_string()).await;
     until(SOON, async || site.cloud.seen().len() >= 2).await;
-    site.store.come_back();
+    site.store.restore();
     let late = Digest {
         name: "front-late".into(),
         incarnation: 1,
@@ -127,14 +133,14 @@
 }
 
 /// Window and counts of a usage report.
-fn report(call: &Seen) -> (u64, String) {
+fn report(call: &SeenRequest) -> (u64, String) {
     let body: Value = serde_json::from_slice(&call.body).expect("the text is JSON");
     let window = body["windowSeq"].as_u64().expect("the window is a number");
     (window, body["counts"].to_string())
 }
 
 /// Runs that another daemon counted in the window of a report.
-fn late_window(call: &Seen) -> digest::Window {
+fn late_window(call: &SeenRequest) -> digest::Window {
     let runs = digest::Count {
         team: "club".into(),
         runs: 7,
@@ -161,7 +167,7 @@
     // A watch is answered right after a change; then the daemon pauses before the next one.
     site.store.put("op/note-0", b"{}");
     tokio::time::sleep(Duration::from_millis(200)).await;
-    site.store.come_back();
+    site.store.restore();
     site.store
         .put("servers/i-2", other.entry("app", "ready").as_bytes());
     site.store.remove("servers/i-1");
@@ -190,7 +196,7 @@
         store.put(&format!("op/note-{number}"), b"{}");
     }
     let zone = Zone::start(27, store).await;
-    zone.store.come_back();
+    zone.store.restore();
     tokio::time::sleep(Duration::from_millis(300)).await;
     zone.store
         .put("servers/i-2", other.entry("app", "ready").as_bytes());
@@ -218,7 +224,7 @@
     site.store.remove("servers/i-1");
     tokio::time::sleep(LEAVE_TIME).await;
     let before = one.seen().len();
-    site.store.come_back();
+    site.store.restore();
     assert_eq!(
         send_requests(site.address(), LEAVE_TIME).await,
         Vec::<u16>::new()
@@ -248,7 +254,7 @@
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
     until(SOON, async || saved() == 1).await;
-    site.store.come_back();
+    site.store.restore();
     assert_eq!(saved(), 0);
     until(SOON, async || saved() == 1).await;
 }
--- a/daemon/tests/test_relay_limit.rs
+++ b/daemon/tests/test_relay_limit.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use futures::future::join_all;
-use poplarvale_standin::{Endpoint, Seen, Step, ask, limited, plain, request};
+use poplarvale_standin::{Endpoint, SeenRequest, Step, ask, limited, plain, request};
 
 use crate::relay_site::{Site, Zone, store_with};
 
@@ -35,7 +35,7 @@
         let (overloaded, arrivals) = (Rc::new(Cell::new(false)), Rc::default());
         let script = {
             let (overloaded, arrivals) = (Rc::clone(&overloaded), Rc::clone(&arrivals));
-            move |seen: &Seen| {
+            move |seen: &SeenRequest| {
                 let arrivals: &RefCell<Vec<Instant>> = &arrivals;
                 arrivals.borrow_mut().push(Instant::now());
                 let work = Step::Wait(Duration::from_millis(10));
--- a/daemon/tests/test_relay_partition.rs
+++ b/daemon/tests/test_relay_partition.rs
@@ -53,9 +53,9 @@
     }
 
     fn set_partition(&self, on: bool) {
-        let fault = if on { Fault::Silent } else { Fault::None };
+        let fault = if on { Fault::Blocked } else { Fault::None };
         self.to_store.set(fault);
-        self.link.set_cut(on);
+        self.link.set_partitioned(on);
     }
 
     /// Sends a request to the daemon that can be partitioned. Returns the status, 0 for none.
--- a/daemon/tests/test_relay_shutdown.rs
+++ b/daemon/tests/test_relay_shutdown.rs
@@ -49,7 +49,7 @@
     };
     let (answer, (), ()) = tokio::join!(running, stop, later);
     let answer = answer.expect("an answer");
-    assert!(answer.whole);
+    assert!(answer.complete);
     assert!(answer.body.contains("piece 1"));
 }
 
@@ -92,7 +92,7 @@
         assert!(answer.head.fields.text("retry-after").is_some());
     };
     let (first, (), ()) = tokio::join!(first, stop, late);
-    assert!(first.expect("an answer").whole);
+    assert!(first.expect("an answer").complete);
     assert_eq!(long.seen().len(), 1);
 }
 
--- a/daemon/tests/test_relay_store.rs
+++ b/daemon/tests/test_relay_store.rs
@@ -29,10 +29,10 @@
 async fn a_leaving_endpoint_is_noticed_after_the_store_was_unresponsive() {
     let (one, other) = (endpoint("i-1").await, endpoint("i-2").await);
     let site = Site::start(&[&one, &other]).await;
-    site.store.set(Mode::Silent);
+    site.store.set(Mode::Unresponsive);
     tokio::time::sleep(Duration::from_millis(1200)).await;
     assert_eq!(status(&site, "/safe/a").await, 200);
-    site.store.set(Mode::Well);
+    site.store.set(Mode::Healthy);
     tokio::time::sleep(Duration::from_secs(3)).await;
     site.store
         .put("servers/i-1", one.entry("app", "draining").as_bytes());
@@ -56,9 +56,9 @@
     let late = join_all(OUTAGES_MS.map(|outage| async move {
         let one = endpoint("i-1").await;
         let site = Site::without_duties(&[&one]).await;
-        site.store.set(Mode::Silent);
+        site.store.set(Mode::Unresponsive);
         tokio::time::sleep(Duration::from_millis(outage)).await;
-        site.store.set(Mode::Well);
+        site.store.set(Mode::Healthy);
         let fewer = &ROUTES[1..];
         site.store.put("op/config", config(2, fewer, 0).as_bytes());
         tokio::time::sleep(Duration::from_secs(2)).await;
@@ -104,12 +104,12 @@
         site.store.put("servers/foreign", b"{}");
         let changed = Instant::now();
         tokio::time::sleep(Duration::from_millis(900)).await;
-        site.store.set_quiet(true);
+        site.store.set_watches_paused(true);
         site.store.remove("servers/i-1");
         let removed = Instant::now();
         tokio::time::sleep_until(changed + Duration::from_millis(quiet)).await;
         site.store.compact();
-        site.store.set_quiet(false);
+        site.store.set_watches_paused(false);
         tokio::time::sleep_until(removed + Duration::from_secs(2)).await;
         let before = one.seen().len();
         for _ in 0..20 {
@@ -197,10 +197,10 @@
     let one = endpoint("i-1").await;
     let site = Site::start(&[&one]).await;
     until(SOON, async || site.store.get("poplarvale/usage").is_some()).await;
-    site.store.set(Mode::Lost);
+    site.store.set(Mode::LosesReplies);
     status(&site, "/safe/a").await;
     tokio::time::sleep(Duration::from_secs(3)).await;
-    site.store.set(Mode::Well);
+    site.store.set(Mode::Healthy);
     tokio::time::sleep(Duration::from_secs(4)).await;
     let bodies: Vec<String> = site
         .cloud
@@ -233,7 +233,7 @@
     let leader = site.store.get("poplarvale/leader");
     site.store.set(Mode::Paused);
     tokio::time::sleep(Duration::from_millis(1600)).await;
-    site.store.set(Mode::Well);
+    site.store.set(Mode::Healthy);
     let before = site.cloud.seen().len();
     tokio::time::sleep(Duration::from_millis(2500)).await;
     assert_eq!(site.store.get("poplarvale/leader"), leader);
--- a/daemon/tests/test_relay_watchers.rs
+++ b/daemon/tests/test_relay_watchers.rs
@@ -99,7 +99,7 @@
     let (one, other) = (endpoint("i-1").await, endpoint("i-2").await);
     let zone = Zone::start(number, store_with(&[&one]).await).await;
     for (proxy, _) in &zone.daemons[partitioned] {
-        proxy.set(Fault::Silent);
+        proxy.set(Fault::Blocked);
     }
     zone.replace("i-1", &other);
     tokio::time::sleep(LEAVE_TIME).await;
