--- a/daemon/src/callers/completions.rs
+++ b/daemon/src/callers/completions.rs
@@ -45,13 +45,13 @@
     payload: web::Payload,
     kind: Kind,
 ) -> HttpResponse {
-    match begin(shared, request, payload, kind).await {
+    match try_complete(shared, request, payload, kind).await {
         Ok(response) => response,
         Err(problem) => problem.response(),
     }
 }
 
-async fn begin(
+async fn try_complete(
     shared: &Shared,
     request: &HttpRequest,
     payload: web::Payload,
--- a/daemon/src/callers/services.rs
+++ b/daemon/src/callers/services.rs
@@ -22,13 +22,13 @@
     payload: web::Payload,
 ) -> HttpResponse {
     let (service, rest) = path.into_inner();
-    match begin(&shared, &request, &service, &rest, payload).await {
+    match try_call(&shared, &request, &service, &rest, payload).await {
         Ok(response) => response,
         Err(problem) => problem.response(),
     }
 }
 
-async fn begin(
+async fn try_call(
     shared: &Shared,
     request: &HttpRequest,
     service: &str,
--- a/daemon/src/config/pull.rs
+++ b/daemon/src/config/pull.rs
@@ -25,17 +25,17 @@
 pub(super) fn part(pulled: Pulled, from: u64) -> Part {
     let age = pulled.age;
     // Only numbers and strings are encoded, which cannot fail.
-    let whole = serde_json::to_vec(&Pulled {
+    let encoded = serde_json::to_vec(&Pulled {
         age: None,
         ..pulled
     })
     .unwrap_or_default();
-    let from = (from as usize).min(whole.len());
-    let end = (from + PART_BYTES).min(whole.len());
+    let from = (from as usize).min(encoded.len());
+    let end = (from + PART_BYTES).min(encoded.len());
     Part {
-        bytes: whole[from..end].to_vec(),
-        whole: xxh3_64(&whole),
-        length: whole.len() as u64,
+        bytes: encoded[from..end].to_vec(),
+        whole: xxh3_64(&encoded),
+        length: encoded.len() as u64,
         age_ms: age.map(|age| age.as_millis() as u64),
     }
 }
@@ -43,11 +43,11 @@
 /// Pulls the lists that are newer than a revision from a peer; none if that fails.
 pub(super) async fn pull(client: &Client, to: SocketAddr, pull: &Pull) -> Option<Pulled> {
     let mut bytes: Vec<u8> = Vec::new();
-    let mut whole = None;
+    let mut hash = None;
     loop {
         let answer = client.get_lists(to, pull.have, bytes.len() as u64).await;
         let part = Part::decode(answer.ok()?.as_slice()).ok()?;
-        let same = *whole.get_or_insert(part.whole) == part.whole;
+        let same = *hash.get_or_insert(part.whole) == part.whole;
         if !same || part.bytes.is_empty() || part.length > MAX_ANSWER_BYTES {
             return None;
         }
--- a/daemon/src/metrics.rs
+++ b/daemon/src/metrics.rs
@@ -16,7 +16,7 @@
 pub struct Metrics {
     /// Requests that ended, by outcome and result code.
     requests: Counter<u64>,
-    /// Attempts, retries included.
+    /// Attempts; their excess over the requests is the number of retries.
     pub(crate) attempts: Counter<u64>,
     /// Requests that wait to be sent.
     pub(crate) waiting: Gauge<u64>,
--- a/daemon/src/operators.rs
+++ b/daemon/src/operators.rs
@@ -1,4 +1,4 @@
-//! HTTP interface for operators. Every request without the operators' token is rejected.
+//! HTTP interface for operators. All its routes require the operators' token.
 
 mod dump;
 mod lists;
