--- a/daemon/src/relay/caller.rs
+++ b/daemon/src/relay/caller.rs
@@ -8,7 +8,7 @@
 use poplarvale_lib::http1::{Body, Framing, HeadError, Request};
 use poplarvale_lib::relay::catalog::CallerLimits;
 use poplarvale_lib::{Code, Ran};
-use poplarvale_platform::{read_ask, refusal};
+use poplarvale_platform::{read_request_head, rejection_response};
 use tokio::io::AsyncWriteExt as _;
 use tokio::net::TcpStream;
 use tokio::net::tcp::{ReadHalf, WriteHalf};
@@ -85,7 +85,7 @@
         Err(code) => return Some(reject(write, code, None).await),
     };
     let arrived = Instant::now();
-    let head = match read_ask(&request) {
+    let head = match read_request_head(&request) {
         Ok(head) => head,
         Err(error) => {
             log::info!("caller: rejected a request with an invalid head, {error}.");
@@ -212,7 +212,7 @@
 /// the start of the next request on it is not known.
 async fn reject(write: &mut WriteHalf<'_>, code: Code, id: Option<&str>) -> Connection {
     let again = (code == Code::Draining).then_some(RETRY_SOON);
-    let out = refusal(code, Ran::No, id, again, false);
+    let out = rejection_response(code, Ran::No, id, again, false);
     if let Err(error) = write.write_all(&out).await {
         log::debug!("caller: sending a rejection failed, {error}.");
     }
--- a/daemon/src/relay/duties.rs
+++ b/daemon/src/relay/duties.rs
@@ -18,8 +18,8 @@
 use poplarvale_lib::relay::usage::{Counts, Report, WindowId};
 use poplarvale_lib::{Era, era_of};
 use poplarvale_platform::{
-    Duty, Item, Order, STATUS, Txn, get, grant, keep_alive, order_call, read_granted, read_item,
-    read_txn, status_value, txn, usage_call,
+    Duty, Item, Order, STATUS_PREFIX, Txn, get, grant_lease, order_call, read_item, read_lease,
+    read_txn, renew_lease, status_value, txn, usage_call,
 };
 use prost::Message as _;
 
@@ -112,7 +112,7 @@
 async fn acquire(state: &State, store: &mut Client) -> Result<Option<DutyLease>, WriteError> {
     let since = Instant::now();
     let ttl = state.settings.bounds.lease;
-    let id = read_granted(&store.call(&grant(ttl), CALL_TIMEOUT).await?)?;
+    let id = read_lease(&store.call(&grant_lease(ttl), CALL_TIMEOUT).await?)?;
     let value = format_compact!("{} {}", state.settings.name, id);
     let call = txn(&Txn {
         expect: vec![(LEADER_KEY.into(), 0)],
@@ -272,7 +272,10 @@
 /// Renews the lease; `false` if it no longer exists. Other failures are retried.
 async fn renew(store: &mut Client, holder: &mut Holder) -> bool {
     let since = Instant::now();
-    match store.call(&keep_alive(holder.lease.id), CALL_TIMEOUT).await {
+    match store
+        .call(&renew_lease(holder.lease.id), CALL_TIMEOUT)
+        .await
+    {
         Ok(reply) if reply.status == 200 => {
             holder.lease.renewed(since);
             true
@@ -387,7 +390,7 @@
     status: &Status,
 ) -> Result<Option<u64>, WriteError> {
     let value = status_value(&status.target, status.outcome)?;
-    let key = format_compact!("{STATUS}{}", status.service);
+    let key = format_compact!("{STATUS_PREFIX}{}", status.service);
     let call = txn(&Txn {
         expect: vec![(LEADER_KEY.into(), holder.duty.fence)],
         puts: vec![(key, value, 0)],
--- a/daemon/tests/soak.rs
+++ b/daemon/tests/soak.rs
@@ -16,8 +16,8 @@
 use fastrand::Rng;
 use poplarvale_platform::SETTINGS_VARIABLE;
 use poplarvale_standin::{
-    Answer, Caller, Cloud, Endpoint, Fault, Mode, Proxy, Seen, Step, Store, config, event, plain,
-    refusal, request, settings, stream,
+    Answer, Caller, Cloud, Endpoint, Fault, Mode, Proxy, SeenRequest, Step, Store, config, event,
+    plain, rejection, request, settings, stream,
 };
 use testutils::folder::Folder;
 use testutils::process::Process;
@@ -114,7 +114,7 @@
             .iter()
             .any(|prefix| seen.target().starts_with(prefix));
         if !is_stream && roll < 4 {
-            return vec![refusal(seen)];
+            return vec![rejection(seen)];
         }
         *work.runs.borrow_mut().entry(seen.id()).or_default() += 1;
         match roll {
@@ -135,12 +135,12 @@
     Rng::with_seed(sum).u64(..100)
 }
 
-fn answer(seen: &Seen) -> Step {
+fn answer(seen: &SeenRequest) -> Step {
     plain(seen, 200, &format!("answer to {}", seen.id()))
 }
 
-fn events(seen: &Seen, roll: u64) -> Vec<Step> {
-    let first = seen.after().parse::<u64>().map_or(0, |last| last + 1);
+fn events(seen: &SeenRequest, roll: u64) -> Vec<Step> {
+    let first = seen.last_event().parse::<u64>().map_or(0, |last| last + 1);
     let mut steps = vec![stream(seen)];
     for number in first..EVENTS {
         if roll < 5 && number == first + 2 {
@@ -315,10 +315,10 @@
             1 => pause_daemon(soak, daemon, duration),
             2 => soak.daemons[daemon].borrow().process.signal("TERM"),
             3 => signal_if_alive(soak, daemon, "HUP"),
-            4 => set_proxy_fault(&soak.proxies[endpoint], Fault::Silent, duration),
-            5 => set_proxy_fault(&soak.proxies[endpoint], Fault::OneWay, duration),
+            4 => set_proxy_fault(&soak.proxies[endpoint], Fault::Blocked, duration),
+            5 => set_proxy_fault(&soak.proxies[endpoint], Fault::ResponsesBlocked, duration),
             6 => set_proxy_fault(&soak.proxies[endpoint], Fault::Reset, duration),
-            7 => set_proxy_fault(&soak.store_proxy, Fault::Silent, duration),
+            7 => set_proxy_fault(&soak.store_proxy, Fault::Blocked, duration),
             8 => set_proxy_fault(&soak.store_proxy, Fault::Delay(duration / 4), duration),
             9 => set_store_fault(soak, random, duration),
             10 => {
@@ -406,15 +406,15 @@
 /// Makes the store reject calls, lose answers or compact its history.
 fn set_store_fault(soak: &Rc<Soak>, random: &mut Rng, duration: Duration) {
     let mode = match random.u32(..3) {
-        0 => Mode::Busy,
-        1 => Mode::Lost,
+        0 => Mode::Rejecting,
+        1 => Mode::LosesReplies,
         _ => return soak.store.compact(),
     };
     soak.store.set(mode);
     let store = soak.store.clone();
     actix_web::rt::spawn(async move {
         tokio::time::sleep(duration).await;
-        store.set(Mode::Well);
+        store.set(Mode::Healthy);
     });
 }
 
@@ -438,7 +438,7 @@
     for proxy in soak.proxies.iter().chain([&soak.store_proxy]) {
         proxy.set(Fault::None);
     }
-    soak.store.set(Mode::Well);
+    soak.store.set(Mode::Healthy);
     for daemon in 0..DAEMONS {
         signal_if_alive(soak, daemon, "CONT");
     }
@@ -523,7 +523,7 @@
         let no_faults = soak.no_faults.get();
         let asked = tokio::time::timeout(CLIENT_TIMEOUT, caller.exchange(&text)).await;
         let answer = asked.ok().and_then(Result::ok);
-        let whole = answer.as_ref().is_some_and(|answer| answer.whole);
+        let whole = answer.as_ref().is_some_and(|answer| answer.complete);
         record_answer(&soak, &id, prefix, answer.as_ref(), no_faults);
         if whole && answer.is_some_and(|answer| answer.head.keep_alive) {
             kept = Some((at, caller));
@@ -557,7 +557,7 @@
         non_idempotent: prefix == "/once/" || prefix == "/stream/",
         told_not_run,
     });
-    let Some(answer) = answer.filter(|answer| answer.whole) else {
+    let Some(answer) = answer.filter(|answer| answer.complete) else {
         soak.report.borrow_mut().failed += 1;
         if no_faults {
             soak.violation(format!(
