--- a/daemon/tests/soak.rs
+++ b/daemon/tests/soak.rs
@@ -42,7 +42,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Report {
     pub(crate) answered: usize,
-    pub(crate) refused: usize,
+    pub(crate) rejected: usize,
     pub(crate) failed: usize,
     /// Descriptions of the violated guarantees.
     pub(crate) violations: Vec<String>,
@@ -472,7 +472,7 @@
 
 fn result_counts(soak: &Soak) -> (usize, usize) {
     let report = soak.report.borrow();
-    (report.answered, report.failed + report.refused)
+    (report.answered, report.failed + report.rejected)
 }
 
 /// Restarts every daemon in turn while callers keep their connections.
@@ -571,7 +571,7 @@
             soak.report.borrow_mut().answered += 1;
             check_body(soak, id, prefix, &answer.body);
         }
-        503 | 429 => soak.report.borrow_mut().refused += 1,
+        503 | 429 => soak.report.borrow_mut().rejected += 1,
         500 | 502 | 504 => soak.report.borrow_mut().failed += 1,
         other => soak.violation(format!("{prefix}{id} got status {other}")),
     }
--- a/daemon/tests/test_soak.rs
+++ b/daemon/tests/test_soak.rs
@@ -19,13 +19,13 @@
 /// runs twice, and none runs whose caller was told that it did not. Afterwards requests are served
 /// again, and restarting the daemons in turn breaks off no answer.
 #[actix_web::test]
-async fn promises_hold_under_random_faults() {
+async fn guarantees_hold_under_random_faults() {
     let mut violations = Vec::new();
     for seed in seeds(SEEDS_VARIABLE, &KEPT_SEEDS) {
         let report = run_seed(seed, FAULT_TIME).await;
         println!(
-            "seed {seed}: {} answered, {} refused, {} failed, {:?}",
-            report.answered, report.refused, report.failed, report.violations
+            "seed {seed}: {} answered, {} rejected, {} failed, {:?}",
+            report.answered, report.rejected, report.failed, report.violations
         );
         if !report.violations.is_empty() {
             violations.push((seed, report.violations));
