--- a/lib/benches/load.rs
+++ b/lib/benches/load.rs
@@ -23,7 +23,7 @@
 
 /// Endpoints that process 2,000 units per second, at most 200 per request.
 fn endpoints(count: usize) -> Vec<(String, Behaviour)> {
-    let name = |n| (format!("e{n}"), Behaviour::sound(2_000.0, 200.0));
+    let name = |n| (format!("e{n}"), Behaviour::healthy(2_000.0, 200.0));
     (0..count).map(name).collect()
 }
 
@@ -32,7 +32,7 @@
         endpoints: endpoints(2),
         policy,
         priorities: Vec::new(),
-        returns: 0,
+        max_retries: 0,
         daemons: 1,
         running: 64,
         requests: 1e6,
@@ -66,12 +66,12 @@
             quantile(&some, 0.99)
         );
     }
-    let sends: u32 = ended.iter().map(|e| e.sends).sum();
+    let attempts: u32 = ended.iter().map(|e| e.attempts).sum();
     let failed = |e: &Ended| e.code().is_some();
     let at_once = |e: &Ended| failed(e) && e.after < Duration::from_millis(50);
     println!(
         "  attempts {:.2}  failed at once {:4.1}% later {:4.1}%",
-        f64::from(sends) / ended.len() as f64,
+        f64::from(attempts) / ended.len() as f64,
         100.0 * share(ended, at_once),
         100.0 * share(ended, |e| failed(e) && !at_once(e))
     );
@@ -160,9 +160,9 @@
         println!("{title}, callers retry when told ({} callers)", trace.len());
         for (name, policy) in [("plain", Policy::plain()), ("all", Policy::default())] {
             let mut scene = scene(policy, Instant::now());
-            scene.returns = 3;
+            scene.max_retries = 3;
             let ended = driver::replay(&scene, &trace);
-            let last: Vec<Ended> = ended.iter().filter(|e| !e.back).cloned().collect();
+            let last: Vec<Ended> = ended.iter().filter(|e| !e.retried).cloned().collect();
             println!(
                 "  {name:<6} finally answered in time {:5.1}%, arrivals per caller {:.2}",
                 100.0 * share(&last, Ended::good),
@@ -208,7 +208,7 @@
 fn failing(scene: &mut Scene, count: usize, share: f64) {
     scene.endpoints = endpoints(4);
     for (_, behaviour) in &mut scene.endpoints[..count] {
-        behaviour.breaks = share;
+        behaviour.failure_rate = share;
     }
 }
 
@@ -442,7 +442,7 @@
         60.0,
         |scene| {
             for (_, behaviour) in &mut scene.endpoints {
-                behaviour.crowd = Some(14);
+                behaviour.max_jobs = Some(14);
             }
         },
     );
--- a/lib/benches/routing.rs
+++ b/lib/benches/routing.rs
@@ -18,7 +18,7 @@
     endpoints: 6,
     daemons: 2,
     speed: SPEED,
-    every: 0.5,
+    report_interval: 0.5,
     lag: 1.0,
     lost: 0.02,
 };
@@ -70,7 +70,7 @@
 fn overloaded() {
     let scene = Scene {
         endpoints: 1,
-        every: 2.0,
+        report_interval: 2.0,
         lag: 2.0,
         ..SCENE
     };
@@ -131,9 +131,9 @@
             out.most,
             out.whole,
             out.failed,
-            out.carried,
+            out.migrated,
             out.broken,
-            out.torn
+            out.corrupted
         );
     }
 }
--- a/lib/tests/test_claims.rs
+++ b/lib/tests/test_claims.rs
@@ -6,7 +6,7 @@
 use poplarvale_lib::claims::{CLAIM_TIMEOUT, Key, Question, Rejection};
 use poplarvale_lib::{Code, Ran, RequestId};
 use proptest::prelude::*;
-use testutils::platform::bookings::{Bookings, Trouble};
+use testutils::platform::bookings::{Bookings, FaultSwitches};
 use testutils::platform::data::Faults;
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -113,14 +113,14 @@
 #[test]
 fn an_outage_is_reported_soon_and_the_key_works_after_it() {
     let mut bookings = Bookings::new(3, 1);
-    bookings.trouble.down = true;
+    bookings.faults.down = true;
     let key = supplied("board-7");
     let first = bookings.book(0, "a", &key, 1);
     bookings.run(CLAIM_TIMEOUT + MOMENT);
     let rejected = rejection(&bookings, first).clone();
     assert_eq!((rejected.code, rejected.ran), (Code::NoClaim, Ran::No));
     assert!(rejected.retry_at.unwrap() > bookings.now);
-    bookings.trouble.down = false;
+    bookings.faults.down = false;
     let second = bookings.book(1, "a", &key, 1);
     bookings.run(SECOND);
     assert_eq!(bookings.ran, [second]);
@@ -159,7 +159,7 @@
 #[test]
 fn an_issued_key_works_while_the_service_is_down() {
     let mut bookings = Bookings::new(3, 1);
-    bookings.trouble.down = true;
+    bookings.faults.down = true;
     let key = bookings.issue(0, "a").unwrap();
     let first = bookings.book(1, "a", &key, 1);
     bookings.run(SECOND);
@@ -255,7 +255,7 @@
     Freeze(usize),
     HandOver(usize, usize),
     Look(usize),
-    Trouble(bool, bool, bool, bool),
+    SetFaults(bool, bool, bool, bool),
     Slow(u64),
     Run(u64),
 }
@@ -275,7 +275,7 @@
         1 => (daemon.clone(), daemon.clone()).prop_map(|(a, b)| Event::HandOver(a, b)),
         3 => daemon.prop_map(Event::Look),
         3 => any::<(bool, bool, bool, bool)>()
-            .prop_map(|(a, b, c, d)| Event::Trouble(a && b, b, c, d)),
+            .prop_map(|(a, b, c, d)| Event::SetFaults(a && b, b, c, d)),
         1 => prop_oneof![Just(0), Just(700), Just(5_000_u64)].prop_map(Event::Slow),
         8 => prop_oneof![1..200_u64, 200..4_000_u64].prop_map(Event::Run),
     ]
@@ -299,8 +299,8 @@
         Event::HandOver(from, to) if from != to => bookings.hand_over(from, to),
         Event::HandOver(..) => {}
         Event::Look(daemon) => bookings.update_peers(daemon),
-        Event::Trouble(down, lossy, late, broken) => {
-            bookings.trouble = Trouble {
+        Event::SetFaults(down, lossy, late, broken) => {
+            bookings.faults = FaultSwitches {
                 down,
                 lossy,
                 late,
@@ -330,7 +330,7 @@
         for event in &events {
             apply(&mut bookings, &mut keys, event);
         }
-        bookings.trouble = Trouble::default();
+        bookings.faults = FaultSwitches::default();
         bookings.store.faults = Faults::default();
         bookings.run(Duration::from_secs(8));
         for key in &keys {
--- a/lib/tests/test_load.rs
+++ b/lib/tests/test_load.rs
@@ -23,12 +23,12 @@
 }
 
 fn scene(policy: Policy) -> Scene {
-    let sound = |n| (format!("e{n}"), Behaviour::sound(2_000.0, 200.0));
+    let healthy = |n| (format!("e{n}"), Behaviour::healthy(2_000.0, 200.0));
     Scene {
-        endpoints: (0..2).map(sound).collect(),
+        endpoints: (0..2).map(healthy).collect(),
         policy,
         priorities: Vec::new(),
-        returns: 0,
+        max_retries: 0,
         daemons: 1,
         running: 64,
         requests: 1e6,
@@ -98,7 +98,7 @@
     for name in ["burst", "saturation-5"] {
         for policy in [Policy::plain(), Policy::default()] {
             let ended = play(name, policy);
-            let wrong = share(&ended, |e| e.not_run() && e.sends > 0);
+            let wrong = share(&ended, |e| e.not_run() && e.attempts > 0);
             assert!(wrong == 0.0, "{name}: {wrong}");
         }
     }
@@ -139,9 +139,9 @@
 }
 
 fn four(policy: Policy) -> Scene {
-    let sound = |n| (format!("e{n}"), Behaviour::sound(1_000.0, 200.0));
+    let healthy = |n| (format!("e{n}"), Behaviour::healthy(1_000.0, 200.0));
     Scene {
-        endpoints: (0..4).map(sound).collect(),
+        endpoints: (0..4).map(healthy).collect(),
         ..scene(policy)
     }
 }
@@ -173,7 +173,7 @@
     let good = |policy| {
         let mut scene = four(policy);
         for (_, behaviour) in &mut scene.endpoints[..2] {
-            behaviour.breaks = 0.8;
+            behaviour.failure_rate = 0.8;
         }
         let ended = driver::replay(&scene, &committed("slow"));
         (share(&ended, Ended::good), ended)
@@ -181,8 +181,11 @@
     let (adaptive, ended) = good(Policy::default());
     let (plain, _) = good(Policy::plain());
     assert!(adaptive > plain, "{adaptive} against {plain}");
-    let sends: u32 = ended.iter().map(|e| e.sends).sum();
-    assert!(f64::from(sends) <= 1.2 * ended.len() as f64, "{sends}");
+    let attempts: u32 = ended.iter().map(|e| e.attempts).sum();
+    assert!(
+        f64::from(attempts) <= 1.2 * ended.len() as f64,
+        "{attempts}"
+    );
 }
 
 /// Every endpoint refuses connections. Callers must be told at once that nothing
@@ -191,7 +194,7 @@
 fn requests_fail_at_once_when_all_endpoints_refuse_connections() {
     let mut scene = four(Policy::default());
     for (_, behaviour) in &mut scene.endpoints {
-        behaviour.refuses = 1.0;
+        behaviour.refusal_rate = 1.0;
     }
     let ended = driver::replay(&scene, &committed("slow"));
     assert!(share(&ended, Ended::not_run) >= 1.0);
@@ -207,7 +210,7 @@
     let good = |policy| {
         let mut scene = scene(policy);
         for (_, behaviour) in &mut scene.endpoints {
-            behaviour.crowd = Some(14);
+            behaviour.max_jobs = Some(14);
         }
         share(
             &driver::replay(&scene, &committed("saturation-2")),
@@ -272,9 +275,9 @@
 #[test]
 fn rejected_callers_that_retry_when_told_are_served() {
     let mut scene = scene(Policy::default());
-    scene.returns = 3;
+    scene.max_retries = 3;
     let ended = driver::replay(&scene, &committed("burst"));
-    let last: Vec<Ended> = ended.iter().filter(|e| !e.back).cloned().collect();
+    let last: Vec<Ended> = ended.iter().filter(|e| !e.retried).cloned().collect();
     let good = share(&last, Ended::good);
     assert!(good >= 0.9, "{good}");
     let arrivals = ended.len() as f64 / last.len() as f64;
--- a/lib/tests/test_load_schedules.rs
+++ b/lib/tests/test_load_schedules.rs
@@ -80,12 +80,12 @@
 impl Run {
     fn new(policy: Policy) -> Self {
         let origin = Instant::now();
-        let sound = |n| (format!("e{n}"), Behaviour::sound(1.0, 1.0));
+        let healthy = |n| (format!("e{n}"), Behaviour::healthy(1.0, 1.0));
         let scene = Scene {
-            endpoints: (0..3).map(sound).collect(),
+            endpoints: (0..3).map(healthy).collect(),
             policy,
             priorities: vec![("c0", 3), ("c1", 0)],
-            returns: 0,
+            max_retries: 0,
             daemons: 1,
             running: 64,
             requests: 1e6,
--- a/lib/tests/test_load_shares.rs
+++ b/lib/tests/test_load_shares.rs
@@ -178,10 +178,10 @@
 fn two_daemons_together_enforce_one_plan() {
     let origin = Instant::now();
     let scene = Scene {
-        endpoints: vec![("e0".into(), Behaviour::sound(1e6, 1e6))],
+        endpoints: vec![("e0".into(), Behaviour::healthy(1e6, 1e6))],
         policy: Policy::default(),
         priorities: Vec::new(),
-        returns: 0,
+        max_retries: 0,
         daemons: 1,
         running: 64,
         requests: 20.0,
--- a/lib/tests/test_routing.rs
+++ b/lib/tests/test_routing.rs
@@ -23,7 +23,7 @@
     endpoints: 4,
     daemons: 2,
     speed: SPEED,
-    every: 0.5,
+    report_interval: 0.5,
     lag: 1.0,
     lost: 0.02,
 };
@@ -90,9 +90,9 @@
     }];
     let out = replay(&SCENE, &trace, &reclaims);
     let baseline = least_loaded(SCENE, &trace, &reclaims);
-    assert_eq!((out.whole, out.failed, out.torn), (trace.len(), 0, 0));
-    assert_eq!((out.broken, out.late), (0, 0));
-    assert!(out.carried > 0);
+    assert_eq!((out.whole, out.failed, out.corrupted), (trace.len(), 0, 0));
+    assert_eq!((out.broken, out.after_notice), (0, 0));
+    assert!(out.migrated > 0);
     assert!(baseline.broken > 0, "the reclaim hit no running answer");
     assert!(out.recomputed < baseline.recomputed);
 }
@@ -112,8 +112,8 @@
         ..SPEED
     };
     let out = replay(&Scene { speed, ..SCENE }, &trace, &reclaims);
-    assert_eq!((out.whole, out.torn), (trace.len(), 0));
-    assert_eq!((out.broken, out.late, out.carried), (0, 0, 0));
+    assert_eq!((out.whole, out.corrupted), (trace.len(), 0));
+    assert_eq!((out.broken, out.after_notice, out.migrated), (0, 0, 0));
 }
 
 /// A zone fails without any notice. Its answers break and must continue on other
@@ -128,7 +128,7 @@
     }];
     let out = replay(&SCENE, &trace, &reclaims);
     assert!(out.broken > 0);
-    assert_eq!((out.whole, out.torn), (trace.len(), 0));
+    assert_eq!((out.whole, out.corrupted), (trace.len(), 0));
 }
 
 /// One cache event in five is lost and the others arrive out of order. A model
--- a/lib/tests/test_routing_cache.rs
+++ b/lib/tests/test_routing_cache.rs
@@ -147,7 +147,7 @@
         prompt: blocks.len() as u32 * 64,
         delivered: 0,
         answer: 1,
-        carried: false,
+        migrated: false,
     });
     engine.step(1.0);
     let changes = engine.changes().into_iter();
--- a/lib/tests/traces/driver.rs
+++ b/lib/tests/traces/driver.rs
@@ -60,7 +60,7 @@
     /// Priorities of customers; the default is 1.
     pub priorities: Vec<(&'static str, u8)>,
     /// How often a caller retries when it is told to.
-    pub returns: u32,
+    pub max_retries: u32,
     /// Number of daemons; they receive the arrivals in turn and share the endpoints.
     pub daemons: usize,
     /// Maximum of concurrent requests at one endpoint.
@@ -81,9 +81,9 @@
     /// Its ending.
     pub ending: Ending,
     /// Number of attempts sent to endpoints.
-    pub sends: u32,
+    pub attempts: u32,
     /// Whether its caller retries, so that this ending is not final.
-    pub back: bool,
+    pub retried: bool,
 }
 
 impl Ended {
@@ -223,7 +223,7 @@
             .collect(),
         fake: FakeEndpoints::new(scene.endpoints.clone(), scene.origin, 2),
         trace: trace.to_vec(),
-        retries_left: vec![scene.returns; trace.len()],
+        retries_left: vec![scene.max_retries; trace.len()],
         retries: Vec::new(),
         origin: scene.origin,
         attempts: Vec::new(),
@@ -350,8 +350,8 @@
             arrival: self.trace[number].clone(),
             after: now.saturating_duration_since(self.arrives(number)),
             ending,
-            sends: self.attempt_counts[number],
-            back: retry_at.is_some(),
+            attempts: self.attempt_counts[number],
+            retried: retry_at.is_some(),
         });
     }
 }
--- a/lib/testutils/src/fake_endpoints.rs
+++ b/lib/testutils/src/fake_endpoints.rs
@@ -15,11 +15,11 @@
     /// Units of work per second of one job at most.
     pub speed: f64,
     /// Fraction of the jobs that fail when they are half done.
-    pub breaks: f64,
+    pub failure_rate: f64,
     /// Number of concurrent jobs from which on new ones fail, as when memory runs out.
-    pub crowd: Option<usize>,
+    pub max_jobs: Option<usize>,
     /// Fraction of the connections that are refused.
-    pub refuses: f64,
+    pub refusal_rate: f64,
     /// Period in which it runs slower or faster.
     pub slow: Option<Slow>,
 }
@@ -37,13 +37,13 @@
 
 impl Behaviour {
     /// An endpoint without faults.
-    pub fn sound(rate: f64, speed: f64) -> Self {
+    pub fn healthy(rate: f64, speed: f64) -> Self {
         Self {
             rate,
             speed,
-            breaks: 0.0,
-            crowd: None,
-            refuses: 0.0,
+            failure_rate: 0.0,
+            max_jobs: None,
+            refusal_rate: 0.0,
             slow: None,
         }
     }
@@ -174,14 +174,14 @@
             return;
         };
         endpoint.advance(now);
-        if refuses < endpoint.behaviour.refuses {
+        if refuses < endpoint.behaviour.refusal_rate {
             let result = JobResult::Refused;
             self.done.push(Done { id, result });
             return;
         }
-        let crowd = endpoint.behaviour.crowd;
-        let overloaded = crowd.is_some_and(|crowd| endpoint.jobs.len() >= crowd);
-        let broken = overloaded || breaks < endpoint.behaviour.breaks;
+        let max_jobs = endpoint.behaviour.max_jobs;
+        let overloaded = max_jobs.is_some_and(|max_jobs| endpoint.jobs.len() >= max_jobs);
+        let broken = overloaded || breaks < endpoint.behaviour.failure_rate;
         let (part, result) = if broken {
             (0.5, JobResult::Failed)
         } else {
--- a/lib/testutils/src/fake_engines.rs
+++ b/lib/testutils/src/fake_engines.rs
@@ -40,7 +40,7 @@
     /// Length of the whole answer in tokens.
     pub answer: u32,
     /// Whether its KV cache was migrated with it, so that no prefill is needed.
-    pub carried: bool,
+    pub migrated: bool,
 }
 
 /// Progress of a stream.
@@ -189,7 +189,7 @@
     }
 
     fn uncached_tokens(&self, job: &Job) -> f64 {
-        if job.carried {
+        if job.migrated {
             return 0.0;
         }
         let cached = job.blocks.iter().take_while(|block| {
--- a/lib/testutils/src/platform/bookings.rs
+++ b/lib/testutils/src/platform/bookings.rs
@@ -28,7 +28,7 @@
     reason = "each is an independent switch"
 )]
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Trouble {
+pub struct FaultSwitches {
     /// The key-value service is unreachable.
     pub down: bool,
     /// Half of the writes get no answer. Of these, half never take effect and half take
@@ -78,7 +78,7 @@
     /// The key-value service.
     pub store: Fake,
     /// Faults that are on.
-    pub trouble: Trouble,
+    pub faults: FaultSwitches,
     /// All bookings sent so far.
     pub sent: Vec<Sent>,
     /// Requests that ran at an endpoint, in this order.
@@ -102,7 +102,7 @@
         let mut bookings = Self {
             now: Instant::now(),
             store: Fake::default(),
-            trouble: Trouble::default(),
+            faults: FaultSwitches::default(),
             sent: Vec::new(),
             ran: Vec::new(),
             answers: Vec::new(),
@@ -169,7 +169,7 @@
         let to = self.daemons[to].incarnation;
         let hand_overs = self.daemons[at].claimer.hand_over(to);
         for hand_over in hand_overs {
-            if self.trouble.late && self.rng.bool() {
+            if self.faults.late && self.rng.bool() {
                 self.send(Message::HandOver(hand_over.clone()));
             }
             self.send(Message::HandOver(hand_over));
@@ -246,7 +246,7 @@
             Command::Write { number, write } => self.write(me, number, write),
             Command::Lease(ttl) => {
                 self.store.counts.leases += 1;
-                let result = if self.trouble.down {
+                let result = if self.faults.down {
                     Err(Failure::NotDone)
                 } else {
                     let id = self.store.data.grant(self.now, 0, ttl);
@@ -263,7 +263,7 @@
         let booked = self.requests.iter().find(|(id, ..)| *id == request);
         self.waits
             .push(self.now - booked.expect("the request was booked here").1);
-        let case = if self.trouble.broken {
+        let case = if self.faults.broken {
             self.rng.u32(0..4)
         } else {
             0
@@ -285,7 +285,7 @@
     }
 
     fn write(&mut self, me: Incarnation, number: u64, write: Write) {
-        if self.trouble.down {
+        if self.faults.down {
             let failure = if self.rng.bool() {
                 Failure::NotDone
             } else {
@@ -293,7 +293,7 @@
             };
             return self.send(Message::Written(me, number, Err(failure)));
         }
-        if self.trouble.lossy && self.rng.bool() {
+        if self.faults.lossy && self.rng.bool() {
             self.send(Message::Written(me, number, Err(Failure::Unknown)));
             if self.rng.bool() {
                 let delay = Duration::from_millis(self.rng.u64(1..6_000));
@@ -336,7 +336,7 @@
 
     /// Whether a message between daemons is lost.
     fn is_lost(&mut self) -> bool {
-        self.trouble.late && self.rng.u32(0..8) == 0
+        self.faults.late && self.rng.u32(0..8) == 0
     }
 
     fn input(&mut self, to: Incarnation, input: Input) {
@@ -346,7 +346,7 @@
     }
 
     fn send(&mut self, message: Message) {
-        let late = self.trouble.late && self.rng.u32(0..4) == 0;
+        let late = self.faults.late && self.rng.u32(0..4) == 0;
         let max_ms = if late { 4_000 } else { 5 };
         let delay = Duration::from_millis(self.rng.u64(1..max_ms));
         self.in_flight.push((self.now + delay, message));
--- a/lib/testutils/src/replay.rs
+++ b/lib/testutils/src/replay.rs
@@ -34,7 +34,7 @@
     /// Speed and capacity of the engines.
     pub speed: Speed,
     /// Interval between load reports in seconds.
-    pub every: f64,
+    pub report_interval: f64,
     /// Delay of load reports, and mean delay of cache events, in seconds.
     pub lag: f64,
     /// Fraction of the cache events that is lost.
@@ -77,11 +77,11 @@
     /// Attempts that failed because their endpoint was reclaimed.
     pub broken: usize,
     /// Attempts sent after their endpoint's reclaim notice.
-    pub late: usize,
+    pub after_notice: usize,
     /// Streams migrated with their KV cache.
-    pub carried: usize,
+    pub migrated: usize,
     /// Complete answers that had missing tokens.
-    pub torn: usize,
+    pub corrupted: usize,
     /// Prompt tokens prefilled.
     pub computed: f64,
     /// Prompt tokens prefilled beyond one prefill of each distinct block.
@@ -160,7 +160,7 @@
 
 struct Caller {
     received: u32,
-    torn: bool,
+    corrupted: bool,
     arrival: usize,
 }
 
@@ -203,7 +203,7 @@
         }
         replay.reclaim(reclaims);
         replay.work();
-        if count.is_multiple_of((scene.every / STEP_S).max(1.0) as u64) {
+        if count.is_multiple_of((scene.report_interval / STEP_S).max(1.0) as u64) {
             replay.report();
         }
         replay.deliver();
@@ -286,7 +286,7 @@
             id,
             Caller {
                 received: 0,
-                torn: false,
+                corrupted: false,
                 arrival: at,
             },
         ));
@@ -477,14 +477,14 @@
 
     fn send(&mut self, send: &Send) {
         if let Some(from) = send.cache_from {
-            self.out.carried += 1;
+            self.out.migrated += 1;
             self.cancel(from);
         }
         let Some(caller) = find(&mut self.callers, send.request) else {
             return;
         };
         // Resuming at an offset beyond the received tokens would lose tokens.
-        caller.torn |= send.delivered > caller.received;
+        caller.corrupted |= send.delivered > caller.received;
         let arrival = &self.arrivals[caller.arrival];
         let job = Job {
             attempt: send.attempt,
@@ -492,14 +492,15 @@
             prompt: arrival.blocks.len() as u32 * 64,
             delivered: send.delivered,
             answer: arrival.answer,
-            carried: send.cache_from.is_some(),
+            migrated: send.cache_from.is_some(),
         };
         let at = self
             .endpoints
             .binary_search_by(|endpoint| endpoint.id.cmp(&send.endpoint));
         if let Ok(at) = at {
             let endpoint = &mut self.endpoints[at];
-            self.out.late += usize::from(endpoint.notice.is_some_and(|notice| notice < self.now));
+            self.out.after_notice +=
+                usize::from(endpoint.notice.is_some_and(|notice| notice < self.now));
             if endpoint.gone.is_none() {
                 endpoint.engine.send(job);
             }
@@ -513,7 +514,7 @@
         let answer = self.arrivals[caller.arrival].answer;
         if matches!(ending, Ending::Complete { .. }) {
             self.out.whole += 1;
-            self.out.torn += usize::from(caller.torn || caller.received != answer);
+            self.out.corrupted += usize::from(caller.corrupted || caller.received != answer);
         } else {
             self.out.failed += 1;
         }
