--- a/daemon/src/attempt.rs
+++ b/daemon/src/attempt.rs
@@ -16,7 +16,7 @@
 
 use crate::answer::PieceError;
 use crate::core::{Core, Report};
-use crate::job::{Form, Job};
+use crate::job::{Job, RequestKind};
 
 /// Longest wait for a connection. Endpoints stand at most a few milliseconds
 /// away; one that takes a second is gone or overrun.
@@ -59,10 +59,12 @@
 /// Sends a request and passes its answer on; reports how it ended.
 pub(crate) async fn run(clients: Clients, job: Job, send: Send, core: Addr<Core>) {
     let client = &clients.pooled;
-    let outcome = match &*job.form {
-        Form::Chat { .. } => model::run(client, &job, &send, &core, "/v1/chat/completions").await,
-        Form::Text { .. } => model::run(client, &job, &send, &core, "/v1/completions").await,
-        Form::Plain {
+    let outcome = match &*job.kind {
+        RequestKind::Chat { .. } => {
+            model::run(client, &job, &send, &core, "/v1/chat/completions").await
+        }
+        RequestKind::Text { .. } => model::run(client, &job, &send, &core, "/v1/completions").await,
+        RequestKind::Plain {
             method,
             target,
             headers,
--- a/daemon/src/callers/completions.rs
+++ b/daemon/src/callers/completions.rs
@@ -9,7 +9,7 @@
 
 use super::{Shared, api_key, body, stream, whole};
 use crate::core::Submit;
-use crate::job::{Ask, Form};
+use crate::job::{CallerRequest, RequestKind};
 use crate::problem::Problem;
 
 /// Tokens of an answer for which the caller names no limit; a plan's rate is
@@ -60,9 +60,16 @@
     let key = api_key(request).ok_or_else(|| Problem::new(Code::NoCustomer))?;
     let body = body::read(payload, &shared.limits).await?;
     let (ask, streamed) = read(shared, &body, kind)?;
-    let form = ask.form.clone();
+    let form = ask.kind.clone();
     let prompt = ask.prompt;
-    let submit = shared.core.send(Submit { key, ask, id: None }).await;
+    let submit = shared
+        .core
+        .send(Submit {
+            key,
+            request: ask,
+            id: None,
+        })
+        .await;
     let answer = submit
         .map_err(|_closed| Problem::new(Code::Internal))?
         .map_err(Problem::new)?;
@@ -74,7 +81,7 @@
 }
 
 /// Reads a completion's body; returns what is asked and whether as a stream.
-fn read(shared: &Shared, body: &[u8], kind: Kind) -> Result<(Ask, bool), Problem> {
+fn read(shared: &Shared, body: &[u8], kind: Kind) -> Result<(CallerRequest, bool), Problem> {
     let bad = |detail: String| Problem::new(Code::BadBody).detail(detail);
     let mut value: Value = serde_json::from_slice(body).map_err(|e| bad(e.to_string()))?;
     let fields: Completion =
@@ -91,10 +98,10 @@
         .ok_or_else(|| Problem::new(Code::NoRoute).detail(format!("model: {:?}", fields.model)))?;
     value["stream"] = Value::Bool(true);
     let model = ModelId::from(fields.model.as_str());
-    let ask = Ask {
+    let ask = CallerRequest {
         service: service.id.clone(),
         route: model.clone(),
-        repeatable: true,
+        idempotent: true,
         blocks: prompt::blocks(prompt.as_bytes()),
         prompt: prompt::tokens(prompt.as_bytes()),
         answer: fields
@@ -102,9 +109,9 @@
             .or(fields.max_tokens)
             .unwrap_or(DEFAULT_TOKENS),
         deadline: Instant::now() + Duration::from_millis(service.deadline_ms),
-        form: match kind {
-            Kind::Chat => Form::Chat { model },
-            Kind::Text => Form::Text { model },
+        kind: match kind {
+            Kind::Chat => RequestKind::Chat { model },
+            Kind::Text => RequestKind::Text { model },
         },
         body: value.to_string().into(),
     };
--- a/daemon/src/callers/requests.rs
+++ b/daemon/src/callers/requests.rs
@@ -7,7 +7,7 @@
 use poplarvale_lib::{Code, RequestId, from_hex, issuer};
 
 use super::{Shared, api_key, forward, stream, whole};
-use crate::core::Find;
+use crate::core::FindAnswer;
 use crate::fleet::Where;
 use crate::problem::Problem;
 
@@ -54,7 +54,7 @@
 ) -> Result<HttpResponse, Problem> {
     let key = api_key(request).ok_or_else(|| Problem::new(Code::NoCustomer))?;
     let from = resume_from(request, id)?;
-    let found = shared.core.send(Find { key, id }).await;
+    let found = shared.core.send(FindAnswer { key, id }).await;
     let (answer, form) = found
         .map_err(|_closed| Problem::new(Code::Internal))?
         .map_err(Problem::new)?;
--- a/daemon/src/callers/services.rs
+++ b/daemon/src/callers/services.rs
@@ -9,10 +9,10 @@
 use xxhash_rust::xxh3::Xxh3;
 
 use super::{Shared, api_key, body, forward, whole};
-use crate::claims::{Begin, Outcome};
-use crate::core::{Submit, WhoIs};
+use crate::claims::{Outcome, SubmitKeyed};
+use crate::core::{Authenticate, Submit};
 use crate::headers::{pairs, passed};
-use crate::job::{Ask, Form};
+use crate::job::{CallerRequest, RequestKind};
 use crate::problem::Problem;
 
 pub(super) async fn call(
@@ -40,15 +40,15 @@
     let (service, route) = find(shared, service, request.method().as_str(), &path)
         .ok_or_else(|| Problem::new(Code::NoRoute).detail(request.path()))?;
     let body = body::read(payload, &shared.limits).await?;
-    let ask = Ask {
+    let ask = CallerRequest {
         service: service.id.clone(),
         route: format_compact!("{} {}", route.method, route.path),
-        repeatable: route.repeatable,
+        idempotent: route.repeatable,
         blocks: Vec::new(),
         prompt: 0,
         answer: 0,
         deadline: Instant::now() + Duration::from_millis(route.deadline_ms),
-        form: Form::Plain {
+        kind: RequestKind::Plain {
             method: request.method().as_str().into(),
             target: target(&path, request.query_string()),
             headers: passed(pairs(request.headers())),
@@ -56,12 +56,19 @@
         body,
     };
     let named = request.headers().get("idempotency-key");
-    if let (Some(claim), false) = (named, ask.repeatable) {
+    if let (Some(claim), false) = (named, ask.idempotent) {
         let claim = claim.to_str().ok().and_then(Key::parse);
         let claim = claim.ok_or_else(|| Problem::new(Code::BadKey))?;
         return once(shared, request, key, claim, ask).await;
     }
-    let submit = shared.core.send(Submit { key, ask, id: None }).await;
+    let submit = shared
+        .core
+        .send(Submit {
+            key,
+            request: ask,
+            id: None,
+        })
+        .await;
     let answer = submit
         .map_err(|_closed| Problem::new(Code::Internal))?
         .map_err(Problem::new)?;
@@ -74,20 +81,20 @@
     request: &HttpRequest,
     key: String,
     claim: Key,
-    ask: Ask,
+    ask: CallerRequest,
 ) -> Result<HttpResponse, Problem> {
     let internal = || Problem::new(Code::Internal);
-    let customer = shared.core.send(WhoIs(key.clone())).await;
+    let customer = shared.core.send(Authenticate(key.clone())).await;
     let customer = customer
         .map_err(|_closed| internal())?
         .map_err(Problem::new)?;
     let body = ask.body.clone();
-    let begin = Begin {
+    let begin = SubmitKeyed {
         key,
         digest: digest(request, &customer, &body),
         customer,
-        claim,
-        ask,
+        idempotency_key: claim,
+        request: ask,
         forwarded: forward::is_passed_on(request),
     };
     let outcome = shared
@@ -97,9 +104,9 @@
         .map_err(|_closed| internal())?;
     match outcome {
         Outcome::Running(answer) => whole::plain(shared, answer).await,
-        Outcome::Kept(answer) => Ok(whole::kept(answer)),
-        Outcome::Elsewhere(daemon) => forward::pass_on(daemon, request, body).await,
-        Outcome::Refused(refusal) => Err(Problem::refused(&refusal)),
+        Outcome::Replayed(answer) => Ok(whole::kept(answer)),
+        Outcome::Forward(daemon) => forward::pass_on(daemon, request, body).await,
+        Outcome::Rejected(refusal) => Err(Problem::refused(&refusal)),
     }
 }
 
--- a/daemon/src/callers/whole.rs
+++ b/daemon/src/callers/whole.rs
@@ -14,7 +14,7 @@
 use super::Shared;
 use super::stream::Reader;
 use crate::answer::{Answer, View};
-use crate::job::Form;
+use crate::job::RequestKind;
 use crate::problem::Problem;
 
 /// The text of all pieces and why it ended.
@@ -28,7 +28,7 @@
 pub(super) async fn completion(
     shared: &Shared,
     answer: Arc<Answer>,
-    form: &Form,
+    form: &RequestKind,
     prompt: u32,
 ) -> Result<HttpResponse, Problem> {
     let view = end(shared, &answer).await?;
@@ -43,9 +43,9 @@
     let mut response = HttpResponse::Ok();
     response.insert_header(("x-request-id", id.as_str()));
     Ok(match form {
-        Form::Text { model } => response.json(text_answer(id, model, text, usage)),
-        Form::Chat { model } => response.json(chat_answer(id, model, text, usage)),
-        Form::Plain { .. } => HttpResponse::InternalServerError().finish(),
+        RequestKind::Text { model } => response.json(text_answer(id, model, text, usage)),
+        RequestKind::Chat { model } => response.json(chat_answer(id, model, text, usage)),
+        RequestKind::Plain { .. } => HttpResponse::InternalServerError().finish(),
     })
 }
 
--- a/daemon/src/claims.rs
+++ b/daemon/src/claims.rs
@@ -29,8 +29,8 @@
 
 use crate::answer::{Answer, View};
 use crate::core::{Core, Submit};
-use crate::job::Ask;
-use crate::kinds::HOLDS;
+use crate::job::CallerRequest;
+use crate::kinds::INHERITED_KEYS;
 use crate::peers::{Client, Gossip, Put};
 use crate::platform::store::StoreClient;
 
@@ -47,18 +47,18 @@
     /// It runs; its answer as it grows.
     Running(Arc<Answer>),
     /// It ran before; the answer that was kept.
-    Kept(claims::Answer),
+    Replayed(claims::Answer),
     /// Another daemon has to do it.
-    Elsewhere(SocketAddr),
+    Forward(SocketAddr),
     /// It is refused.
-    Refused(Rejection),
+    Rejected(Rejection),
 }
 
 /// A caller that waits for its claim.
 struct Waiting {
     id: RequestId,
     key: String,
-    ask: Ask,
+    ask: CallerRequest,
     caller: oneshot::Sender<Outcome>,
 }
 
@@ -81,7 +81,7 @@
 
 /// Another daemon, as claims need it.
 #[derive(Clone, Debug)]
-pub(crate) struct Known {
+pub(crate) struct PeerDaemon {
     pub(crate) incarnation: Incarnation,
     /// Address for daemons.
     pub(crate) address: SocketAddr,
@@ -91,7 +91,7 @@
     pub(crate) holds: Vec<Incarnation>,
 }
 
-impl Row for Known {
+impl Row for PeerDaemon {
     type Id = Incarnation;
     fn id(&self) -> &Incarnation {
         &self.incarnation
@@ -104,7 +104,7 @@
     parts: Parts,
     inputs: Vec<Input>,
     waiting: Table<Waiting>,
-    daemons: Table<Known>,
+    daemons: Table<PeerDaemon>,
     count: u64,
 }
 
@@ -143,8 +143,8 @@
     fn carry_out(&mut self, command: Command, ctx: &mut Context<Self>) {
         match command {
             Command::Dispatch(permit) => self.dispatch(permit, ctx),
-            Command::Answer { request, answer } => self.tell(request, Outcome::Kept(answer)),
-            Command::Reject(refusal) => self.tell(refusal.request, Outcome::Refused(refusal)),
+            Command::Answer { request, answer } => self.tell(request, Outcome::Replayed(answer)),
+            Command::Reject(refusal) => self.tell(refusal.request, Outcome::Rejected(refusal)),
             Command::Forward { request, to } => self.forward(request, to),
             Command::Question { to, question } => self.ask(to, question, ctx),
             Command::Write { number, write } => {
@@ -187,8 +187,8 @@
     fn forward(&mut self, request: RequestId, to: Incarnation) {
         let address = self.daemons.get(&to).and_then(|daemon| daemon.callers);
         let outcome = match address {
-            Some(address) => Outcome::Elsewhere(address),
-            None => Outcome::Refused(Rejection {
+            Some(address) => Outcome::Forward(address),
+            None => Outcome::Rejected(Rejection {
                 request,
                 code: Code::NoClaim,
                 ran: Ran::No,
@@ -209,7 +209,7 @@
         let run = async move {
             let submit = Submit {
                 key: waiting.key,
-                ask: waiting.ask,
+                request: waiting.ask,
                 id: Some(permit.request()),
             };
             let end = match core.send(submit).await {
@@ -220,7 +220,7 @@
                 }
                 Ok(Err(why)) => {
                     let refusal = refusal(permit.request(), why);
-                    let _ = waiting.caller.send(Outcome::Refused(refusal));
+                    let _ = waiting.caller.send(Outcome::Rejected(refusal));
                     RunResult::Unsent
                 }
                 Err(_closed) => RunResult::Unsent,
@@ -246,7 +246,7 @@
     fn tell_holds(&self) {
         let holds = self.claimer.inherited_issuers();
         self.parts.gossip.do_send(Put {
-            kind: HOLDS,
+            kind: INHERITED_KEYS,
             name: "".into(),
             value: holds.iter().flat_map(|id| id.to_be_bytes()).collect(),
         });
@@ -296,45 +296,45 @@
 /// A caller's request with a key.
 #[derive(Debug, Message)]
 #[rtype(result = "Outcome")]
-pub(crate) struct Begin {
+pub(crate) struct SubmitKeyed {
     /// API key.
     pub(crate) key: String,
     /// Customer that the API key belongs to.
     pub(crate) customer: CustomerId,
     /// Idempotency key.
-    pub(crate) claim: Key,
+    pub(crate) idempotency_key: Key,
     /// Digest of body and route.
     pub(crate) digest: u128,
     /// What is asked.
-    pub(crate) ask: Ask,
+    pub(crate) request: CallerRequest,
     /// Whether another daemon passed it on.
     pub(crate) forwarded: bool,
 }
 
-impl Handler<Begin> for Claims {
+impl Handler<SubmitKeyed> for Claims {
     type Result = ResponseFuture<Outcome>;
 
-    fn handle(&mut self, msg: Begin, ctx: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, msg: SubmitKeyed, ctx: &mut Self::Context) -> Self::Result {
         self.count += 1;
         let id = joined(self.parts.incarnation, CLAIMED | self.count);
         let ask = claims::KeyedRequest {
             id,
             customer: msg.customer,
-            key: msg.claim,
+            key: msg.idempotency_key,
             digest: msg.digest,
-            deadline: msg.ask.deadline,
+            deadline: msg.request.deadline,
             forwarded: msg.forwarded,
         };
         let (caller, outcome) = oneshot::channel();
         self.waiting.insert(Waiting {
             id,
             key: msg.key,
-            ask: msg.ask,
+            ask: msg.request,
             caller,
         });
         self.take(Input::Begin(ask), ctx);
         Box::pin(async move {
-            let refused = |_stopped| Outcome::Refused(refusal(id, Code::Draining));
+            let refused = |_stopped| Outcome::Rejected(refusal(id, Code::Draining));
             outcome.await.unwrap_or_else(refused)
         })
     }
@@ -343,12 +343,12 @@
 /// Issues a key to a customer; none once this daemon is leaving.
 #[derive(Clone, Debug, Message)]
 #[rtype(result = "Option<Key>")]
-pub(crate) struct Issue(pub(crate) CustomerId);
+pub(crate) struct IssueKey(pub(crate) CustomerId);
 
-impl Handler<Issue> for Claims {
+impl Handler<IssueKey> for Claims {
     type Result = Option<Key>;
 
-    fn handle(&mut self, msg: Issue, _: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, msg: IssueKey, _: &mut Self::Context) -> Self::Result {
         self.claimer.issue(&msg.0)
     }
 }
@@ -356,12 +356,12 @@
 /// Another daemon's question about a claim of this one.
 #[derive(Clone, Debug, Message)]
 #[rtype(result = "Reply")]
-pub(crate) struct Asked(pub(crate) Question);
+pub(crate) struct AnswerQuestion(pub(crate) Question);
 
-impl Handler<Asked> for Claims {
-    type Result = actix::MessageResult<Asked>;
+impl Handler<AnswerQuestion> for Claims {
+    type Result = actix::MessageResult<AnswerQuestion>;
 
-    fn handle(&mut self, msg: Asked, _: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, msg: AnswerQuestion, _: &mut Self::Context) -> Self::Result {
         actix::MessageResult(self.claimer.reply(&msg.0))
     }
 }
@@ -388,7 +388,7 @@
 /// The live daemons, without this one.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
-pub(crate) struct SetDaemons(pub(crate) Vec<Known>);
+pub(crate) struct SetDaemons(pub(crate) Vec<PeerDaemon>);
 
 impl Handler<SetDaemons> for Claims {
     type Result = ();
@@ -420,12 +420,12 @@
 /// Gives the key spaces to another daemon, once nothing runs any more.
 #[derive(Clone, Copy, Debug, Message)]
 #[rtype(result = "()")]
-pub(crate) struct Leave;
+pub(crate) struct HandOverKeys;
 
-impl Handler<Leave> for Claims {
+impl Handler<HandOverKeys> for Claims {
     type Result = ResponseFuture<()>;
 
-    fn handle(&mut self, _: Leave, _: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, _: HandOverKeys, _: &mut Self::Context) -> Self::Result {
         // Daemons with the same peers choose differently, so that one successor
         // does not inherit a whole zone's keys.
         let at = fastrand::usize(..self.daemons.len().max(1));
--- a/daemon/src/config.rs
+++ b/daemon/src/config.rs
@@ -24,10 +24,10 @@
 use tokio::sync::oneshot;
 
 use crate::core::{Core, Report};
-use crate::kinds::FRESH;
+use crate::health::Ready;
+use crate::kinds::LISTS_FRESH;
 use crate::peers::{Client, Gossip, Put};
 use crate::platform::store::StoreClient;
-use crate::probes::Ready;
 
 /// Longest time between two ticks of the keeper.
 const TICK: Duration = Duration::from_millis(100);
@@ -90,7 +90,7 @@
         }
         if self.told + FRESH_GAP <= now {
             self.told = now;
-            self.tell(FRESH, now);
+            self.tell(LISTS_FRESH, now);
         }
     }
 
--- a/daemon/src/core.rs
+++ b/daemon/src/core.rs
@@ -21,17 +21,17 @@
 };
 
 pub use messages::{
-    Abandoned, AreFresh, Drain, DumpTable, Engine, EnginesOf, Find, FleetOf, GetLists, GetStatus,
-    IsIdle, PutError, PutLists, Report, SharesOf, Submit, TablesOf, WhoIs,
+    Abandoned, Authenticate, Drain, DumpTable, Engine, FindAnswer, GetEngines, GetFleet, GetLists,
+    GetShares, GetStatus, GetTables, IsIdle, MoveFreshness, PutError, PutLists, Report, Submit,
 };
 
 use kept::Kept;
 
 use crate::answer::Answer;
 use crate::attempt::{self, Carry, Clients, Earlier};
-use crate::job::{Ask, Form, Job};
+use crate::job::{CallerRequest, Job, RequestKind};
 use crate::metrics::Metrics;
-use crate::moves::{Act, Moves};
+use crate::moves::{Moves, PerformAction};
 
 /// Longest time between two ticks: deadlines are met to within it.
 const TICK: Duration = Duration::from_millis(50);
@@ -133,7 +133,7 @@
             }
             Command::Move { service, action } => {
                 if let Some(moves) = &self.moves {
-                    moves.do_send(Act { service, action });
+                    moves.do_send(PerformAction { service, action });
                 }
             }
             Command::Finish { request, ending } => self.finish(request, ending),
@@ -187,7 +187,7 @@
     fn submit(
         &mut self,
         key: &str,
-        ask: Ask,
+        ask: CallerRequest,
         id: Option<RequestId>,
         ctx: &mut Context<Self>,
     ) -> Result<Arc<Answer>, Code> {
@@ -196,14 +196,14 @@
             self.requests += 1;
             joined(self.world.setup.incarnation, self.requests)
         });
-        let model = ask.form.model().cloned();
+        let model = ask.kind.model().cloned();
         let order = Order {
             id,
             customer: customer.clone(),
             service: ask.service,
             route: ask.route,
             model,
-            idempotent: ask.repeatable,
+            idempotent: ask.idempotent,
             blocks: ask.blocks,
             prompt: ask.prompt,
             answer: ask.answer,
@@ -214,7 +214,7 @@
         let answer = Arc::new(Answer::new(id, customer, most));
         self.jobs.insert(Job {
             id,
-            form: Arc::new(ask.form),
+            kind: Arc::new(ask.kind),
             body: ask.body,
             answer: Arc::clone(&answer),
         });
@@ -236,14 +236,14 @@
         }
     }
 
-    fn find(&self, key: &str, id: RequestId) -> Result<(Arc<Answer>, Arc<Form>), Code> {
+    fn find(&self, key: &str, id: RequestId) -> Result<(Arc<Answer>, Arc<RequestKind>), Code> {
         let customer = self.who_is(key)?;
         let job = self.jobs.get(&id).ok_or(Code::NoRequest)?;
         // Another customer learns nothing, not even that the id exists.
         if job.answer.customer != customer {
             return Err(Code::NoRequest);
         }
-        Ok((Arc::clone(&job.answer), Arc::clone(&job.form)))
+        Ok((Arc::clone(&job.answer), Arc::clone(&job.kind)))
     }
 
     /// Nothing runs and nobody reads.
@@ -289,22 +289,22 @@
     type Result = Result<Arc<Answer>, Code>;
 
     fn handle(&mut self, msg: Submit, ctx: &mut Context<Self>) -> Self::Result {
-        self.submit(&msg.key, msg.ask, msg.id, ctx)
+        self.submit(&msg.key, msg.request, msg.id, ctx)
     }
 }
 
-impl Handler<WhoIs> for Core {
+impl Handler<Authenticate> for Core {
     type Result = Result<CustomerId, Code>;
 
-    fn handle(&mut self, msg: WhoIs, _: &mut Context<Self>) -> Self::Result {
+    fn handle(&mut self, msg: Authenticate, _: &mut Context<Self>) -> Self::Result {
         self.who_is(&msg.0)
     }
 }
 
-impl Handler<Find> for Core {
-    type Result = Result<(Arc<Answer>, Arc<Form>), Code>;
+impl Handler<FindAnswer> for Core {
+    type Result = Result<(Arc<Answer>, Arc<RequestKind>), Code>;
 
-    fn handle(&mut self, msg: Find, _: &mut Context<Self>) -> Self::Result {
+    fn handle(&mut self, msg: FindAnswer, _: &mut Context<Self>) -> Self::Result {
         self.find(&msg.key, msg.id)
     }
 }
--- a/daemon/src/core/messages.rs
+++ b/daemon/src/core/messages.rs
@@ -14,7 +14,7 @@
 use serde_json::Value;
 
 use crate::answer::Answer;
-use crate::job::{Ask, Form};
+use crate::job::{CallerRequest, RequestKind};
 
 /// A caller's request.
 #[derive(Debug, Message)]
@@ -23,7 +23,7 @@
     /// API key.
     pub key: String,
     /// What is asked.
-    pub ask: Ask,
+    pub request: CallerRequest,
     /// Id that was given out for it already.
     pub id: Option<RequestId>,
 }
@@ -31,12 +31,12 @@
 /// Customer that an API key belongs to.
 #[derive(Clone, Debug, Message)]
 #[rtype(result = "Result<CustomerId, Code>")]
-pub struct WhoIs(pub String);
+pub struct Authenticate(pub String);
 
 /// A caller comes back for an answer.
 #[derive(Debug, Message)]
-#[rtype(result = "Result<(Arc<Answer>, Arc<Form>), Code>")]
-pub struct Find {
+#[rtype(result = "Result<(Arc<Answer>, Arc<RequestKind>), Code>")]
+pub struct FindAnswer {
     /// API key.
     pub key: String,
     /// Request.
@@ -85,12 +85,12 @@
 /// Model engines of an availability zone.
 #[derive(Clone, Debug, Message)]
 #[rtype(result = "Vec<Engine>")]
-pub struct EnginesOf(pub ZoneId);
+pub struct GetEngines(pub ZoneId);
 
 /// What this daemon claims of customers' limits.
 #[derive(Clone, Copy, Debug, Message)]
 #[rtype(result = "Vec<ShareRow>")]
-pub struct SharesOf;
+pub struct GetShares;
 
 /// State in short.
 #[derive(Clone, Copy, Debug, Message)]
@@ -117,7 +117,7 @@
 pub enum PutError {
     /// The lists do not pass their checks.
     #[error("the lists do not pass their checks")]
-    Mistakes(Vec<ValidationError>),
+    Invalid(Vec<ValidationError>),
     /// Another edit came first.
     #[error("the lists are at revision {current} already")]
     Conflict {
@@ -129,17 +129,17 @@
 /// Services with a move on record, and whether this daemon's news of it are fresh.
 #[derive(Clone, Copy, Debug, Message)]
 #[rtype(result = "Vec<(ServiceId, bool)>")]
-pub struct AreFresh;
+pub struct MoveFreshness;
 
 /// What runs of a service, seen from a move to a version; none if nothing does.
 #[derive(Clone, Debug, Message)]
 #[rtype(result = "Option<moves::ask::Fleet>")]
-pub struct FleetOf(pub ServiceId, pub VersionId);
+pub struct GetFleet(pub ServiceId, pub VersionId);
 
 /// Names of the tables.
 #[derive(Clone, Copy, Debug, Message)]
 #[rtype(result = "Vec<&'static str>")]
-pub struct TablesOf;
+pub struct GetTables;
 
 /// Rows of a table with their ids; none if there is no such table.
 #[derive(Clone, Debug, Message)]
--- a/daemon/src/core/views.rs
+++ b/daemon/src/core/views.rs
@@ -13,8 +13,8 @@
 
 use super::Core;
 use super::messages::{
-    AreFresh, DumpTable, Engine, EnginesOf, FleetOf, GetLists, GetStatus, IsIdle, PutError,
-    PutLists, SharesOf, TablesOf,
+    DumpTable, Engine, GetEngines, GetFleet, GetLists, GetShares, GetStatus, GetTables, IsIdle,
+    MoveFreshness, PutError, PutLists,
 };
 
 impl Core {
@@ -113,7 +113,7 @@
     fn handle(&mut self, msg: PutLists, ctx: &mut Context<Self>) -> Self::Result {
         let mistakes = msg.lists.check();
         if !mistakes.is_empty() {
-            return Err(PutError::Mistakes(mistakes));
+            return Err(PutError::Invalid(mistakes));
         }
         let current = self.world.revision;
         if msg.base != current {
@@ -140,10 +140,10 @@
     }
 }
 
-impl Handler<EnginesOf> for Core {
-    type Result = MessageResult<EnginesOf>;
+impl Handler<GetEngines> for Core {
+    type Result = MessageResult<GetEngines>;
 
-    fn handle(&mut self, msg: EnginesOf, _: &mut Context<Self>) -> Self::Result {
+    fn handle(&mut self, msg: GetEngines, _: &mut Context<Self>) -> Self::Result {
         let services = &self.world.services;
         let is_model = |id| {
             services
@@ -159,19 +159,19 @@
     }
 }
 
-impl Handler<SharesOf> for Core {
-    type Result = MessageResult<SharesOf>;
+impl Handler<GetShares> for Core {
+    type Result = MessageResult<GetShares>;
 
-    fn handle(&mut self, _: SharesOf, _: &mut Context<Self>) -> Self::Result {
+    fn handle(&mut self, _: GetShares, _: &mut Context<Self>) -> Self::Result {
         let world = &self.world;
         MessageResult(world.load.shares.rows(world.setup.incarnation))
     }
 }
 
-impl Handler<TablesOf> for Core {
-    type Result = MessageResult<TablesOf>;
+impl Handler<GetTables> for Core {
+    type Result = MessageResult<GetTables>;
 
-    fn handle(&mut self, _: TablesOf, _: &mut Context<Self>) -> Self::Result {
+    fn handle(&mut self, _: GetTables, _: &mut Context<Self>) -> Self::Result {
         MessageResult(TABLES.to_vec())
     }
 }
@@ -184,20 +184,20 @@
     }
 }
 
-impl Handler<AreFresh> for Core {
-    type Result = MessageResult<AreFresh>;
+impl Handler<MoveFreshness> for Core {
+    type Result = MessageResult<MoveFreshness>;
 
-    fn handle(&mut self, _: AreFresh, _: &mut Context<Self>) -> Self::Result {
+    fn handle(&mut self, _: MoveFreshness, _: &mut Context<Self>) -> Self::Result {
         let now = Instant::now();
         let moves = self.world.moves.iter();
         MessageResult(moves.map(|m| (m.id().clone(), m.is_fresh(now))).collect())
     }
 }
 
-impl Handler<FleetOf> for Core {
+impl Handler<GetFleet> for Core {
     type Result = Option<Fleet>;
 
-    fn handle(&mut self, msg: FleetOf, _: &mut Context<Self>) -> Self::Result {
+    fn handle(&mut self, msg: GetFleet, _: &mut Context<Self>) -> Self::Result {
         self.fleet(&msg.0, &msg.1)
     }
 }
--- a/daemon/src/fleet.rs
+++ b/daemon/src/fleet.rs
@@ -17,11 +17,11 @@
 use poplarvale_lib::{config, routing};
 use prost::Message as _;
 
-use crate::claims::{Claims, Known, SetDaemons};
+use crate::claims::{Claims, PeerDaemon, SetDaemons};
 use crate::config::{Config, Hear};
 use crate::core::{Core, Report};
 use crate::hosts::{self, Hosts};
-use crate::kinds::{CALLERS, FRESH, HOLDS, LOAD};
+use crate::kinds::{CALLERS, INHERITED_KEYS, LISTS_FRESH, LOAD};
 use crate::moves::{self, Moves};
 use crate::peers::{Changed, Gossip, Live, Put};
 use crate::probe;
@@ -98,12 +98,12 @@
             Change::Put { origin, key, value } => {
                 self.put(origin, &key, &value);
                 if let Some(moves) = &self.moves {
-                    moves.do_send(moves::Heard(Change::Put { origin, key, value }));
+                    moves.do_send(moves::PeerRow(Change::Put { origin, key, value }));
                 }
             }
             Change::Removed { origin, key } => {
                 if key.kind == Kind::DEMAND.number {
-                    let row = shares::withdrawn(&key.name, origin);
+                    let row = shares::empty_row(&key.name, origin);
                     self.core.do_send(Report(Input::Share(row)));
                 }
             }
@@ -117,9 +117,9 @@
         if number == CALLERS.number {
             let row = Callers::decode(value).unwrap_or_default();
             self.daemon(origin).callers = row.address.parse().ok();
-        } else if number == Kind::REVISION.number || number == FRESH.number {
+        } else if number == Kind::REVISION.number || number == LISTS_FRESH.number {
             self.adopted(origin, &Adopted::decode(value).unwrap_or_default());
-        } else if number == HOLDS.number {
+        } else if number == INHERITED_KEYS.number {
             let ids = value.as_chunks().0;
             let ids = ids.iter().map(|id| Incarnation::from_be_bytes(*id));
             self.daemon(origin).holds = ids.collect();
@@ -134,7 +134,7 @@
             let endpoint = key.name.clone();
             if let Some(hosts) = &self.hosts {
                 let endpoint = endpoint.clone();
-                hosts.do_send(hosts::Heard { endpoint, until });
+                hosts.do_send(hosts::PeerNotice { endpoint, until });
             }
             self.core
                 .do_send(Report(Input::Leaving { endpoint, until }));
@@ -157,7 +157,7 @@
         let Ok(row) = LoadRow::decode(value) else {
             return;
         };
-        let report = probe::report(&key.name, Instant::now(), &row);
+        let report = probe::load_report(&key.name, Instant::now(), &row);
         let event = routing::Event::Load(report);
         self.core.do_send(Report(Input::Routing(event)));
     }
@@ -225,7 +225,7 @@
         let others = self.live.iter().filter(|peer| peer.incarnation != self.me);
         let known = others.map(|peer| {
             let daemon = self.daemons.get(&peer.incarnation);
-            Known {
+            PeerDaemon {
                 incarnation: peer.incarnation,
                 address: peer.address,
                 callers: daemon.and_then(|daemon| daemon.callers),
--- a/daemon/src/hosts.rs
+++ b/daemon/src/hosts.rs
@@ -188,18 +188,18 @@
 /// Another daemon told of a notice.
 #[derive(Clone, Debug, Message)]
 #[rtype(result = "()")]
-pub(crate) struct Heard {
+pub(crate) struct PeerNotice {
     /// Endpoint.
     pub(crate) endpoint: EndpointId,
     /// When it will be gone.
     pub(crate) until: Instant,
 }
 
-impl Handler<Heard> for Hosts {
+impl Handler<PeerNotice> for Hosts {
     type Result = ();
 
-    fn handle(&mut self, msg: Heard, _: &mut Self::Context) {
-        let Heard { endpoint, until } = msg;
+    fn handle(&mut self, msg: PeerNotice, _: &mut Self::Context) {
+        let PeerNotice { endpoint, until } = msg;
         if !self.notices.contains(&endpoint) {
             self.notices.insert(Notice {
                 endpoint,
--- a/daemon/src/job.rs
+++ b/daemon/src/job.rs
@@ -11,13 +11,13 @@
 
 /// A caller's request, read and checked against the settings.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct CallerRequest {
     /// Service that is to answer.
     pub service: ServiceId,
     /// Route of a plain service, as `METHOD path`, or the model.
     pub route: CompactString,
     /// Whether running it twice does the same as once.
-    pub repeatable: bool,
+    pub idempotent: bool,
     /// Hash chain over the prompt's blocks.
     pub blocks: Vec<u64>,
     /// Tokens of the prompt.
@@ -27,14 +27,14 @@
     /// When the answer must be complete.
     pub deadline: Instant,
     /// What goes to the endpoint.
-    pub form: Form,
+    pub kind: RequestKind,
     /// Body for the endpoint.
     pub body: Bytes,
 }
 
 /// How an endpoint is asked.
 #[derive(Clone, Debug)]
-pub enum Form {
+pub enum RequestKind {
     /// Chat completion.
     Chat {
         /// Model asked.
@@ -56,7 +56,7 @@
     },
 }
 
-impl Form {
+impl RequestKind {
     /// Model asked, for model services.
     pub fn model(&self) -> Option<&ModelId> {
         match self {
@@ -70,7 +70,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Job {
     pub(crate) id: RequestId,
-    pub(crate) form: Arc<Form>,
+    pub(crate) kind: Arc<RequestKind>,
     pub(crate) body: Bytes,
     pub(crate) answer: Arc<Answer>,
 }
--- a/daemon/src/moves.rs
+++ b/daemon/src/moves.rs
@@ -26,7 +26,7 @@
 use poplarvale_lib::{Incarnation, Input, Revision, ServiceId, config, from_hex, hex};
 use prost::Message as _;
 
-use crate::core::{AreFresh, Core, Report};
+use crate::core::{Core, MoveFreshness, Report};
 use crate::kinds;
 use crate::peers::{Gossip, Put};
 use crate::platform::store::StoreClient;
@@ -139,13 +139,13 @@
         if self.records.is_empty() {
             return;
         }
-        let asked = self.parts.core.send(AreFresh).into_actor(self);
+        let asked = self.parts.core.send(MoveFreshness).into_actor(self);
         ctx.spawn(asked.map(|services, moves, _| {
             for (service, fresh) in services.unwrap_or_default() {
                 moves.count += 1;
                 let count = moves.count;
                 let row = NewsRow { fresh, count };
-                moves.put(kinds::NEWS, &service, row.encode_to_vec());
+                moves.put(kinds::MOVE_FRESHNESS, &service, row.encode_to_vec());
             }
         }));
     }
@@ -321,7 +321,7 @@
                 let revision = row.revision;
                 self.adopt(&Stored { revision, record });
             }
-        } else if key.kind == kinds::NEWS.number {
+        } else if key.kind == kinds::MOVE_FRESHNESS.number {
             let fresh = NewsRow::decode(value)?.fresh;
             self.tell(&key.name, Event::Exchanged(Source::Peer { fresh }));
         } else if key.kind == Kind::VERDICT.number {
@@ -400,15 +400,15 @@
 /// What the core decided for the move of a service.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
-pub(crate) struct Act {
+pub(crate) struct PerformAction {
     pub(crate) service: ServiceId,
     pub(crate) action: Action,
 }
 
-impl Handler<Act> for Moves {
+impl Handler<PerformAction> for Moves {
     type Result = ();
 
-    fn handle(&mut self, msg: Act, ctx: &mut Self::Context) {
+    fn handle(&mut self, msg: PerformAction, ctx: &mut Self::Context) {
         self.act(&msg.service, msg.action, ctx);
     }
 }
@@ -416,12 +416,12 @@
 /// A row of another daemon.
 #[derive(Clone, Debug, Message)]
 #[rtype(result = "()")]
-pub(crate) struct Heard(pub(crate) Change);
+pub(crate) struct PeerRow(pub(crate) Change);
 
-impl Handler<Heard> for Moves {
+impl Handler<PeerRow> for Moves {
     type Result = ();
 
-    fn handle(&mut self, msg: Heard, _: &mut Self::Context) {
+    fn handle(&mut self, msg: PeerRow, _: &mut Self::Context) {
         if let Change::Put { key, value, .. } = msg.0 {
             self.row(&key, &value);
         }
--- a/daemon/src/moves/ask.rs
+++ b/daemon/src/moves/ask.rs
@@ -10,7 +10,7 @@
 use poplarvale_lib::{Code, Revision, ServiceId, from_hex, hex};
 
 use super::{Moves, key, put_record, stored, wall};
-use crate::core::{Core, FleetOf};
+use crate::core::{Core, GetFleet};
 use crate::platform::store::StoreClient;
 
 /// Why an operator's wish was not done.
@@ -101,7 +101,7 @@
         to: wish.to.as_str().into(),
         finish: wall() + wish.within_s.saturating_mul(1_000),
     };
-    let counts = core.send(FleetOf(service.clone(), ask.to.clone())).await;
+    let counts = core.send(GetFleet(service.clone(), ask.to.clone())).await;
     let counts = counts.ok().flatten();
     let counts = counts.ok_or_else(|| bad("there is no such service with endpoints"))?;
     for _ in 0..TRIES {
--- a/daemon/src/operators/dump.rs
+++ b/daemon/src/operators/dump.rs
@@ -5,11 +5,11 @@
 use serde_json::{Map, Value};
 
 use super::Shared;
-use crate::core::{DumpTable, TablesOf};
+use crate::core::{DumpTable, GetTables};
 use crate::problem::Problem;
 
 pub(super) async fn tables(shared: web::Data<Shared>) -> HttpResponse {
-    match shared.core.send(TablesOf).await {
+    match shared.core.send(GetTables).await {
         Ok(tables) => HttpResponse::Ok().json(tables),
         Err(_) => Problem::new(Code::Internal).response(),
     }
--- a/daemon/src/operators/lists.rs
+++ b/daemon/src/operators/lists.rs
@@ -113,7 +113,7 @@
 
 fn refused(error: PutError) -> Problem {
     match error {
-        PutError::Mistakes(mistakes) => Problem::new(Code::BadLists).detail(lines(&mistakes)),
+        PutError::Invalid(mistakes) => Problem::new(Code::BadLists).detail(lines(&mistakes)),
         PutError::Conflict { .. } => Problem::new(Code::Conflict).detail(error.to_string()),
     }
 }
--- a/daemon/src/peers/server.rs
+++ b/daemon/src/peers/server.rs
@@ -18,7 +18,7 @@
 use tokio::task::{JoinHandle, JoinSet};
 use tokio::time::timeout;
 
-use crate::claims::{Asked, Call, Claims, TakeOver};
+use crate::claims::{AnswerQuestion, Call, Claims, TakeOver};
 use crate::config::{AskLists, Config};
 use crate::peers::actor::{Ask, Receive, Settle};
 use crate::peers::service::Peers;
@@ -207,7 +207,7 @@
         let call = serde_json::from_slice(&call).map_err(|_error| Code::BadExchange)?;
         let reply = match call {
             Call::Ask(question) => {
-                let reply = claims.send(Asked(question)).await;
+                let reply = claims.send(AnswerQuestion(question)).await;
                 serde_json::to_vec(&reply.map_err(|_stopped| Code::Draining)?)
             }
             Call::TakeOver(space) => {
--- a/daemon/src/probe.rs
+++ b/daemon/src/probe.rs
@@ -17,7 +17,7 @@
 mod duty;
 mod wire;
 
-pub(crate) use wire::report;
+pub(crate) use wire::load_report;
 
 use std::time::{Duration, Instant};
 
@@ -30,11 +30,11 @@
 use poplarvale_lib::{EndpointId, Incarnation, Input, Table, ZoneId};
 use prost::Message as _;
 
-use crate::core::{Core, Engine, EnginesOf, Report};
+use crate::core::{Core, Engine, GetEngines, Report};
 use crate::kinds::LOAD;
 use crate::peers::{Gossip, Live, Put, Remove};
 use duty::{Duty, is_mine};
-use wire::{Asked, ask};
+use wire::{PollResult, ask};
 
 /// Time between two questions to an engine. Routing makes up for a report's age
 /// by own sendings, but knows of the others' only by the next report; the peak is
@@ -85,7 +85,7 @@
         let gossip = self.parts.gossip.clone();
         let zone = self.parts.zone.clone();
         let looked = async move {
-            let engines = core.send(EnginesOf(zone)).await.unwrap_or_default();
+            let engines = core.send(GetEngines(zone)).await.unwrap_or_default();
             let live = gossip.send(Live).await.unwrap_or_default();
             (engines, live)
         };
@@ -129,7 +129,7 @@
         }
     }
 
-    fn ask_all(&self) -> impl Future<Output = Vec<Option<Asked>>> + use<> {
+    fn ask_all(&self) -> impl Future<Output = Vec<Option<PollResult>>> + use<> {
         let asked: Vec<_> = self
             .duties
             .iter()
@@ -138,7 +138,7 @@
         join_all(asked)
     }
 
-    fn note(&mut self, asked: Asked, ctx: &mut Context<Self>) {
+    fn note(&mut self, asked: PollResult, ctx: &mut Context<Self>) {
         let Some(duty) = self.duties.get_mut(&asked.endpoint) else {
             return;
         };
@@ -179,7 +179,7 @@
 }
 
 fn load(endpoint: &EndpointId, now: Instant, load: &EngineLoad) -> Input {
-    Input::Routing(Event::Load(report(endpoint, now, &wire::row(load))))
+    Input::Routing(Event::Load(load_report(endpoint, now, &wire::row(load))))
 }
 
 impl Actor for Probe {
--- a/daemon/src/probe/wire.rs
+++ b/daemon/src/probe/wire.rs
@@ -11,10 +11,10 @@
 use super::duty::Duty;
 
 /// Largest answer with events: some thousands of them.
-const MOST_ANSWER: usize = 1 << 20;
+const MAX_ANSWER_BYTES: usize = 1 << 20;
 
 /// Answers of an engine.
-pub(super) struct Asked {
+pub(super) struct PollResult {
     pub(super) endpoint: EndpointId,
     /// When the load came.
     pub(super) at: Instant,
@@ -24,17 +24,17 @@
 
 /// Asks an engine; none if it does not answer. Load without events is worth
 /// having, so events that do not come count as none for now.
-pub(super) async fn ask(client: Client, duty: Duty) -> Option<Asked> {
+pub(super) async fn ask(client: Client, duty: Duty) -> Option<PollResult> {
     let url = |path: &str| format!("http://{}{path}", duty.address);
     let mut answer = client.get(url("/load")).send().await.ok()?;
-    let load: EngineLoad = answer.json().limit(MOST_ANSWER).await.ok()?;
+    let load: EngineLoad = answer.json().limit(MAX_ANSWER_BYTES).await.ok()?;
     let at = Instant::now();
     let path = format!("/cache/events?after={}", duty.after(load.epoch));
     let changes = match client.get(url(&path)).send().await {
-        Ok(mut answer) => answer.json().limit(MOST_ANSWER).await.ok(),
+        Ok(mut answer) => answer.json().limit(MAX_ANSWER_BYTES).await.ok(),
         Err(_) => None,
     };
-    Some(Asked {
+    Some(PollResult {
         endpoint: duty.id,
         at,
         load,
@@ -57,7 +57,7 @@
 
 /// What a row that comes at a time says of an endpoint. A row is a round or two
 /// of gossip under way, which its age leaves out.
-pub(crate) fn report(endpoint: &EndpointId, now: Instant, row: &LoadRow) -> LoadReport {
+pub(crate) fn load_report(endpoint: &EndpointId, now: Instant, row: &LoadRow) -> LoadReport {
     let age = Duration::from_millis(row.age_ms.into());
     LoadReport {
         endpoint: endpoint.clone(),
--- a/daemon/src/run.rs
+++ b/daemon/src/run.rs
@@ -18,6 +18,7 @@
 use crate::config::{self, Config};
 use crate::core::{self, Core, Drain, IsIdle};
 use crate::fleet::{self, Fleet};
+use crate::health::{self, Ready};
 use crate::hosts::{self, Hosts};
 use crate::metrics::Metrics;
 use crate::moves::{self, Moves};
@@ -25,7 +26,6 @@
 use crate::platform::hosts::HostsClient;
 use crate::platform::store::StoreClient;
 use crate::probe::{self, Probe};
-use crate::probes::{self, Ready};
 use crate::shares::Shares;
 use crate::start::{read_lists, read_token};
 use crate::{callers, operators};
@@ -122,7 +122,7 @@
     });
     joined.claims.do_send(claims::Freeze);
     drained(&core).await;
-    if joined.claims.send(claims::Leave).await.is_err() {
+    if joined.claims.send(claims::HandOverKeys).await.is_err() {
         log::warn!("daemon: the claimer stopped early.");
     }
     serving.stop(true).await;
@@ -301,7 +301,7 @@
         App::new()
             .app_data(data.clone())
             .app_data(ready.clone())
-            .configure(probes::routes)
+            .configure(health::routes)
             .configure(callers::routes)
     };
     let server = HttpServer::new(app)
@@ -332,7 +332,7 @@
             .app_data(data.clone())
             .app_data(ready.clone())
             .app_data(web::PayloadConfig::new(8 << 20))
-            .configure(probes::routes)
+            .configure(health::routes)
             .configure(operators::routes)
     };
     let server = HttpServer::new(app)
--- a/daemon/src/shares.rs
+++ b/daemon/src/shares.rs
@@ -16,7 +16,7 @@
 use poplarvale_lib::{CustomerId, Incarnation};
 use prost::Message as _;
 
-use crate::core::{Core, SharesOf};
+use crate::core::{Core, GetShares};
 use crate::peers::{Gossip, Put, Remove};
 
 /// Time between two rounds: gossip carries rows no faster.
@@ -84,7 +84,7 @@
 impl Round {
     /// Writes the rows; returns the customers that have one now.
     async fn run(self) -> Vec<CustomerId> {
-        let rows = self.core.send(SharesOf).await.unwrap_or_default();
+        let rows = self.core.send(GetShares).await.unwrap_or_default();
         let mut names: Vec<CustomerId> = Vec::with_capacity(rows.len());
         let mut whole = true;
         for row in rows {
@@ -155,7 +155,7 @@
 }
 
 /// Row of a writer that neither asks for anything nor claims it.
-pub(crate) fn withdrawn(customer: &CustomerId, writer: Incarnation) -> ShareRow {
+pub(crate) fn empty_row(customer: &CustomerId, writer: Incarnation) -> ShareRow {
     ShareRow {
         customer: customer.clone(),
         incarnation: writer,
