--- a/daemon/src/claims.rs
+++ b/daemon/src/claims.rs
@@ -1,10 +1,9 @@
-//! The actor that lets requests with an idempotency key run at most once.
+//! The actor that runs requests with an idempotency key at most once.
 //!
-//! Which key may be dispatched is decided by `poplarvale_lib::claims`; here its
-//! commands become calls of the key-value service, of other daemons and of the
-//! core. A request is claimed before the core sees it. From its dispatch on the
-//! actor waits for the end itself, so that a caller who goes away can't leave a
-//! claim without one.
+//! `poplarvale_lib::claims` decides which key may be dispatched. The actor executes its commands as
+//! calls to the key-value service, to other daemons and to the core. A key is claimed before the
+//! core receives the request. After the dispatch the actor itself waits for the request to end, so
+//! that a claim gets its result even if the caller disconnects.
 
 mod peer;
 
@@ -36,59 +35,59 @@
 
 /// Longest time between two ticks.
 const TICK: Duration = Duration::from_millis(20);
-/// Bit that keeps the ids given out here apart from the core's own count.
-const CLAIMED: u64 = 1 << 63;
-/// Times that a hand-over is sent to the successor.
-const HAND_OVERS: u32 = 5;
+/// Bit that separates the request ids assigned here from those that the core assigns.
+const KEYED_ID_BIT: u64 = 1 << 63;
+/// Number of times that a key space is sent to the successor before the daemon gives up.
+const HAND_OVER_TRIES: u32 = 5;
 
-/// What a caller with a key gets.
+/// Result of a request with an idempotency key.
 #[derive(Debug)]
 pub(crate) enum Outcome {
-    /// It runs; its answer as it grows.
+    /// The request runs; its answer fills up as the endpoint sends it.
     Running(Arc<Answer>),
-    /// It ran before; the answer that was kept.
+    /// The request ran before; the stored answer.
     Replayed(claims::Answer),
-    /// Another daemon has to do it.
+    /// The request has to be forwarded to another daemon, at this address.
     Forward(SocketAddr),
-    /// It is refused.
+    /// The request was rejected.
     Rejected(Rejection),
 }
 
-/// A caller that waits for its claim.
-struct Waiting {
+/// A caller whose key is being claimed.
+struct PendingCaller {
     id: RequestId,
-    key: String,
-    ask: CallerRequest,
+    api_key: String,
+    request: CallerRequest,
     caller: oneshot::Sender<Outcome>,
 }
 
-impl Row for Waiting {
+impl Row for PendingCaller {
     type Id = RequestId;
     fn id(&self) -> &RequestId {
         &self.id
     }
 }
 
-/// What the actor works with.
+/// Dependencies of the actor.
 pub(crate) struct Parts {
     pub(crate) incarnation: Incarnation,
     pub(crate) core: Addr<Core>,
     pub(crate) gossip: Addr<Gossip>,
     pub(crate) client: Client,
-    /// None without a platform: then only issued keys can be used.
+    /// None without a platform: then only issued keys can be claimed.
     pub(crate) store: Option<Rc<StoreClient>>,
 }
 
-/// Another daemon, as claims need it.
+/// What the actor needs to know of another daemon.
 #[derive(Clone, Debug)]
 pub(crate) struct PeerDaemon {
     pub(crate) incarnation: Incarnation,
     /// Address for daemons.
     pub(crate) address: SocketAddr,
-    /// Address for callers, once it is known.
+    /// Address for callers. None until the daemon has advertised it.
     pub(crate) callers: Option<SocketAddr>,
-    /// Incarnations whose issued keys it holds.
-    pub(crate) holds: Vec<Incarnation>,
+    /// Incarnations whose issued keys it holds besides its own.
+    pub(crate) inherited: Vec<Incarnation>,
 }
 
 impl Row for PeerDaemon {
@@ -103,9 +102,9 @@
     claimer: Claimer,
     parts: Parts,
     inputs: Vec<Input>,
-    waiting: Table<Waiting>,
+    pending: Table<PendingCaller>,
     daemons: Table<PeerDaemon>,
-    count: u64,
+    request_count: u64,
 }
 
 impl std::fmt::Debug for Claims {
@@ -122,13 +121,13 @@
             claimer: Claimer::new(parts.incarnation, fastrand::u64(..)),
             parts,
             inputs: Vec::new(),
-            waiting: Table::new(),
+            pending: Table::new(),
             daemons: Table::new(),
-            count: 0,
+            request_count: 0,
         }
     }
 
-    fn take(&mut self, input: Input, ctx: &mut Context<Self>) {
+    fn push_input(&mut self, input: Input, ctx: &mut Context<Self>) {
         self.inputs.push(input);
         self.tick(ctx);
     }
@@ -136,17 +135,19 @@
     fn tick(&mut self, ctx: &mut Context<Self>) {
         let inputs = std::mem::take(&mut self.inputs);
         for command in self.claimer.tick(Instant::now(), inputs) {
-            self.carry_out(command, ctx);
+            self.execute(command, ctx);
         }
     }
 
-    fn carry_out(&mut self, command: Command, ctx: &mut Context<Self>) {
+    fn execute(&mut self, command: Command, ctx: &mut Context<Self>) {
         match command {
             Command::Dispatch(permit) => self.dispatch(permit, ctx),
-            Command::Answer { request, answer } => self.tell(request, Outcome::Replayed(answer)),
-            Command::Reject(refusal) => self.tell(refusal.request, Outcome::Rejected(refusal)),
+            Command::Answer { request, answer } => self.respond(request, Outcome::Replayed(answer)),
+            Command::Reject(rejection) => {
+                self.respond(rejection.request, Outcome::Rejected(rejection));
+            }
             Command::Forward { request, to } => self.forward(request, to),
-            Command::Question { to, question } => self.ask(to, question, ctx),
+            Command::Question { to, question } => self.ask_peer(to, question, ctx),
             Command::Write { number, write } => {
                 let store = self.parts.store.clone();
                 let call = async move {
@@ -158,11 +159,11 @@
                 };
                 self.call(call, ctx);
             }
-            Command::Lease(lasts) => {
+            Command::Lease(ttl) => {
                 let store = self.parts.store.clone();
                 let call = async move {
                     Input::Leased(match store {
-                        Some(store) => store.grant(lasts).await,
+                        Some(store) => store.grant(ttl).await,
                         None => Err(Failure::NotDone),
                     })
                 };
@@ -171,16 +172,17 @@
         }
     }
 
-    /// Makes a call and hands the claimer what came of it.
+    /// Makes a call and passes its result to the claimer.
     fn call(&self, call: impl Future<Output = Input> + 'static, ctx: &mut Context<Self>) {
-        let then = |input, claims: &mut Self, ctx: &mut Context<Self>| claims.take(input, ctx);
+        let then =
+            |input, claims: &mut Self, ctx: &mut Context<Self>| claims.push_input(input, ctx);
         ctx.spawn(call.into_actor(self).map(then));
     }
 
-    fn tell(&mut self, request: RequestId, outcome: Outcome) {
-        if let Some(waiting) = self.waiting.remove(&request) {
-            // The caller may have gone away.
-            let _ = waiting.caller.send(outcome);
+    fn respond(&mut self, request: RequestId, outcome: Outcome) {
+        if let Some(pending) = self.pending.remove(&request) {
+            // The caller may have disconnected.
+            let _ = pending.caller.send(outcome);
         }
     }
 
@@ -196,41 +198,41 @@
                 running: None,
             }),
         };
-        self.tell(request, outcome);
+        self.respond(request, outcome);
     }
 
-    /// Lets the core run a request, once, and waits for its end.
+    /// Submits a request to the core, once, and waits for it to end.
     fn dispatch(&mut self, permit: Permit, ctx: &mut Context<Self>) {
-        let Some(waiting) = self.waiting.remove(&permit.request()) else {
-            self.take(Input::Ended(permit, RunResult::Unsent), ctx);
+        let Some(pending) = self.pending.remove(&permit.request()) else {
+            self.push_input(Input::Ended(permit, RunResult::Unsent), ctx);
             return;
         };
         let core = self.parts.core.clone();
         let run = async move {
             let submit = Submit {
-                key: waiting.key,
-                request: waiting.ask,
+                key: pending.api_key,
+                request: pending.request,
                 id: Some(permit.request()),
             };
-            let end = match core.send(submit).await {
+            let result = match core.send(submit).await {
                 Ok(Ok(answer)) => {
-                    // The caller may have gone away; the request runs all the same.
-                    let _ = waiting.caller.send(Outcome::Running(Arc::clone(&answer)));
-                    end(&answer.ended().await)
+                    // The caller may have disconnected; the request runs anyway.
+                    let _ = pending.caller.send(Outcome::Running(Arc::clone(&answer)));
+                    run_result(&answer.ended().await)
                 }
                 Ok(Err(why)) => {
-                    let refusal = refusal(permit.request(), why);
-                    let _ = waiting.caller.send(Outcome::Rejected(refusal));
+                    let rejection = not_run(permit.request(), why);
+                    let _ = pending.caller.send(Outcome::Rejected(rejection));
                     RunResult::Unsent
                 }
                 Err(_closed) => RunResult::Unsent,
             };
-            Input::Ended(permit, end)
+            Input::Ended(permit, result)
         };
         self.call(run, ctx);
     }
 
-    fn ask(&self, to: Incarnation, question: Question, ctx: &mut Context<Self>) {
+    fn ask_peer(&self, to: Incarnation, question: Question, ctx: &mut Context<Self>) {
         let address = self.daemons.get(&to).map(|daemon| daemon.address);
         let client = self.parts.client.clone();
         let call = async move {
@@ -243,26 +245,26 @@
         self.call(call, ctx);
     }
 
-    fn tell_holds(&self) {
-        let holds = self.claimer.inherited_issuers();
+    fn publish_inherited(&self) {
+        let inherited = self.claimer.inherited_issuers();
         self.parts.gossip.do_send(Put {
             kind: INHERITED_KEYS,
             name: "".into(),
-            value: holds.iter().flat_map(|id| id.to_be_bytes()).collect(),
+            value: inherited.iter().flat_map(|id| id.to_be_bytes()).collect(),
         });
     }
 }
 
-/// What a request's ending means to its claim.
-fn end(view: &View) -> RunResult {
+/// The result of a request for its claim.
+fn run_result(view: &View) -> RunResult {
     match &view.ending {
-        Some(Ending::Complete { status }) => RunResult::Answered(kept(*status, view)),
+        Some(Ending::Complete { status }) => RunResult::Answered(stored_answer(*status, view)),
         Some(Ending::Failed { ran: Ran::No, .. }) => RunResult::Unsent,
         _ => RunResult::Unknown,
     }
 }
 
-fn kept(status: u16, view: &View) -> claims::Answer {
+fn stored_answer(status: u16, view: &View) -> claims::Answer {
     let headers = view.head.iter().flat_map(|head| &head.headers);
     let content = headers
         .filter(|(name, _)| name == "content-type")
@@ -275,7 +277,7 @@
     }
 }
 
-fn refusal(request: RequestId, code: Code) -> Rejection {
+fn not_run(request: RequestId, code: Code) -> Rejection {
     Rejection {
         request,
         code,
@@ -293,7 +295,7 @@
     }
 }
 
-/// A caller's request with a key.
+/// A caller's request with an idempotency key.
 #[derive(Debug, Message)]
 #[rtype(result = "Outcome")]
 pub(crate) struct SubmitKeyed {
@@ -303,11 +305,11 @@
     pub(crate) customer: CustomerId,
     /// Idempotency key.
     pub(crate) idempotency_key: Key,
-    /// Digest of body and route.
+    /// Digest of the body and the route.
     pub(crate) digest: u128,
-    /// What is asked.
+    /// The request.
     pub(crate) request: CallerRequest,
-    /// Whether another daemon passed it on.
+    /// Whether another daemon forwarded the request.
     pub(crate) forwarded: bool,
 }
 
@@ -315,9 +317,9 @@
     type Result = ResponseFuture<Outcome>;
 
     fn handle(&mut self, msg: SubmitKeyed, ctx: &mut Self::Context) -> Self::Result {
-        self.count += 1;
-        let id = joined(self.parts.incarnation, CLAIMED | self.count);
-        let ask = claims::KeyedRequest {
+        self.request_count += 1;
+        let id = joined(self.parts.incarnation, KEYED_ID_BIT | self.request_count);
+        let keyed = claims::KeyedRequest {
             id,
             customer: msg.customer,
             key: msg.idempotency_key,
@@ -326,21 +328,21 @@
             forwarded: msg.forwarded,
         };
         let (caller, outcome) = oneshot::channel();
-        self.waiting.insert(Waiting {
+        self.pending.insert(PendingCaller {
             id,
-            key: msg.key,
-            ask: msg.request,
+            api_key: msg.key,
+            request: msg.request,
             caller,
         });
-        self.take(Input::Begin(ask), ctx);
+        self.push_input(Input::Begin(keyed), ctx);
         Box::pin(async move {
-            let refused = |_stopped| Outcome::Rejected(refusal(id, Code::Draining));
-            outcome.await.unwrap_or_else(refused)
+            let rejected = |_stopped| Outcome::Rejected(not_run(id, Code::Draining));
+            outcome.await.unwrap_or_else(rejected)
         })
     }
 }
 
-/// Issues a key to a customer; none once this daemon is leaving.
+/// Issues an idempotency key to a customer. None once this daemon is shutting down.
 #[derive(Clone, Debug, Message)]
 #[rtype(result = "Option<Key>")]
 pub(crate) struct IssueKey(pub(crate) CustomerId);
@@ -353,7 +355,7 @@
     }
 }
 
-/// Another daemon's question about a claim of this one.
+/// Answers another daemon's question about a claim of this daemon.
 #[derive(Clone, Debug, Message)]
 #[rtype(result = "Reply")]
 pub(crate) struct AnswerQuestion(pub(crate) Question);
@@ -366,7 +368,7 @@
     }
 }
 
-/// Key space of a daemon that is leaving; whether it was taken.
+/// Takes over the key space of a daemon that is shutting down. Returns whether it was accepted.
 #[derive(Clone, Debug, Message)]
 #[rtype(result = "bool")]
 pub(crate) struct TakeOver(pub(crate) HandOver);
@@ -378,14 +380,14 @@
         let issuer = msg.0.issuer;
         let taken = self.claimer.take_over(Instant::now(), msg.0);
         if taken {
-            log::info!("claims: the keys of daemon {issuer:016x} are held here now.");
-            self.tell_holds();
+            log::info!("claims: took over the issued keys of daemon {issuer:016x}.");
+            self.publish_inherited();
         }
         taken
     }
 }
 
-/// The live daemons, without this one.
+/// Sets the live daemons, without this one.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub(crate) struct SetDaemons(pub(crate) Vec<PeerDaemon>);
@@ -394,17 +396,17 @@
     type Result = ();
 
     fn handle(&mut self, msg: SetDaemons, ctx: &mut Self::Context) {
-        let holders = msg.0.iter().map(|daemon| Peer {
+        let peers = msg.0.iter().map(|daemon| Peer {
             incarnation: daemon.incarnation,
-            holds: daemon.holds.clone(),
+            holds: daemon.inherited.clone(),
         });
-        let holders = holders.collect();
+        let peers = peers.collect();
         self.daemons = msg.0.into_iter().collect();
-        self.take(Input::Peers(holders), ctx);
+        self.push_input(Input::Peers(peers), ctx);
     }
 }
 
-/// Begins nothing more: this daemon will be gone.
+/// Stops accepting requests with keys, as this daemon is shutting down.
 #[derive(Clone, Copy, Debug, Message)]
 #[rtype(result = "()")]
 pub(crate) struct Freeze;
@@ -413,11 +415,11 @@
     type Result = ();
 
     fn handle(&mut self, _: Freeze, ctx: &mut Self::Context) {
-        self.take(Input::Freeze, ctx);
+        self.push_input(Input::Freeze, ctx);
     }
 }
 
-/// Gives the key spaces to another daemon, once nothing runs any more.
+/// Hands the key spaces over to another daemon. Sent when no request runs any more.
 #[derive(Clone, Copy, Debug, Message)]
 #[rtype(result = "()")]
 pub(crate) struct HandOverKeys;
@@ -426,8 +428,8 @@
     type Result = ResponseFuture<()>;
 
     fn handle(&mut self, _: HandOverKeys, _: &mut Self::Context) -> Self::Result {
-        // Daemons with the same peers choose differently, so that one successor
-        // does not inherit a whole zone's keys.
+        // The choice is random, so that daemons with the same peers choose different successors
+        // and one successor doesn't inherit the keys of a whole zone.
         let at = fastrand::usize(..self.daemons.len().max(1));
         let Some(successor) = self.daemons.iter().nth(at).cloned() else {
             return Box::pin(async {});
@@ -442,13 +444,15 @@
     }
 }
 
-/// Sends a key space until the successor says that it has it. To another daemon
-/// it must not go any more: the first may have it, and both would dispatch.
+/// Sends a key space until the successor confirms that it has taken it. It must not be sent to
+/// another daemon afterwards: the first one may have it, and both would dispatch requests.
 async fn hand_over(client: &Client, to: SocketAddr, space: &HandOver) {
-    for _ in 0..HAND_OVERS {
+    for _ in 0..HAND_OVER_TRIES {
         if peer::hand_over(client, to, space).await == Some(true) {
             return;
         }
     }
-    log::warn!("claims: the keys of this daemon could not be handed over; they are dead.");
+    log::warn!(
+        "claims: the successor did not confirm the hand-over of a key space; its keys may stop working."
+    );
 }
--- a/daemon/src/claims/peer.rs
+++ b/daemon/src/claims/peer.rs
@@ -1,4 +1,4 @@
-//! What daemons ask one another about claims.
+//! Calls between daemons about claims.
 
 use std::net::SocketAddr;
 
@@ -7,21 +7,21 @@
 
 use crate::peers::Client;
 
-/// A question or a request between claimers.
+/// A call from one daemon's claimer to another's.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum Call {
-    /// What became of a claim.
+    /// Asks for the state of a claim.
     Ask(Question),
-    /// Take a key space.
+    /// Hands a key space over.
     TakeOver(HandOver),
 }
 
-/// Asks the holder of a claim; none if it does not reply.
+/// Asks the holder of a claim for the claim's state. None if it doesn't reply.
 pub(super) async fn ask(client: &Client, to: SocketAddr, question: &Question) -> Option<Reply> {
     call(client, to, &Call::Ask(question.clone())).await
 }
 
-/// Gives a key space to a daemon; none if it does not reply.
+/// Hands a key space over to a daemon. None if it doesn't reply.
 pub(super) async fn hand_over(client: &Client, to: SocketAddr, space: &HandOver) -> Option<bool> {
     call(client, to, &Call::TakeOver(space.clone())).await
 }
--- a/daemon/src/core.rs
+++ b/daemon/src/core.rs
@@ -1,11 +1,11 @@
-//! The actor that owns the deciding core.
+//! The actor that owns the deterministic core (`World`).
 //!
-//! Borders tell it what happened; it collects inputs, ticks the world and
-//! carries the commands out. Inputs of one moment share a tick: the first one
-//! puts a tick behind the messages that wait already.
+//! The code that does I/O reports events to it. The actor collects them as inputs, ticks the
+//! world and executes the commands that come out. Inputs that arrive together share one tick:
+//! the first one queues a tick behind the messages that are already in the mailbox.
 
-mod kept;
 mod messages;
+mod retention;
 mod views;
 
 use std::net::SocketAddr;
@@ -25,7 +25,7 @@
     GetShares, GetStatus, GetTables, IsIdle, MoveFreshness, PutError, PutLists, Report, Submit,
 };
 
-use kept::Kept;
+use retention::Retention;
 
 use crate::answer::Answer;
 use crate::attempt::{self, Carry, Clients, Earlier};
@@ -33,10 +33,10 @@
 use crate::metrics::Metrics;
 use crate::moves::{Moves, PerformAction};
 
-/// Longest time between two ticks: deadlines are met to within it.
+/// Longest time between two ticks. Deadlines are enforced with this precision.
 const TICK: Duration = Duration::from_millis(50);
 
-/// A sending that can be stopped.
+/// A running attempt that can be aborted.
 struct Attempt {
     id: AttemptId,
     address: SocketAddr,
@@ -54,15 +54,15 @@
 pub struct Core {
     world: World,
     inputs: Vec<Input>,
-    scheduled: bool,
+    tick_scheduled: bool,
     jobs: Table<Job>,
-    kept: Kept,
+    retention: Retention,
     attempts: Table<Attempt>,
     clients: Clients,
     limits: Limits,
     metrics: Arc<Metrics>,
     moves: Option<Addr<Moves>>,
-    requests: u64,
+    request_count: u64,
 }
 
 impl std::fmt::Debug for Core {
@@ -74,33 +74,33 @@
 }
 
 impl Core {
-    /// Core over a world.
+    /// Actor for a world.
     pub fn new(world: World, limits: Limits, metrics: Arc<Metrics>) -> Self {
         Self {
             world,
             inputs: Vec::new(),
-            scheduled: false,
+            tick_scheduled: false,
             jobs: Table::new(),
-            kept: Kept::new(),
+            retention: Retention::new(),
             attempts: Table::new(),
             clients: Clients::new(&limits),
             limits,
             metrics,
             moves: None,
-            requests: 0,
+            request_count: 0,
         }
     }
 
-    fn take(&mut self, input: Input, ctx: &mut Context<Self>) {
+    fn push_input(&mut self, input: Input, ctx: &mut Context<Self>) {
         self.inputs.push(input);
-        if !self.scheduled {
-            self.scheduled = true;
+        if !self.tick_scheduled {
+            self.tick_scheduled = true;
             ctx.notify(messages::TickNow);
         }
     }
 
     fn tick(&mut self, ctx: &mut Context<Self>) {
-        self.scheduled = false;
+        self.tick_scheduled = false;
         let now = Instant::now();
         let inputs = std::mem::take(&mut self.inputs);
         let commands = self.world.tick(now, inputs);
@@ -108,24 +108,25 @@
         let waiting = self.world.load.waiting() as u64;
         self.metrics.waiting.record(waiting, &[]);
         for command in commands {
-            self.carry_out(command, ctx);
+            self.execute(command, ctx);
         }
-        if self.kept.due(now) {
-            self.forget(now);
+        if self.retention.is_due(now) {
+            self.drop_answers(now);
         }
     }
 
-    /// Forgets answers that were kept for long enough, and the oldest of too many.
-    fn forget(&mut self, now: Instant) {
-        let gone = self.kept.take(now, self.limits.kept as usize);
-        if !gone.is_empty() {
-            self.jobs.retain(|job| gone.binary_search(&job.id).is_err());
+    /// Drops answers whose retention has ended, and the oldest ones above the limit on kept answers.
+    fn drop_answers(&mut self, now: Instant) {
+        let expired = self.retention.expire(now, self.limits.kept as usize);
+        if !expired.is_empty() {
+            self.jobs
+                .retain(|job| expired.binary_search(&job.id).is_err());
         }
     }
 
-    fn carry_out(&mut self, command: Command, ctx: &mut Context<Self>) {
+    fn execute(&mut self, command: Command, ctx: &mut Context<Self>) {
         match command {
-            Command::Send(send) => self.send(send, ctx),
+            Command::Send(send) => self.start_attempt(send, ctx),
             Command::Cancel(attempt) => {
                 if let Some(attempt) = self.attempts.remove(&attempt) {
                     attempt.stop.abort();
@@ -140,13 +141,13 @@
         }
     }
 
-    fn send(&mut self, send: Send, ctx: &mut Context<Self>) {
+    fn start_attempt(&mut self, send: Send, ctx: &mut Context<Self>) {
         let Some(job) = self.jobs.get(&send.request).cloned() else {
             return;
         };
         let (id, address) = (send.attempt, send.address);
         let (clients, core) = (self.clients.clone(), ctx.address());
-        let run = if let Some(carry) = self.carry(&send) {
+        let run = if let Some(carry) = self.cache_transfer(&send) {
             attempt::run_after(clients, job, send, core, carry).boxed_local()
         } else {
             job.answer.begin(id);
@@ -162,9 +163,9 @@
         self.attempts.insert(Attempt { id, address, stop });
     }
 
-    /// Move of the KV cache that a sending is to begin with. None if the earlier
-    /// sending has ended: then there is nothing to let go on.
-    fn carry(&mut self, send: &Send) -> Option<Carry> {
+    /// The KV cache transfer that an attempt has to begin with. None if the earlier attempt has
+    /// ended, as there is then no attempt to keep running during the transfer.
+    fn cache_transfer(&mut self, send: &Send) -> Option<Carry> {
         let request = self.world.requests.get(&send.request)?;
         let earlier = self.attempts.remove(&send.cache_from?)?;
         Some(Carry {
@@ -181,54 +182,55 @@
         };
         job.answer.end(ending);
         let until = Instant::now() + Duration::from_millis(self.limits.keep_ms);
-        self.kept.push(until, request);
+        self.retention.record(until, request);
     }
 
     fn submit(
         &mut self,
         key: &str,
-        ask: CallerRequest,
+        request: CallerRequest,
         id: Option<RequestId>,
         ctx: &mut Context<Self>,
     ) -> Result<Arc<Answer>, Code> {
-        let customer = self.who_is(key)?;
+        let customer = self.authenticate(key)?;
         let id = id.unwrap_or_else(|| {
-            self.requests += 1;
-            joined(self.world.setup.incarnation, self.requests)
+            self.request_count += 1;
+            joined(self.world.setup.incarnation, self.request_count)
         });
-        let model = ask.kind.model().cloned();
+        let model = request.kind.model().cloned();
         let order = Order {
             id,
             customer: customer.clone(),
-            service: ask.service,
-            route: ask.route,
+            service: request.service,
+            route: request.route,
             model,
-            idempotent: ask.idempotent,
-            blocks: ask.blocks,
-            prompt: ask.prompt,
-            answer: ask.answer,
+            idempotent: request.idempotent,
+            blocks: request.blocks,
+            prompt: request.prompt,
+            answer: request.answer,
             arrived: Instant::now(),
-            deadline: ask.deadline,
+            deadline: request.deadline,
         };
-        let most = self.limits.answer_bytes as usize;
-        let answer = Arc::new(Answer::new(id, customer, most));
+        let max_bytes = self.limits.answer_bytes as usize;
+        let answer = Arc::new(Answer::new(id, customer, max_bytes));
         self.jobs.insert(Job {
             id,
-            kind: Arc::new(ask.kind),
-            body: ask.body,
+            kind: Arc::new(request.kind),
+            body: request.body,
             answer: Arc::clone(&answer),
         });
-        self.take(Input::Arrived(order), ctx);
+        self.push_input(Input::Arrived(order), ctx);
         Ok(answer)
     }
 
-    fn who_is(&self, key: &str) -> Result<CustomerId, Code> {
+    fn authenticate(&self, key: &str) -> Result<CustomerId, Code> {
         let customer = self.world.keys.customer(key).cloned();
-        customer.ok_or_else(|| self.unknown())
+        customer.ok_or_else(|| self.unknown_key())
     }
 
-    /// A key names nobody: perhaps only because no lists have come yet.
-    fn unknown(&self) -> Code {
+    /// Code for an API key without a customer. Before the first lists have arrived, every key is
+    /// unknown.
+    fn unknown_key(&self) -> Code {
         if self.world.revision == 0 {
             Code::NoLists
         } else {
@@ -237,16 +239,16 @@
     }
 
     fn find(&self, key: &str, id: RequestId) -> Result<(Arc<Answer>, Arc<RequestKind>), Code> {
-        let customer = self.who_is(key)?;
+        let customer = self.authenticate(key)?;
         let job = self.jobs.get(&id).ok_or(Code::NoRequest)?;
-        // Another customer learns nothing, not even that the id exists.
+        // Another customer must not even learn that the id exists.
         if job.answer.customer != customer {
             return Err(Code::NoRequest);
         }
         Ok((Arc::clone(&job.answer), Arc::clone(&job.kind)))
     }
 
-    /// Nothing runs and nobody reads.
+    /// Whether no request runs and no caller reads an answer.
     fn is_idle(&self) -> bool {
         self.world.requests.is_empty() && self.jobs.iter().all(|job| job.answer.readers() == 0)
     }
@@ -258,7 +260,7 @@
                 return;
             };
             if job.answer.readers() == 0 && !job.answer.is_ended() {
-                core.take(Input::CallerLeft(id), ctx);
+                core.push_input(Input::CallerLeft(id), ctx);
             }
         });
     }
@@ -268,8 +270,8 @@
     type Context = Context<Self>;
 
     fn started(&mut self, ctx: &mut Context<Self>) {
-        // A burst of callers must not be refused by the mailbox: what is turned
-        // away is decided by admission, which can say when to come back.
+        // The mailbox must not reject a burst of callers. Admission decides which requests to
+        // reject, because it can tell the caller when to retry.
         ctx.set_mailbox_capacity(self.limits.waiting as usize + 1024);
         ctx.run_interval(TICK, Self::tick);
     }
@@ -279,7 +281,7 @@
     type Result = ();
 
     fn handle(&mut self, _: messages::TickNow, ctx: &mut Context<Self>) {
-        if self.scheduled {
+        if self.tick_scheduled {
             self.tick(ctx);
         }
     }
@@ -297,7 +299,7 @@
     type Result = Result<CustomerId, Code>;
 
     fn handle(&mut self, msg: Authenticate, _: &mut Context<Self>) -> Self::Result {
-        self.who_is(&msg.0)
+        self.authenticate(&msg.0)
     }
 }
 
@@ -316,7 +318,7 @@
         if let Input::Ended { attempt, .. } = &msg.0 {
             self.attempts.remove(attempt);
         }
-        self.take(msg.0, ctx);
+        self.push_input(msg.0, ctx);
     }
 }
 
@@ -332,7 +334,7 @@
     type Result = ();
 
     fn handle(&mut self, _: Drain, ctx: &mut Context<Self>) {
-        self.take(Input::Drain, ctx);
+        self.push_input(Input::Drain, ctx);
     }
 }
 
@@ -344,7 +346,7 @@
     }
 }
 
-/// Names the actor that carries out what is decided for version moves.
+/// Sets the actor that performs the actions of version moves.
 #[derive(Clone, Debug, actix::Message)]
 #[rtype(result = "()")]
 pub(crate) struct SetMoves(pub(crate) Addr<Moves>);
--- a/daemon/src/core/messages.rs
+++ b/daemon/src/core/messages.rs
@@ -1,4 +1,4 @@
-//! Messages that the core's actor takes.
+//! Messages to the actor of the core.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,18 +22,18 @@
 pub struct Submit {
     /// API key.
     pub key: String,
-    /// What is asked.
+    /// The request.
     pub request: CallerRequest,
-    /// Id that was given out for it already.
+    /// Id that was already assigned to the request.
     pub id: Option<RequestId>,
 }
 
-/// Customer that an API key belongs to.
+/// Looks up the customer of an API key.
 #[derive(Clone, Debug, Message)]
 #[rtype(result = "Result<CustomerId, Code>")]
 pub struct Authenticate(pub String);
 
-/// A caller comes back for an answer.
+/// Looks up an answer for a caller that reconnects.
 #[derive(Debug, Message)]
 #[rtype(result = "Result<(Arc<Answer>, Arc<RequestKind>), Code>")]
 pub struct FindAnswer {
@@ -43,27 +43,27 @@
     pub id: RequestId,
 }
 
-/// Something happened at a border.
+/// An event for the core, reported by the code that does I/O.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub struct Report(pub Input);
 
-/// Nobody reads a request's answer any more.
+/// The last reader of a request's answer has disconnected.
 #[derive(Clone, Copy, Debug, Message)]
 #[rtype(result = "()")]
 pub struct Abandoned(pub RequestId);
 
-/// Lets nothing more in.
+/// Stops the admission of requests.
 #[derive(Clone, Copy, Debug, Message)]
 #[rtype(result = "()")]
 pub struct Drain;
 
-/// Whether nothing runs and nobody reads.
+/// Whether no request runs and no caller reads an answer.
 #[derive(Clone, Copy, Debug, Message)]
 #[rtype(result = "bool")]
 pub struct IsIdle;
 
-/// Ticks if inputs wait.
+/// Ticks if inputs are pending.
 #[derive(Clone, Copy, Debug, Message)]
 #[rtype(result = "()")]
 pub(crate) struct TickNow;
@@ -76,9 +76,9 @@
 /// A model engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Engine {
-    /// Its id.
+    /// Endpoint id.
     pub id: EndpointId,
-    /// Its address.
+    /// Endpoint address.
     pub address: SocketAddr,
 }
 
@@ -87,12 +87,12 @@
 #[rtype(result = "Vec<Engine>")]
 pub struct GetEngines(pub ZoneId);
 
-/// What this daemon claims of customers' limits.
+/// This daemon's demand for and claims on customers' limits.
 #[derive(Clone, Copy, Debug, Message)]
 #[rtype(result = "Vec<ShareRow>")]
 pub struct GetShares;
 
-/// State in short.
+/// Summary of the daemon's state.
 #[derive(Clone, Copy, Debug, Message)]
 #[rtype(result = "Status")]
 pub struct GetStatus;
@@ -112,13 +112,13 @@
     pub lists: Lists,
 }
 
-/// Why an edit was refused.
+/// Why an edit of the lists was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PutError {
-    /// The lists do not pass their checks.
+    /// The lists are invalid.
     #[error("the lists do not pass their checks")]
     Invalid(Vec<ValidationError>),
-    /// Another edit came first.
+    /// The lists have changed since the base revision.
     #[error("the lists are at revision {current} already")]
     Conflict {
         /// Revision in force.
@@ -126,22 +126,24 @@
     },
 }
 
-/// Services with a move on record, and whether this daemon's news of it are fresh.
+/// Services with a recorded version move, and whether this daemon's information on the move is
+/// fresh.
 #[derive(Clone, Copy, Debug, Message)]
 #[rtype(result = "Vec<(ServiceId, bool)>")]
 pub struct MoveFreshness;
 
-/// What runs of a service, seen from a move to a version; none if nothing does.
+/// Counts the endpoints of a service by version for a move to a version. None if the service is
+/// unknown or no endpoint of another version runs.
 #[derive(Clone, Debug, Message)]
 #[rtype(result = "Option<moves::ask::Fleet>")]
 pub struct GetFleet(pub ServiceId, pub VersionId);
 
-/// Names of the tables.
+/// Names of the tables that can be dumped.
 #[derive(Clone, Copy, Debug, Message)]
 #[rtype(result = "Vec<&'static str>")]
 pub struct GetTables;
 
-/// Rows of a table with their ids; none if there is no such table.
+/// Rows of a table with their ids. None if the table doesn't exist.
 #[derive(Clone, Debug, Message)]
 #[rtype(result = "Option<Vec<(String, Value)>>")]
 pub struct DumpTable(pub String);
--- a/daemon/src/core/views.rs
+++ b/daemon/src/core/views.rs
@@ -1,4 +1,4 @@
-//! What operators see of the core and change in it.
+//! Queries on the core and edits of the lists, for operators and the other actors.
 
 use std::time::Instant;
 
@@ -42,10 +42,11 @@
         }
     }
 
-    /// What runs of a service, seen from a move to a version.
+    /// Counts the endpoints of a service by version for a move to a version. Of the
+    /// other versions the configured one counts as current, or else the one with most endpoints.
     fn fleet(&self, service: &ServiceId, to: &VersionId) -> Option<Fleet> {
         let row = self.world.services.get(service)?;
-        let stated = row.version.as_ref();
+        let configured = row.version.as_ref();
         let mut counts: Vec<(VersionId, u32)> = Vec::new();
         for endpoint in self
             .world
@@ -64,11 +65,11 @@
         let new = counts.iter().find(|(version, _)| version == to);
         let new = new.map_or(0, |(_, count)| *count);
         let others = counts.iter().filter(|(version, _)| version != to);
-        let first = |(version, count): &&(VersionId, u32)| (Some(version) == stated, *count);
-        let (version, old) = others.max_by_key(first)?.clone();
+        let rank = |(version, count): &&(VersionId, u32)| (Some(version) == configured, *count);
+        let (version, old) = others.max_by_key(rank)?.clone();
         let idempotent = match row.kind {
             ServiceKind::Model => FULL_SHARE,
-            // The controllers go by the mix that they see; this is where they start.
+            // Only the initial value: the move controllers use the mix that they observe.
             ServiceKind::Plain => FULL_SHARE / 2,
         };
         Some(Fleet {
@@ -111,16 +112,16 @@
     type Result = Result<Revision, PutError>;
 
     fn handle(&mut self, msg: PutLists, ctx: &mut Context<Self>) -> Self::Result {
-        let mistakes = msg.lists.check();
-        if !mistakes.is_empty() {
-            return Err(PutError::Invalid(mistakes));
+        let errors = msg.lists.check();
+        if !errors.is_empty() {
+            return Err(PutError::Invalid(errors));
         }
         let current = self.world.revision;
         if msg.base != current {
             return Err(PutError::Conflict { current });
         }
         let revision = current + 1;
-        self.take(
+        self.push_input(
             Input::Lists(Accepted {
                 revision,
                 lists: msg.lists,
@@ -150,8 +151,8 @@
                 .get(id)
                 .is_some_and(|s| s.kind == ServiceKind::Model)
         };
-        let near = self.world.endpoints.iter().filter(|e| e.zone == msg.0);
-        let engines = near.filter(|e| is_model(&e.service)).map(|e| Engine {
+        let local = self.world.endpoints.iter().filter(|e| e.zone == msg.0);
+        let engines = local.filter(|e| is_model(&e.service)).map(|e| Engine {
             id: e.id.clone(),
             address: e.address,
         });
--- a/daemon/src/fleet.rs
+++ b/daemon/src/fleet.rs
@@ -229,7 +229,7 @@
                 incarnation: peer.incarnation,
                 address: peer.address,
                 callers: daemon.and_then(|daemon| daemon.callers),
-                holds: daemon
+                inherited: daemon
                     .map(|daemon| daemon.holds.clone())
                     .unwrap_or_default(),
             }
--- a/daemon/src/health.rs
+++ b/daemon/src/health.rs
@@ -1,11 +1,11 @@
-//! `/live` and `/ready`, for the platform's balancer.
+//! Health endpoints `/live` and `/ready` for the platform's load balancer.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use actix_web::{HttpResponse, web};
 
-/// Whether callers should be sent here; shared by all ports.
+/// Readiness of the daemon for callers' requests; shared by the servers of all ports.
 #[derive(Clone, Debug, Default)]
 pub struct Ready(Arc<State>);
 
@@ -16,23 +16,23 @@
 }
 
 impl Ready {
-    /// Whether callers should be sent here.
+    /// Whether the load balancer should send callers to this daemon.
     pub fn get(&self) -> bool {
         self.0.lists.load(Ordering::Relaxed) && !self.0.draining.load(Ordering::Relaxed)
     }
 
-    /// Notes that lists are in force.
+    /// Marks that the daemon has lists of customers and plans.
     pub fn set_lists(&self) {
         self.0.lists.store(true, Ordering::Relaxed);
     }
 
-    /// Notes that the daemon shuts down, which nothing takes back.
+    /// Marks that the daemon is shutting down. This can't be undone.
     pub fn set_draining(&self) {
         self.0.draining.store(true, Ordering::Relaxed);
     }
 }
 
-/// Routes of the probes, which need no token.
+/// Adds the health endpoints, which need no token.
 pub fn routes(config: &mut web::ServiceConfig) {
     config
         .route("/live", web::get().to(live))
--- a/daemon/src/job.rs
+++ b/daemon/src/job.rs
@@ -1,4 +1,4 @@
-//! What a daemon keeps of a request besides what it decides by.
+//! The parts of a request that the daemon keeps outside the core: kind, body and answer.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -9,55 +9,55 @@
 
 use crate::answer::Answer;
 
-/// A caller's request, read and checked against the settings.
+/// A caller's request, parsed and validated against the settings.
 #[derive(Clone, Debug)]
 pub struct CallerRequest {
-    /// Service that is to answer.
+    /// Service that the request is for.
     pub service: ServiceId,
     /// Route of a plain service, as `METHOD path`, or the model.
     pub route: CompactString,
-    /// Whether running it twice does the same as once.
+    /// Whether running the request twice has the same effect as running it once.
     pub idempotent: bool,
-    /// Hash chain over the prompt's blocks.
+    /// Chained hashes of the prompt's blocks.
     pub blocks: Vec<u64>,
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt: u32,
-    /// Tokens of the answer at most.
+    /// Maximum number of answer tokens.
     pub answer: u32,
     /// When the answer must be complete.
     pub deadline: Instant,
-    /// What goes to the endpoint.
+    /// Kind of the request, which gives the form of the call to the endpoint.
     pub kind: RequestKind,
-    /// Body for the endpoint.
+    /// Request body that is sent to the endpoint.
     pub body: Bytes,
 }
 
-/// How an endpoint is asked.
+/// Kind of a request: how the endpoint is called.
 #[derive(Clone, Debug)]
 pub enum RequestKind {
     /// Chat completion.
     Chat {
-        /// Model asked.
+        /// Requested model.
         model: ModelId,
     },
     /// Plain completion.
     Text {
-        /// Model asked.
+        /// Requested model.
         model: ModelId,
     },
-    /// Call of a plain service.
+    /// Request to a plain service.
     Plain {
         /// HTTP method.
         method: CompactString,
         /// Path and query.
         target: CompactString,
-        /// Headers that are passed on.
+        /// Headers that are forwarded.
         headers: Vec<(CompactString, Bytes)>,
     },
 }
 
 impl RequestKind {
-    /// Model asked, for model services.
+    /// Requested model, for model services.
     pub fn model(&self) -> Option<&ModelId> {
         match self {
             Self::Chat { model } | Self::Text { model } => Some(model),
@@ -66,7 +66,7 @@
     }
 }
 
-/// A request's body and answer; kept for a while after its end.
+/// A request's kind, body and answer. Kept for some time after the request has ended.
 #[derive(Clone, Debug)]
 pub(crate) struct Job {
     pub(crate) id: RequestId,
