--- a/daemon/src/moves.rs
+++ b/daemon/src/moves.rs
@@ -1,13 +1,13 @@
-//! The actor that ties version moves to the platform and the other daemons.
+//! The actor that connects version moves to the key-value service and to the other daemons.
 //!
-//! Shares, evidence and verdicts are decided in the core by
-//! `poplarvale_lib::moves`. Here records are read from and written to the
-//! key-value service, the lease to write them is held, and news travel as gossip
-//! rows. Two daemons of each zone read the records; one daemon of all tries for
-//! the lease first, so that the calls to the service don't grow with the fleet.
+//! `poplarvale_lib::moves` decides on shares, evidence and verdicts in the core. This actor reads
+//! and writes the records of moves in the key-value service, holds the lease that allows writing
+//! them, and exchanges updates with the other daemons as gossip rows. Only two daemons of each zone
+//! read the records, and only one daemon of the fleet tries to acquire the lease at first, so that
+//! the load on the key-value service doesn't grow with the fleet.
 
-mod ask;
-mod holder;
+mod lease;
+mod operator;
 
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -31,45 +31,48 @@
 use crate::peers::{Gossip, Put};
 use crate::platform::store::StoreClient;
 
-pub(crate) use ask::{Cancel, Start, StateOf};
-use holder::Holder;
-
-/// What all keys of moves begin with.
-const PREFIX: &str = "poplarvale/moves/";
-/// How often records are read while a move goes on, and when none does. A record
-/// changes every few seconds at most, and gossip carries it on from the readers.
-const READ_OPEN: Duration = Duration::from_secs(2);
-const READ_IDLE: Duration = Duration::from_secs(5);
-/// How often this actor looks at what is due.
-const TICK: Duration = Duration::from_millis(200);
-/// Rows a second of evidence, and as many of freshness, from all daemons of a
-/// region: about 3 KB/s, a sixth of what control may use.
-const ROWS: f64 = 20.0;
-/// How often the core is told the time, and the least time between news to peers.
-const NEWS: Duration = Duration::from_secs(1);
-
-/// What the actor works with.
+use lease::LeaseState;
+pub(crate) use operator::{Cancel, Start, StateOf};
+
+/// Prefix of the keys of all records.
+const KEY_PREFIX: &str = "poplarvale/moves/";
+/// Time between two reads of the records while a move is in progress. A record changes every few
+/// seconds at most, and gossip carries it from the daemons that read it to the others.
+const ACTIVE_READ_INTERVAL: Duration = Duration::from_secs(2);
+/// Time between two reads of the records while no move is in progress.
+const IDLE_READ_INTERVAL: Duration = Duration::from_secs(5);
+/// Time between two checks of what is due.
+const TICK_INTERVAL: Duration = Duration::from_millis(200);
+/// Maximum rate of evidence rows from all daemons of a region together, in rows per second. The
+/// rows on freshness have the same limit. This is about 3 KB/s, a sixth of the bandwidth that
+/// control traffic may use.
+const MAX_ROW_RATE: f64 = 20.0;
+/// Time between two cluster views sent to the core, and the shortest time between two rounds of
+/// rows to the peers.
+const ROUND_INTERVAL: Duration = Duration::from_secs(1);
+
+/// Dependencies of the actor.
 pub(crate) struct Parts {
     pub(crate) incarnation: Incarnation,
     pub(crate) core: Addr<Core>,
     pub(crate) gossip: Addr<Gossip>,
-    /// None without a platform: then no version can be moved.
+    /// None without a platform: then no move can be started.
     pub(crate) store: Option<Rc<StoreClient>>,
 }
 
 /// Actor of the version moves.
 pub struct Moves {
     parts: Parts,
-    /// Records as last learnt, sorted by service.
+    /// Latest known record of each service, sorted by service.
     records: Vec<(ServiceId, Stored)>,
     live: Vec<Peer>,
-    holder: Holder,
-    read: Instant,
-    time: Instant,
-    news: Instant,
-    /// Evidence to be written, by the rows' names.
-    rows: Vec<(String, Vec<u8>)>,
-    count: u64,
+    lease: LeaseState,
+    next_read: Instant,
+    next_view: Instant,
+    next_round: Instant,
+    /// Evidence rows to be published with the next round, sorted by name.
+    pending_rows: Vec<(String, Vec<u8>)>,
+    report_count: u64,
 }
 
 impl std::fmt::Debug for Moves {
@@ -87,32 +90,37 @@
             parts,
             records: Vec::new(),
             live: Vec::new(),
-            holder: Holder::default(),
-            read: now,
-            time: now,
-            news: now,
-            rows: Vec::new(),
-            count: 0,
+            lease: LeaseState::default(),
+            next_read: now,
+            next_view: now,
+            next_round: now,
+            pending_rows: Vec::new(),
+            report_count: 0,
         }
     }
 
     fn tick(&mut self, ctx: &mut Context<Self>) {
         let now = Instant::now();
-        if self.time <= now {
-            self.time = now + NEWS;
-            self.tell_time(now);
+        if self.next_view <= now {
+            self.next_view = now + ROUND_INTERVAL;
+            self.send_cluster_view(now);
         }
-        if self.news <= now {
-            self.news = now + self.gap();
-            self.tell_news(ctx);
-            self.flush();
+        if self.next_round <= now {
+            self.next_round = now + self.row_interval();
+            self.publish_freshness(ctx);
+            self.publish_evidence();
         }
-        if self.read <= now && self.is_reader() {
-            let open = self.records.iter().any(|(_, s)| !s.record.ended());
-            self.read = now + if open { READ_OPEN } else { READ_IDLE };
+        if self.next_read <= now && self.is_reader() {
+            let active = self.records.iter().any(|(_, s)| !s.record.ended());
+            self.next_read = now
+                + if active {
+                    ACTIVE_READ_INTERVAL
+                } else {
+                    IDLE_READ_INTERVAL
+                };
             self.read_all(ctx);
         }
-        self.hold(now, ctx);
+        self.maintain_lease(now, ctx);
     }
 
     /// Whether this daemon is one of the zone's two readers.
@@ -121,29 +129,29 @@
         let Some(own) = self.live.iter().find(|peer| peer.incarnation == me) else {
             return true;
         };
-        let peers: Vec<config::Peer> = self.live.iter().map(known).collect();
+        let peers: Vec<config::Peer> = self.live.iter().map(config_peer).collect();
         config::watchers(&own.zone, &peers).contains(&me)
     }
 
-    fn tell_time(&self, now: Instant) {
+    fn send_cluster_view(&self, now: Instant) {
         let live = self.live.len().max(1) as u32;
-        self.report(Input::ClusterView(ClusterView {
+        self.send_input(Input::ClusterView(ClusterView {
             at: now,
-            wall: wall(),
+            wall: unix_ms(),
             reach: Reach { live, heard: live },
         }));
     }
 
-    /// Tells the peers for which services this daemon's news are fresh.
-    fn tell_news(&mut self, ctx: &mut Context<Self>) {
+    /// Publishes for which services this daemon's information on the move is fresh.
+    fn publish_freshness(&mut self, ctx: &mut Context<Self>) {
         if self.records.is_empty() {
             return;
         }
-        let asked = self.parts.core.send(MoveFreshness).into_actor(self);
-        ctx.spawn(asked.map(|services, moves, _| {
+        let query = self.parts.core.send(MoveFreshness).into_actor(self);
+        ctx.spawn(query.map(|services, moves, _| {
             for (service, fresh) in services.unwrap_or_default() {
-                moves.count += 1;
-                let count = moves.count;
+                moves.report_count += 1;
+                let count = moves.report_count;
                 let row = NewsRow { fresh, count };
                 moves.put(kinds::MOVE_FRESHNESS, &service, row.encode_to_vec());
             }
@@ -154,28 +162,28 @@
         let Some(store) = self.parts.store.clone() else {
             return;
         };
-        let read = async move { store.range(PREFIX).await };
+        let read = async move { store.range(KEY_PREFIX).await };
         ctx.spawn(read.into_actor(self).map(|result, moves, _| {
             if let Ok(snapshot) = result {
-                moves.learn_all(&snapshot);
+                moves.apply_snapshot(&snapshot);
             }
         }));
     }
 
-    fn learn_all(&mut self, snapshot: &Snapshot) {
-        for held in &snapshot.rows {
-            if let Some(stored) = stored(held) {
-                self.learn(&stored);
+    fn apply_snapshot(&mut self, snapshot: &Snapshot) {
+        for value in &snapshot.rows {
+            if let Some(stored) = decode_record(value) {
+                self.apply_and_publish(&stored);
             }
         }
         for (service, _) in &self.records {
-            self.tell(service, Event::Exchanged(Source::Store));
+            self.send_event(service, Event::Exchanged(Source::Store));
         }
     }
 
-    /// Takes a record of a higher revision, and passes it on.
-    fn learn(&mut self, stored: &Stored) {
-        if !self.adopt(stored) {
+    /// Applies a record if its revision is newer than the known one, and publishes it.
+    fn apply_and_publish(&mut self, stored: &Stored) {
+        if !self.apply_record(stored) {
             return;
         }
         let service = stored.record.terms().service.clone();
@@ -186,8 +194,8 @@
         self.put(kinds::MOVE, &service, row.encode_to_vec());
     }
 
-    /// Whether a record was new here.
-    fn adopt(&mut self, stored: &Stored) -> bool {
+    /// Applies a record if its revision is newer than the known one. Returns whether it was.
+    fn apply_record(&mut self, stored: &Stored) -> bool {
         let service = stored.record.terms().service.clone();
         match self.records.binary_search_by(|(id, _)| id.cmp(&service)) {
             Ok(at) if self.records[at].1.revision >= stored.revision => return false,
@@ -198,7 +206,7 @@
             "moves: {}.",
             poplarvale_lib::moves::status::text(&stored.record)
         );
-        self.tell(&service, Event::Record(stored.clone()));
+        self.send_event(&service, Event::Record(stored.clone()));
         true
     }
 
@@ -207,7 +215,7 @@
         Some(&self.records[at.ok()?].1)
     }
 
-    fn act(&mut self, service: &ServiceId, action: Action, ctx: &mut Context<Self>) {
+    fn perform(&mut self, service: &ServiceId, action: Action, ctx: &mut Context<Self>) {
         match action {
             Action::Write {
                 revision,
@@ -215,7 +223,10 @@
                 until,
             } => self.write(revision, &record, until, ctx),
             Action::Push(bad) => {
-                log::warn!("moves: a version of {service} is bad: {}.", bad.reason);
+                log::warn!(
+                    "moves: the new version of {service} is bad, publishing the verdict: {}.",
+                    bad.reason
+                );
                 let row = BadVersion {
                     r#move: hex(bad.id).into(),
                     reason: bad.reason.to_string(),
@@ -226,13 +237,13 @@
             Action::Publish(rows) => {
                 for row in rows {
                     let name = format!("{service}/{}", row.route);
-                    self.keep(name, row.to_wire().encode_to_vec());
+                    self.queue_row(name, row.to_wire().encode_to_vec());
                 }
             }
         }
     }
 
-    /// Writes a record under the lease; one that is late is dropped.
+    /// Writes a record while the lease is valid. A write that comes too late for it is dropped.
     fn write(&self, revision: Revision, record: &Record, until: Instant, ctx: &mut Context<Self>) {
         let Some(store) = self.parts.store.clone() else {
             return;
@@ -242,11 +253,11 @@
         }
         let write = put_record(revision, record);
         let record = record.clone();
-        let key = key(&record.terms().service);
+        let key = record_key(&record.terms().service);
         let call = async move {
             let result = store.write(write).await;
             match result {
-                // Whatever became of it, what stands there now is what counts.
+                // The write may or may not have taken effect; read which record is stored now.
                 Err(Failure::Unknown) => store.get(&key).await.ok().map(Written::Conflict),
                 other => other.ok(),
             }
@@ -254,46 +265,50 @@
         ctx.spawn(
             call.into_actor(self)
                 .map(move |written, moves, _| match written {
-                    Some(Written::Done(revision)) => moves.learn(&Stored { revision, record }),
-                    Some(Written::Conflict(snapshot)) => moves.learn_all(&snapshot),
+                    Some(Written::Done(revision)) => {
+                        moves.apply_and_publish(&Stored { revision, record });
+                    }
+                    Some(Written::Conflict(snapshot)) => moves.apply_snapshot(&snapshot),
                     None => {}
                 }),
         );
     }
 
-    /// Keeps the latest row of a name until rows are due.
-    fn keep(&mut self, name: String, row: Vec<u8>) {
-        match self.rows.binary_search_by(|(kept, _)| kept.cmp(&name)) {
-            Ok(at) => self.rows[at].1 = row,
-            Err(at) => self.rows.insert(at, (name, row)),
+    /// Queues a row for the next round. A later row of the same name replaces it.
+    fn queue_row(&mut self, name: String, row: Vec<u8>) {
+        match self
+            .pending_rows
+            .binary_search_by(|(queued, _)| queued.cmp(&name))
+        {
+            Ok(at) => self.pending_rows[at].1 = row,
+            Err(at) => self.pending_rows.insert(at, (name, row)),
         }
     }
 
-    fn flush(&mut self) {
-        for (name, row) in std::mem::take(&mut self.rows) {
+    fn publish_evidence(&mut self) {
+        for (name, row) in std::mem::take(&mut self.pending_rows) {
             self.put(Kind::EVIDENCE, &name, row);
         }
     }
 
-    /// Time between rows of one kind, so that all of a region together write no
-    /// more than [`ROWS`] a second. Rows are whole counts, so that the latest one
-    /// stands for those left out.
-    fn gap(&self) -> Duration {
+    /// Time between two rows of one kind, such that all daemons of a region together stay within
+    /// [`MAX_ROW_RATE`]. Rows hold totals, so the latest row replaces those that were left out.
+    fn row_interval(&self) -> Duration {
         let me = self.parts.incarnation;
         let own = self.live.iter().find(|peer| peer.incarnation == me);
-        let near = |peer: &&Peer| own.is_some_and(|own| own.region == peer.region);
-        let region = self.live.iter().filter(near).count();
-        NEWS.max(Duration::from_secs_f64(region as f64 / ROWS))
+        let local = |peer: &&Peer| own.is_some_and(|own| own.region == peer.region);
+        let region = self.live.iter().filter(local).count();
+        ROUND_INTERVAL.max(Duration::from_secs_f64(region as f64 / MAX_ROW_RATE))
     }
 
-    fn tell(&self, service: &ServiceId, event: Event) {
-        self.report(Input::Move {
+    fn send_event(&self, service: &ServiceId, event: Event) {
+        self.send_input(Input::Move {
             service: service.clone(),
             event,
         });
     }
 
-    fn report(&self, input: Input) {
+    fn send_input(&self, input: Input) {
         self.parts.core.do_send(Report(input));
     }
 
@@ -305,69 +320,73 @@
         });
     }
 
-    /// Takes a row of another daemon; one that does not decode is skipped, the next word
-    /// of its writer makes it good.
-    fn row(&mut self, key: &Key, value: &[u8]) {
-        if let Err(error) = self.take_row(key, value) {
-            log::warn!("moves: a row of {} is skipped, {error}.", key.name);
+    /// Applies a row of another daemon. A row that can't be decoded is skipped; the next row from
+    /// its writer replaces it.
+    fn receive_row(&mut self, key: &Key, value: &[u8]) {
+        if let Err(error) = self.apply_row(key, value) {
+            log::warn!(
+                "moves: cannot decode the row {}, skipping it: {error}.",
+                key.name
+            );
         }
     }
 
-    fn take_row(&mut self, key: &Key, value: &[u8]) -> Result<(), prost::DecodeError> {
+    fn apply_row(&mut self, key: &Key, value: &[u8]) -> Result<(), prost::DecodeError> {
         if key.kind == kinds::MOVE.number {
             let row = RecordRow::decode(value)?;
             let record = row.record.and_then(|r| Record::from_stored(&r).ok());
             if let Some(record) = record {
                 let revision = row.revision;
-                self.adopt(&Stored { revision, record });
+                self.apply_record(&Stored { revision, record });
             }
         } else if key.kind == kinds::MOVE_FRESHNESS.number {
             let fresh = NewsRow::decode(value)?.fresh;
-            self.tell(&key.name, Event::Exchanged(Source::Peer { fresh }));
+            self.send_event(&key.name, Event::Exchanged(Source::Peer { fresh }));
         } else if key.kind == Kind::VERDICT.number {
             let row = BadVersion::decode(value)?;
-            if let (Some(id), Some(service)) = (from_hex(&row.r#move), service(&key.name)) {
+            if let (Some(id), Some(service)) = (from_hex(&row.r#move), service_of(&key.name)) {
                 let reason = row.reason.into();
-                self.tell(&service, Event::Verdict(Verdict { id, reason }));
+                self.send_event(&service, Event::Verdict(Verdict { id, reason }));
             }
         } else if key.kind == Kind::EVIDENCE.number {
             let row = EvidenceRow::decode(value)?;
-            if let (Some(row), Some(service)) = (Row::from_wire(&row), service(&key.name)) {
-                self.tell(&service, Event::Row(Box::new(row)));
+            if let (Some(row), Some(service)) = (Row::from_wire(&row), service_of(&key.name)) {
+                self.send_event(&service, Event::Row(Box::new(row)));
             }
         }
         Ok(())
     }
 }
 
-fn known(peer: &Peer) -> config::Peer {
+fn config_peer(peer: &Peer) -> config::Peer {
     config::Peer {
         incarnation: peer.incarnation,
         zone: peer.zone.clone(),
     }
 }
 
-/// Service that a row's name begins with; ids have no slash.
-fn service(name: &str) -> Option<ServiceId> {
+/// Service in a row's name: the part before the first slash. Service ids contain no slash.
+fn service_of(name: &str) -> Option<ServiceId> {
     Some(name.split_once('/')?.0.into())
 }
 
-fn key(service: &ServiceId) -> String {
-    format!("{PREFIX}{service}")
+fn record_key(service: &ServiceId) -> String {
+    format!("{KEY_PREFIX}{service}")
 }
 
-fn stored(held: &StoredValue) -> Option<Stored> {
-    let wire = VersionMove::decode(held.value.clone()).ok()?;
+fn decode_record(stored: &StoredValue) -> Option<Stored> {
+    let wire = VersionMove::decode(stored.value.clone()).ok()?;
     let record = Record::from_stored(&wire).ok()?;
     Some(Stored {
-        revision: held.changed,
+        revision: stored.changed,
         record,
     })
 }
 
-/// The write of a record, if the one that stands has this revision.
+/// The write of a record on the condition that the stored one has this revision. Revision 0 stands
+/// for no stored record.
 fn put_record(revision: Revision, record: &Record) -> Write {
-    let key = key(&record.terms().service);
+    let key = record_key(&record.terms().service);
     let condition = match revision {
         0 => Condition::Absent(key.as_str().into()),
         revision => Condition::Unchanged(key.as_str().into(), revision),
@@ -383,8 +402,8 @@
     }
 }
 
-/// The wall clock in milliseconds since 1970.
-fn wall() -> u64 {
+/// Wall clock in milliseconds since 1970.
+fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |since| since.as_millis() as u64)
 }
@@ -393,11 +412,11 @@
     type Context = Context<Self>;
 
     fn started(&mut self, ctx: &mut Self::Context) {
-        ctx.run_interval(TICK, Self::tick);
+        ctx.run_interval(TICK_INTERVAL, Self::tick);
     }
 }
 
-/// What the core decided for the move of a service.
+/// An action that the core decided on for the move of a service.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub(crate) struct PerformAction {
@@ -409,11 +428,11 @@
     type Result = ();
 
     fn handle(&mut self, msg: PerformAction, ctx: &mut Self::Context) {
-        self.act(&msg.service, msg.action, ctx);
+        self.perform(&msg.service, msg.action, ctx);
     }
 }
 
-/// A row of another daemon.
+/// A gossip row of another daemon.
 #[derive(Clone, Debug, Message)]
 #[rtype(result = "()")]
 pub(crate) struct PeerRow(pub(crate) Change);
@@ -423,12 +442,12 @@
 
     fn handle(&mut self, msg: PeerRow, _: &mut Self::Context) {
         if let Change::Put { key, value, .. } = msg.0 {
-            self.row(&key, &value);
+            self.receive_row(&key, &value);
         }
     }
 }
 
-/// The live daemons, this one among them.
+/// Sets the live daemons, this one included.
 #[derive(Clone, Debug, Message)]
 #[rtype(result = "()")]
 pub(crate) struct SetLive(pub(crate) Vec<Peer>);
--- a/daemon/src/moves/lease.rs
+++ b/daemon/src/moves/lease.rs
@@ -1,8 +1,8 @@
-//! The lease under which records are written.
+//! The lease that allows a daemon to write records.
 //!
-//! Of all live daemons the first by rendezvous hashing tries for it; another one
-//! tries only once the first is no longer seen alive. The lease's fencing number
-//! is the revision at which its holder's key was created, which only grows.
+//! Rendezvous hashing ranks the live daemons, and only the first one tries to acquire the lease.
+//! Another daemon tries once the first is no longer considered live. The fencing token of the lease
+//! is the revision at which the holder's key was created, so it only grows.
 
 use std::time::{Duration, Instant};
 
@@ -13,87 +13,90 @@
 use poplarvale_lib::moves::Event;
 use poplarvale_lib::store::{self, Condition, Put, Write, Written};
 
-use super::{Moves, known};
+use super::{Moves, config_peer};
 
-/// Key that the holder's lease hangs on.
-const HOLDER: &str = "poplarvale/holder/moves";
-/// Time after which an unrenewed lease lapses: a few lost calls may pass, and a
-/// dead holder stops moves for no longer than a stage.
-const LASTS: Duration = Duration::from_secs(10);
-/// How often it is renewed, and tried for while another daemon holds it.
-const RENEW: Duration = Duration::from_secs(3);
+/// Key that the holder creates, attached to its lease.
+const HOLDER_KEY: &str = "poplarvale/holder/moves";
+/// Time after which a lease expires unless it is renewed. It outlasts a few lost calls, and a dead
+/// holder delays moves by no more than the length of a stage.
+const LEASE_TTL: Duration = Duration::from_secs(10);
+/// Time between two renewals, and between two tries while another daemon holds the lease.
+const RENEW_INTERVAL: Duration = Duration::from_secs(3);
 
-/// A lease that was given, with its fencing number.
+/// An acquired lease with its fencing token.
 #[derive(Clone, Debug)]
 struct Grant {
     lease: store::Lease,
     fence: u64,
 }
 
-/// How a call about the lease went.
-enum Called {
-    /// It is held.
+/// Result of a call to acquire or renew the lease.
+enum LeaseCall {
+    /// This daemon holds the lease.
     Held(Grant),
-    /// Another daemon has it, or it lapsed.
+    /// Another daemon holds the lease, or it has expired.
     Lost,
-    /// No answer came.
-    Silent,
+    /// The outcome is unknown or the call failed.
+    Failed,
 }
 
-/// What this daemon has of the lease.
+/// This daemon's state of the lease.
 #[derive(Debug, Default)]
-pub(super) struct Holder {
-    held: Option<Grant>,
-    due: Option<Instant>,
-    calling: bool,
+pub(super) struct LeaseState {
+    grant: Option<Grant>,
+    next_call: Option<Instant>,
+    in_flight: bool,
 }
 
 impl Moves {
-    /// Takes or renews the lease, while a move goes on.
-    pub(super) fn hold(&mut self, now: Instant, ctx: &mut Context<Self>) {
-        let open = self.records.iter().any(|(_, s)| !s.record.ended());
-        let due = self.holder.due.is_none_or(|due| due <= now);
-        if !open || !due || self.holder.calling || !self.is_first() {
+    /// Acquires or renews the lease while a move is in progress.
+    pub(super) fn maintain_lease(&mut self, now: Instant, ctx: &mut Context<Self>) {
+        let active = self.records.iter().any(|(_, s)| !s.record.ended());
+        let due = self.lease.next_call.is_none_or(|due| due <= now);
+        if !active || !due || self.lease.in_flight || !self.is_preferred() {
             return;
         }
         let Some(store) = self.parts.store.clone() else {
             return;
         };
-        self.holder.due = Some(now + RENEW);
-        self.holder.calling = true;
-        let held = self.holder.held.clone();
+        self.lease.next_call = Some(now + RENEW_INTERVAL);
+        self.lease.in_flight = true;
+        let grant = self.lease.grant.clone();
         let me = self.parts.incarnation;
         let call = async move {
-            match held {
+            match grant {
                 Some(grant) => renew(&*store, grant).await,
-                None => take(&*store, me).await,
+                None => acquire(&*store, me).await,
             }
         };
-        ctx.spawn(call.into_actor(self).map(|held, moves, _| moves.held(held)));
+        ctx.spawn(
+            call.into_actor(self)
+                .map(|result, moves, _| moves.apply_call(result)),
+        );
     }
 
-    /// Takes in how a call went.
-    fn held(&mut self, called: Called) {
-        self.holder.calling = false;
-        self.holder.held = match called {
-            Called::Held(grant) => Some(grant),
-            Called::Lost => None,
-            // What is held runs out by itself.
-            Called::Silent => return,
+    /// Applies the result of a call.
+    fn apply_call(&mut self, called: LeaseCall) {
+        self.lease.in_flight = false;
+        self.lease.grant = match called {
+            LeaseCall::Held(grant) => Some(grant),
+            LeaseCall::Lost => None,
+            // A lease that is held expires on its own.
+            LeaseCall::Failed => return,
         };
-        let lease = self.holder.held.as_ref().map(|grant| Lease {
+        let lease = self.lease.grant.as_ref().map(|grant| Lease {
             fence: grant.fence,
             deadline: grant.lease.until,
         });
         for (service, _) in &self.records {
-            self.tell(service, Event::Lease(lease.clone()));
+            self.send_event(service, Event::Lease(lease.clone()));
         }
     }
 
-    fn is_first(&self) -> bool {
+    fn is_preferred(&self) -> bool {
         let everywhere = self.live.iter().map(|peer| config::Peer {
             zone: "".into(),
-            ..known(peer)
+            ..config_peer(peer)
         });
         let peers: Vec<config::Peer> = everywhere.collect();
         let first = config::watchers("", &peers).first().copied();
@@ -101,36 +104,38 @@
     }
 }
 
-async fn renew(store: &impl store::Store, grant: Grant) -> Called {
+async fn renew(store: &impl store::Store, grant: Grant) -> LeaseCall {
     match store.renew(grant.lease.id).await {
-        Ok(Some(lease)) => Called::Held(Grant { lease, ..grant }),
-        Ok(None) => Called::Lost,
-        Err(_failure) => Called::Silent,
+        Ok(Some(lease)) => LeaseCall::Held(Grant { lease, ..grant }),
+        Ok(None) => LeaseCall::Lost,
+        Err(_failure) => LeaseCall::Failed,
     }
 }
 
-/// Tries for the lease.
-async fn take(store: &impl store::Store, me: Incarnation) -> Called {
-    let Ok(lease) = store.grant(LASTS).await else {
-        return Called::Silent;
+/// Tries to acquire the lease.
+async fn acquire(store: &impl store::Store, me: Incarnation) -> LeaseCall {
+    let Ok(lease) = store.grant(LEASE_TTL).await else {
+        return LeaseCall::Failed;
     };
     let write = Write {
-        conditions: vec![Condition::Absent(HOLDER.into())],
+        conditions: vec![Condition::Absent(HOLDER_KEY.into())],
         puts: vec![Put {
-            key: HOLDER.into(),
+            key: HOLDER_KEY.into(),
             value: me.to_be_bytes().to_vec().into(),
             lease: lease.id,
         }],
     };
     match store.write(write).await {
-        Ok(Written::Done(fence)) => Called::Held(Grant { lease, fence }),
+        Ok(Written::Done(fence)) => LeaseCall::Held(Grant { lease, fence }),
         Ok(Written::Conflict(_)) => {
-            // Another daemon holds it. If this call fails the unused lease lapses.
+            // Another daemon holds it. If this call fails, the unused lease expires.
             if let Err(failure) = store.revoke(lease.id).await {
-                log::debug!("moves: an unused lease stays until it lapses, {failure:?}.");
+                log::debug!(
+                    "moves: cannot revoke an unused lease, it stays until it expires: {failure:?}."
+                );
             }
-            Called::Lost
+            LeaseCall::Lost
         }
-        Err(_failure) => Called::Silent,
+        Err(_failure) => LeaseCall::Failed,
     }
 }
--- a/daemon/src/moves/operator.rs
+++ b/daemon/src/moves/operator.rs
@@ -1,4 +1,4 @@
-//! What operators ask of version moves.
+//! Operators' requests for version moves: start, cancel and state.
 
 use std::rc::Rc;
 
@@ -9,32 +9,32 @@
 use poplarvale_lib::store::{Failure, Store as _, Written};
 use poplarvale_lib::{Code, Revision, ServiceId, from_hex, hex};
 
-use super::{Moves, key, put_record, stored, wall};
+use super::{Moves, decode_record, put_record, record_key, unix_ms};
 use crate::core::{Core, GetFleet};
 use crate::platform::store::StoreClient;
 
-/// Why an operator's wish was not done.
-type Refused = Refusal;
+/// Why an operator's request was rejected.
+type Rejection = Refusal;
 
-/// Tries of a write that others come before.
-const TRIES: u32 = 3;
+/// Number of tries of a write that conflicts with other writes.
+const MAX_TRIES: u32 = 3;
 
 /// Starts a move.
 #[derive(Clone, Debug, Message)]
-#[rtype(result = "Result<MoveState, Refused>")]
+#[rtype(result = "Result<MoveState, Rejection>")]
 pub(crate) struct Start(pub(crate) MoveAsk);
 
 impl Handler<Start> for Moves {
-    type Result = ResponseFuture<Result<MoveState, Refused>>;
+    type Result = ResponseFuture<Result<MoveState, Rejection>>;
 
     fn handle(&mut self, msg: Start, ctx: &mut Context<Self>) -> Self::Result {
         let (store, core) = (self.parts.store.clone(), self.parts.core.clone());
         let me = actix::AsyncContext::address(ctx);
         Box::pin(async move {
-            let store = store.ok_or_else(no_store)?;
+            let store = store.ok_or_else(store_unavailable)?;
             let stored = start(&store, &core, &msg.0).await?;
             let state = state(&stored.record);
-            me.do_send(Learn(stored));
+            me.do_send(ApplyRecord(stored));
             Ok(state)
         })
     }
@@ -42,26 +42,26 @@
 
 /// Cancels the move of a service.
 #[derive(Clone, Debug, Message)]
-#[rtype(result = "Result<MoveState, Refused>")]
+#[rtype(result = "Result<MoveState, Rejection>")]
 pub(crate) struct Cancel(pub(crate) ServiceId);
 
 impl Handler<Cancel> for Moves {
-    type Result = ResponseFuture<Result<MoveState, Refused>>;
+    type Result = ResponseFuture<Result<MoveState, Rejection>>;
 
     fn handle(&mut self, msg: Cancel, ctx: &mut Context<Self>) -> Self::Result {
         let store = self.parts.store.clone();
         let me = actix::AsyncContext::address(ctx);
         Box::pin(async move {
-            let store = store.ok_or_else(no_store)?;
+            let store = store.ok_or_else(store_unavailable)?;
             let stored = cancel(&store, &msg.0).await?;
             let state = state(&stored.record);
-            me.do_send(Learn(stored));
+            me.do_send(ApplyRecord(stored));
             Ok(state)
         })
     }
 }
 
-/// Where the move of a service stands, as far as this daemon knows.
+/// State of the move of a service, as known to this daemon.
 #[derive(Clone, Debug, Message)]
 #[rtype(result = "Option<MoveState>")]
 pub(crate) struct StateOf(pub(crate) ServiceId);
@@ -74,54 +74,58 @@
     }
 }
 
-/// A record that was written or read here.
+/// Applies a record that an operator's request has written or read.
 #[derive(Clone, Debug, Message)]
 #[rtype(result = "()")]
-struct Learn(Stored);
+struct ApplyRecord(Stored);
 
-impl Handler<Learn> for Moves {
+impl Handler<ApplyRecord> for Moves {
     type Result = ();
 
-    fn handle(&mut self, msg: Learn, _: &mut Context<Self>) {
-        self.learn(&msg.0);
+    fn handle(&mut self, msg: ApplyRecord, _: &mut Context<Self>) {
+        self.apply_and_publish(&msg.0);
     }
 }
 
 async fn start(
     store: &Rc<StoreClient>,
     core: &Addr<Core>,
-    wish: &MoveAsk,
-) -> Result<Stored, Refused> {
-    let service = ServiceId::from(wish.service.as_str());
-    let bad = |reason: &str| refusal(Code::BadMove, reason);
-    let id = from_hex(&wish.id).ok_or_else(|| bad("the move's id is malformed"))?;
+    request: &MoveAsk,
+) -> Result<Stored, Rejection> {
+    let service = ServiceId::from(request.service.as_str());
+    let invalid = |reason: &str| rejection(Code::BadMove, reason);
+    let id = from_hex(&request.id).ok_or_else(|| invalid("the move's id is malformed"))?;
     let ask = Ask {
         id,
         service: service.clone(),
-        to: wish.to.as_str().into(),
-        finish: wall() + wish.within_s.saturating_mul(1_000),
+        to: request.to.as_str().into(),
+        finish: unix_ms() + request.within_s.saturating_mul(1_000),
     };
     let counts = core.send(GetFleet(service.clone(), ask.to.clone())).await;
     let counts = counts.ok().flatten();
-    let counts = counts.ok_or_else(|| bad("there is no such service with endpoints"))?;
-    for _ in 0..TRIES {
-        let standing = read(store, &service).await?;
-        let fleet = fleet(&counts, standing.as_ref());
-        let record = ask::ask(standing.as_ref().map(|s| &s.record), &ask, &fleet, wall())?;
-        let same = standing.as_ref().filter(|s| s.record == record);
-        if let Some(stored) = same {
+    let counts = counts.ok_or_else(|| invalid("there is no such service with endpoints"))?;
+    for _ in 0..MAX_TRIES {
+        let current = read(store, &service).await?;
+        let fleet = fleet(&counts, current.as_ref());
+        let record = ask::ask(current.as_ref().map(|s| &s.record), &ask, &fleet, unix_ms())?;
+        let existing = current.as_ref().filter(|s| s.record == record);
+        if let Some(stored) = existing {
             return Ok(stored.clone());
         }
-        if let Some(stored) = write(store, standing.as_ref(), record).await? {
+        if let Some(stored) = write(store, current.as_ref(), record).await? {
             return Ok(stored);
         }
     }
-    Err(refusal(Code::Conflict, "others changed the move meanwhile"))
+    Err(rejection(
+        Code::Conflict,
+        "others changed the move meanwhile",
+    ))
 }
 
-/// The version that has the requests follows from the last move, if there was one.
-fn fleet(counts: &Fleet, standing: Option<&Stored>) -> Fleet {
-    let version = standing.map(|stored| match &stored.record {
+/// Endpoint counts with the version that currently gets the requests. After a move this follows from
+/// the record of the move, otherwise from the counts.
+fn fleet(counts: &Fleet, current: Option<&Stored>) -> Fleet {
+    let version = current.map(|stored| match &stored.record {
         Record::Done(done) => done.terms.to.clone(),
         other => other.terms().from.clone(),
     });
@@ -131,48 +135,54 @@
     }
 }
 
-async fn cancel(store: &Rc<StoreClient>, service: &ServiceId) -> Result<Stored, Refused> {
-    for _ in 0..TRIES {
-        let standing = read(store, service).await?;
-        let id = standing.as_ref().map_or(0, |s| s.record.terms().id);
+async fn cancel(store: &Rc<StoreClient>, service: &ServiceId) -> Result<Stored, Rejection> {
+    for _ in 0..MAX_TRIES {
+        let current = read(store, service).await?;
+        let id = current.as_ref().map_or(0, |s| s.record.terms().id);
         let reason = "an operator asked for it".into();
-        let record = ask::cancel(standing.as_ref().map(|s| &s.record), id, reason)?;
-        if let Some(stored) = write(store, standing.as_ref(), record).await? {
+        let record = ask::cancel(current.as_ref().map(|s| &s.record), id, reason)?;
+        if let Some(stored) = write(store, current.as_ref(), record).await? {
             return Ok(stored);
         }
     }
-    Err(refusal(Code::Conflict, "others changed the move meanwhile"))
+    Err(rejection(
+        Code::Conflict,
+        "others changed the move meanwhile",
+    ))
 }
 
-async fn read(store: &Rc<StoreClient>, service: &ServiceId) -> Result<Option<Stored>, Refused> {
-    let key = key(service);
-    let snapshot = store.get(&key).await.map_err(|_failure| no_store())?;
-    Ok(snapshot.get(&key).and_then(stored))
+async fn read(store: &Rc<StoreClient>, service: &ServiceId) -> Result<Option<Stored>, Rejection> {
+    let key = record_key(service);
+    let snapshot = store
+        .get(&key)
+        .await
+        .map_err(|_failure| store_unavailable())?;
+    Ok(snapshot.get(&key).and_then(decode_record))
 }
 
-/// Writes a record over what stands; none if another came first. Of a write whose
-/// answer is lost the next try finds out by reading.
+/// Replaces the current record. None if another write came first or if the response was lost; the
+/// next try then reads which record is stored.
 async fn write(
     store: &Rc<StoreClient>,
-    standing: Option<&Stored>,
+    current: Option<&Stored>,
     record: Record,
-) -> Result<Option<Stored>, Refused> {
-    let revision: Revision = standing.map_or(0, |stored| stored.revision);
+) -> Result<Option<Stored>, Rejection> {
+    let revision: Revision = current.map_or(0, |stored| stored.revision);
     match store.write(put_record(revision, &record)).await {
         Ok(Written::Done(revision)) => Ok(Some(Stored { revision, record })),
         Ok(Written::Conflict(_)) | Err(Failure::Unknown) => Ok(None),
-        Err(Failure::NotDone) => Err(no_store()),
+        Err(Failure::NotDone) => Err(store_unavailable()),
     }
 }
 
-fn no_store() -> Refused {
-    refusal(
+fn store_unavailable() -> Rejection {
+    rejection(
         Code::StoreOut,
         "moves are kept in the platform's key-value service",
     )
 }
 
-fn refusal(code: Code, reason: &str) -> Refused {
+fn rejection(code: Code, reason: &str) -> Rejection {
     Refusal {
         code,
         reason: reason.into(),
