--- a/daemon/src/core.rs
+++ b/daemon/src/core.rs
@@ -115,7 +115,8 @@
         }
     }
 
-    /// Drops answers whose retention has ended, and the oldest ones above the limit on kept answers.
+    /// Drops answers whose retention has ended, and the oldest ones above the limit on kept
+    /// answers.
     fn drop_answers(&mut self, now: Instant) {
         let expired = self.retention.expire(now, self.limits.kept as usize);
         if !expired.is_empty() {
--- a/daemon/src/core/retention.rs
+++ b/daemon/src/core/retention.rs
@@ -38,8 +38,8 @@
         self.next_sweep <= now
     }
 
-    /// Removes the answers whose retention has finished and the oldest ones above `max` answers, and
-    /// returns their ids sorted.
+    /// Removes the answers whose retention has finished and the oldest ones above `max` answers,
+    /// and returns their ids sorted.
     pub(super) fn expire(&mut self, now: Instant, max: usize) -> Vec<RequestId> {
         self.next_sweep = now + SWEEP_INTERVAL;
         let excess = self.finished.len().saturating_sub(max);
--- a/daemon/src/hosts.rs
+++ b/daemon/src/hosts.rs
@@ -1,12 +1,11 @@
-//! The actor that follows the platform's list of hosts.
+//! The actor that polls the platform's list of hosts.
 //!
-//! What the list says goes to the core. A notice that no other daemon has told
-//! of yet goes to the other daemons first, by an urgent row of gossip: each
-//! daemon reads the list only now and then, and until it did, it would go on
-//! sending work to an endpoint that is about to vanish. One would notice it as
-//! streams that begin on an endpoint seconds before its end.
+//! Changes of the list go to the core. A reclaim notice that no other daemon has published yet is
+//! first sent to the other daemons as an urgent gossip row. Each daemon polls the list only from
+//! time to time, and until it did, it would keep sending work to an endpoint that is about to
+//! disappear; the symptom is streams that start on an endpoint seconds before it is gone.
 //!
-//! A list that cannot be reached changes nothing.
+//! If the list can't be reached, nothing changes.
 
 use std::time::{Duration, Instant};
 
@@ -24,19 +23,20 @@
 use crate::peers::{Gossip, Live, Put, Remove};
 use crate::platform::hosts::{HostList, HostsClient, HostsError};
 
-/// Shortest time between two questions of one daemon: notices come seconds
-/// ahead, and a second of that is what reading the list may cost.
-const GAP: Duration = Duration::from_secs(1);
-/// Questions a [`GAP`] that the daemons of a zone ask together, so that the list
-/// has no more to answer as the fleet grows. Two, as one of them may be stuck.
-const ASKERS: u32 = 2;
+/// Shortest time between two polls by one daemon. Notices arrive seconds before the host is gone,
+/// and polling may use up one second of that.
+const MIN_POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// Polls per [`MIN_POLL_INTERVAL`] by all daemons of a zone together, so that the load on the
+/// list's server doesn't grow with the fleet. Two, as one of the daemons may be stuck.
+const POLLS_PER_INTERVAL: u32 = 2;
 
-/// A notice that the daemons have been told of.
+/// A reclaim notice that has been published to the daemons.
 #[derive(Clone, Debug)]
 struct Notice {
     endpoint: EndpointId,
+    /// When the endpoint will be gone.
     until: Instant,
-    /// Whether the row about it is this daemon's.
+    /// Whether this daemon has written the row.
     own: bool,
 }
 
@@ -47,7 +47,7 @@
     }
 }
 
-/// What the actor works with.
+/// Dependencies of the actor.
 pub(crate) struct Parts {
     pub(crate) zone: ZoneId,
     /// Endpoints named in the settings.
@@ -57,7 +57,7 @@
     pub(crate) gossip: Addr<Gossip>,
 }
 
-/// Actor that follows the list.
+/// Actor that polls the list.
 pub(crate) struct Hosts {
     zone: ZoneId,
     client: HostsClient,
@@ -81,53 +81,53 @@
         }
     }
 
-    /// Asks the list once; the next question comes some time after its answer.
-    fn ask(&mut self, ctx: &mut Context<Self>) {
+    /// Polls the list once, and schedules the next poll after the answer.
+    fn poll(&mut self, ctx: &mut Context<Self>) {
         let (client, gossip) = (self.client, self.gossip.clone());
-        let asked = async move {
+        let polled = async move {
             let answer = client.list().await;
             let live = gossip.send(Live).await.unwrap_or_default();
             (answer, live)
         };
-        let asked = asked.into_actor(self).map(|(answer, live), hosts, ctx| {
-            hosts.note(answer, ctx);
-            hosts.forget(Instant::now(), ctx);
-            ctx.run_later(gap(hosts.neighbours(&live)), Self::ask);
+        let polled = polled.into_actor(self).map(|(answer, live), hosts, ctx| {
+            hosts.apply_answer(answer, ctx);
+            hosts.prune_notices(Instant::now(), ctx);
+            ctx.run_later(poll_delay(hosts.zone_daemons(&live)), Self::poll);
         });
-        ctx.spawn(asked);
+        ctx.spawn(polled);
     }
 
     /// Live daemons of the zone, this one included.
-    fn neighbours(&self, live: &[Peer]) -> u32 {
+    fn zone_daemons(&self, live: &[Peer]) -> u32 {
         live.iter().filter(|peer| peer.zone == self.zone).count() as u32
     }
 
-    fn note(&mut self, answer: Result<ListedHosts, HostsError>, ctx: &mut Context<Self>) {
+    fn apply_answer(&mut self, answer: Result<ListedHosts, HostsError>, ctx: &mut Context<Self>) {
         match answer {
             Ok(answer) => {
                 self.failed = false;
                 let inputs = self.list.take(Instant::now(), &answer);
-                self.tell(inputs, ctx);
+                self.report(inputs, ctx);
             }
             Err(error) if !self.failed => {
                 self.failed = true;
-                log::warn!("hosts: {error}; what was known goes on.");
+                log::warn!("hosts: cannot read the list, keeping the known hosts: {error}.");
             }
             Err(_) => {}
         }
     }
 
-    fn tell(&mut self, inputs: Vec<Input>, ctx: &mut Context<Self>) {
+    fn report(&mut self, inputs: Vec<Input>, ctx: &mut Context<Self>) {
         for input in inputs {
             if let Input::Leaving { endpoint, until } = &input {
-                self.spread(endpoint, *until, ctx);
+                self.publish(endpoint, *until, ctx);
             }
             self.core.do_send(Report(input));
         }
     }
 
-    /// Tells the other daemons of a notice unless one of them has.
-    fn spread(&mut self, endpoint: &EndpointId, until: Instant, ctx: &mut Context<Self>) {
+    /// Publishes a notice to the other daemons, unless it is already known with an end as early.
+    fn publish(&mut self, endpoint: &EndpointId, until: Instant, ctx: &mut Context<Self>) {
         if self.notices.get(endpoint).is_some_and(|n| n.until <= until) {
             return;
         }
@@ -146,50 +146,57 @@
             name: endpoint.clone(),
             value: row.encode_to_vec(),
         });
-        // A full lane is no harm beyond delay: the others read the list as well.
+        // If the lane is full, the notice is only delayed: the others poll the list as well.
         ctx.spawn(put.into_actor(self).map(|put, _, _| {
             if let Ok(Err(code)) = put {
-                log::warn!("hosts: a notice was not passed on: {code:?}.");
+                log::warn!(
+                    "hosts: cannot publish a notice, the others learn it from the list: {code:?}."
+                );
             }
         }));
     }
 
-    /// Takes rows back whose endpoints are long gone, or the lane would fill up.
-    fn forget(&mut self, now: Instant, ctx: &mut Context<Self>) {
-        let old = |notice: &&Notice| notice.until + NOTICE_TTL <= now;
-        let own = self.notices.iter().filter(old).filter(|notice| notice.own);
+    /// Forgets notices of endpoints that are long gone, and removes this daemon's rows about them,
+    /// or the lane would fill up.
+    fn prune_notices(&mut self, now: Instant, ctx: &mut Context<Self>) {
+        let expired = |notice: &&Notice| notice.until + NOTICE_TTL <= now;
+        let own = self
+            .notices
+            .iter()
+            .filter(expired)
+            .filter(|notice| notice.own);
         let own: Vec<EndpointId> = own.map(|notice| notice.endpoint.clone()).collect();
-        self.notices.retain(|notice| !old(&notice));
+        self.notices.retain(|notice| !expired(&notice));
         for name in own {
             let kind = Kind::ENDPOINT;
             let removed = self.gossip.send(Remove { kind, name });
-            // The row may be gone already, which is as good.
+            // It doesn't matter if the row has already been removed.
             ctx.spawn(removed.into_actor(self).map(|_removed, _, _| ()));
         }
     }
 }
 
-/// Time until the next question, a little early or late, so that daemons that
-/// started together do not go on asking together.
-fn gap(neighbours: u32) -> Duration {
-    let part = 0.9 + 0.2 * fastrand::f64();
-    let daemons = neighbours.max(ASKERS);
-    (GAP * daemons / ASKERS).mul_f64(part)
+/// Time until the next poll, with 10 % jitter, so that daemons that started together don't keep
+/// polling at the same time.
+fn poll_delay(zone_daemons: u32) -> Duration {
+    let jitter = 0.9 + 0.2 * fastrand::f64();
+    let daemons = zone_daemons.max(POLLS_PER_INTERVAL);
+    (MIN_POLL_INTERVAL * daemons / POLLS_PER_INTERVAL).mul_f64(jitter)
 }
 
 impl Actor for Hosts {
     type Context = Context<Self>;
 
     fn started(&mut self, ctx: &mut Self::Context) {
-        self.ask(ctx);
+        self.poll(ctx);
     }
 }
 
-/// Another daemon told of a notice.
+/// A reclaim notice that another daemon has published.
 #[derive(Clone, Debug, Message)]
 #[rtype(result = "()")]
 pub(crate) struct PeerNotice {
-    /// Endpoint.
+    /// Endpoint that is leaving.
     pub(crate) endpoint: EndpointId,
     /// When it will be gone.
     pub(crate) until: Instant,
--- a/daemon/src/moves/operator.rs
+++ b/daemon/src/moves/operator.rs
@@ -122,8 +122,8 @@
     ))
 }
 
-/// Endpoint counts with the version that currently gets the requests. After a move this follows from
-/// the record of the move, otherwise from the counts.
+/// Endpoint counts with the version that currently gets the requests. After a move this follows
+/// from the record of the move, otherwise from the counts.
 fn fleet(counts: &Fleet, current: Option<&Stored>) -> Fleet {
     let version = current.map(|stored| match &stored.record {
         Record::Done(done) => done.terms.to.clone(),
--- a/daemon/src/probe.rs
+++ b/daemon/src/probe.rs
@@ -1,20 +1,19 @@
-//! The actor that asks model engines of its zone for load and cache events.
+//! The actor that polls the model engines of its zone for load and cache events.
 //!
-//! Routing goes by what engines report, and would send blindly without it. Were
-//! each daemon to ask each engine, an engine would answer as many questions as
-//! there are daemons, and a daemon ask as many as there are engines. So the
-//! engines of a zone are shared out among its live daemons: rendezvous hashing
-//! names one daemon for each, and when one daemon comes or goes only its part
-//! changes hands. Daemons that see different others ask an engine twice for a
-//! while, which does no harm: of two reports the later counts.
+//! Routing depends on the load that engines report and would choose blindly without it. If every
+//! daemon polled every engine, the number of calls would grow with the product of daemons and
+//! engines. The engines of a zone are therefore distributed over its live daemons: rendezvous
+//! hashing assigns each engine to one daemon, and when a daemon joins or leaves, only its engines
+//! are reassigned. Daemons with different views of the live daemons may poll the same engine for a
+//! while. This does no harm, as the later of two reports wins.
 //!
-//! Load is passed on to the zone's other daemons by a row of gossip for each
-//! engine. Cache events are not: they are many, and stay with who asks.
+//! The load of each engine is published to the other daemons of the zone as a gossip row. Cache
+//! events are too many for that and stay with the daemon that polls the engine.
 //!
-//! An engine that does not answer is passed over. Whether it gets work is decided
-//! by how its requests end.
+//! An engine that doesn't answer is skipped. Whether it gets requests depends on the outcomes of
+//! its requests.
 
-mod duty;
+mod polled;
 mod wire;
 
 pub(crate) use wire::load_report;
@@ -33,77 +32,77 @@
 use crate::core::{Core, Engine, GetEngines, Report};
 use crate::kinds::LOAD;
 use crate::peers::{Gossip, Live, Put, Remove};
-use duty::{Duty, is_mine};
-use wire::{PollResult, ask};
-
-/// Time between two questions to an engine. Routing makes up for a report's age
-/// by own sendings, but knows of the others' only by the next report; the peak is
-/// 0.7 requests a second for each engine, so a report is off by one or two. Each
-/// engine is asked twice, for load and for events, at about 350 bytes.
-const GAP: Duration = Duration::from_secs(2);
-/// Time for a question; the next one is due by then.
-const CALL_TIME: Duration = Duration::from_secs(1);
-/// Time between two rows about an engine that works. Rows cost each daemon of the
-/// zone, so only every second answer becomes one.
-const ROW_GAP: Duration = Duration::from_secs(3);
-
-/// What the actor works with.
+use polled::{PolledEngine, is_assigned};
+use wire::{PollResult, poll};
+
+/// Time between two polls of an engine. Routing corrects a report for the attempts that this daemon
+/// has sent since, but learns of the other daemons' attempts only from the next report. With a peak
+/// of 0.7 requests per second and engine, a report is off by one or two. A poll consists of two
+/// calls, for load and for events, with about 350 bytes each.
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
+/// Timeout of a call. It ends before the next poll is due.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Shortest time between two rows about a busy engine. Each row has a cost for every daemon of the
+/// zone, so only every second poll is published.
+const MIN_ROW_INTERVAL: Duration = Duration::from_secs(3);
+
+/// Dependencies of the actor.
 pub(crate) struct Parts {
-    pub(crate) me: Incarnation,
+    pub(crate) incarnation: Incarnation,
     pub(crate) zone: ZoneId,
     pub(crate) core: Addr<Core>,
     pub(crate) gossip: Addr<Gossip>,
 }
 
-/// Actor that asks engines.
+/// Actor that polls engines.
 pub(crate) struct Probe {
     parts: Parts,
     client: Client,
-    duties: Table<Duty>,
-    asking: bool,
+    engines: Table<PolledEngine>,
+    polling: bool,
 }
 
 impl Probe {
     pub(crate) fn new(parts: Parts) -> Self {
-        let connector = Connector::new().timeout(CALL_TIME).limit(0);
-        let builder = Client::builder().timeout(CALL_TIME).disable_redirects();
+        let connector = Connector::new().timeout(CALL_TIMEOUT).limit(0);
+        let builder = Client::builder().timeout(CALL_TIMEOUT).disable_redirects();
         Self {
             parts,
             client: builder.connector(connector).finish(),
-            duties: Table::new(),
-            asking: false,
+            engines: Table::new(),
+            polling: false,
         }
     }
 
-    /// Looks which engines are this daemon's part, and asks those.
+    /// Determines which engines are assigned to this daemon, and polls them.
     fn round(&mut self, ctx: &mut Context<Self>) {
-        if self.asking {
+        if self.polling {
             return;
         }
-        self.asking = true;
+        self.polling = true;
         let core = self.parts.core.clone();
         let gossip = self.parts.gossip.clone();
         let zone = self.parts.zone.clone();
-        let looked = async move {
+        let lookup = async move {
             let engines = core.send(GetEngines(zone)).await.unwrap_or_default();
             let live = gossip.send(Live).await.unwrap_or_default();
             (engines, live)
         };
-        let looked = looked.into_actor(self).then(|(engines, live), probe, ctx| {
-            probe.share_out(engines, &live, ctx);
-            probe.ask_all().into_actor(probe)
+        let lookup = lookup.into_actor(self).then(|(engines, live), probe, ctx| {
+            probe.assign_engines(engines, &live, ctx);
+            probe.poll_all().into_actor(probe)
         });
-        ctx.spawn(looked.map(|answers, probe, ctx| {
-            probe.asking = false;
-            for asked in answers.into_iter().flatten() {
-                probe.note(asked, ctx);
+        ctx.spawn(lookup.map(|results, probe, ctx| {
+            probe.polling = false;
+            for result in results.into_iter().flatten() {
+                probe.apply_result(result, ctx);
             }
         }));
     }
 
-    /// Takes up the engines that fall to this daemon, and lets go of the others.
-    fn share_out(&mut self, engines: Vec<Engine>, live: &[Peer], ctx: &mut Context<Self>) {
-        let me = self.parts.me;
+    /// Starts polling the engines that are assigned to this daemon, and stops polling the others.
+    fn assign_engines(&mut self, engines: Vec<Engine>, live: &[Peer], ctx: &mut Context<Self>) {
+        let me = self.parts.incarnation;
         let zone = live.iter().filter(|peer| peer.zone == self.parts.zone);
         let others: Vec<Incarnation> = zone
             .map(|peer| peer.incarnation)
@@ -111,75 +110,88 @@
             .collect();
         let mine: Vec<Engine> = engines
             .into_iter()
-            .filter(|engine| is_mine(&engine.id, me, &others))
+            .filter(|engine| is_assigned(&engine.id, me, &others))
+            .collect();
+        let old: Vec<EndpointId> = self
+            .engines
+            .iter()
+            .map(|engine| engine.id.clone())
             .collect();
-        let old: Vec<EndpointId> = self.duties.iter().map(|duty| duty.id.clone()).collect();
         for id in old {
             if !mine.iter().any(|engine| engine.id == id) {
-                self.duties.remove(&id);
-                self.withdraw(id, ctx);
+                self.engines.remove(&id);
+                self.remove_row(id, ctx);
             }
         }
         for engine in mine {
-            let old = self.duties.get(&engine.id);
-            // Another process under an old id has events of its own.
-            if old.is_none_or(|duty| duty.address != engine.address) {
-                self.duties.insert(Duty::new(engine.id, engine.address));
+            let old = self.engines.get(&engine.id);
+            // Another process under the same id numbers its events independently.
+            if old.is_none_or(|polled| polled.address != engine.address) {
+                self.engines
+                    .insert(PolledEngine::new(engine.id, engine.address));
             }
         }
     }
 
-    fn ask_all(&self) -> impl Future<Output = Vec<Option<PollResult>>> + use<> {
-        let asked: Vec<_> = self
-            .duties
+    fn poll_all(&self) -> impl Future<Output = Vec<Option<PollResult>>> + use<> {
+        let polls: Vec<_> = self
+            .engines
             .iter()
-            .map(|duty| ask(self.client.clone(), duty.clone()))
+            .map(|engine| poll(self.client.clone(), engine.clone()))
             .collect();
-        join_all(asked)
+        join_all(polls)
     }
 
-    fn note(&mut self, asked: PollResult, ctx: &mut Context<Self>) {
-        let Some(duty) = self.duties.get_mut(&asked.endpoint) else {
+    fn apply_result(&mut self, result: PollResult, ctx: &mut Context<Self>) {
+        let Some(engine) = self.engines.get_mut(&result.endpoint) else {
             return;
         };
-        duty.note(&asked.load, &asked.changes);
-        let due = duty.is_due(asked.at, &asked.load, ROW_GAP);
+        engine.record(&result.load, &result.changes);
+        let due = engine.is_row_due(result.at, &result.load, MIN_ROW_INTERVAL);
         let core = &self.parts.core;
-        core.do_send(Report(load(&asked.endpoint, asked.at, &asked.load)));
-        for change in asked.changes {
-            let event = wire::event(&asked.endpoint, asked.load.epoch, &change);
+        core.do_send(Report(load_input(
+            &result.endpoint,
+            result.at,
+            &result.load,
+        )));
+        for change in result.changes {
+            let event = wire::cache_event(&result.endpoint, result.load.epoch, &change);
             core.do_send(Report(Input::Routing(Event::Cache(event))));
         }
         if due {
-            self.pass_on(asked.endpoint, &asked.load, ctx);
+            self.publish_load(result.endpoint, &result.load, ctx);
         }
     }
 
-    /// Writes the row that tells the zone of an engine's load.
-    fn pass_on(&self, endpoint: EndpointId, load: &EngineLoad, ctx: &mut Context<Self>) {
+    /// Publishes the row with an engine's load to the zone.
+    fn publish_load(&self, endpoint: EndpointId, load: &EngineLoad, ctx: &mut Context<Self>) {
         let put = self.parts.gossip.send(Put {
             kind: LOAD,
             name: endpoint,
-            value: wire::row(load).encode_to_vec(),
+            value: wire::load_row(load).encode_to_vec(),
         });
         ctx.spawn(put.into_actor(self).map(|put, _, _| {
             if let Ok(Err(code)) = put {
-                log::warn!("probe: a load was not passed on: {code:?}.");
+                log::warn!("probe: cannot publish a load; the zone keeps the last one: {code:?}.");
             }
         }));
     }
 
-    /// Takes the row back: the daemon that asks the engine now has its own.
-    fn withdraw(&self, name: EndpointId, ctx: &mut Context<Self>) {
+    /// Removes the row, as the daemon that polls the engine now writes its own.
+    fn remove_row(&self, name: EndpointId, ctx: &mut Context<Self>) {
         let kind = LOAD;
         let removed = self.parts.gossip.send(Remove { kind, name });
-        // There may be no row yet, which is as good.
+        // It doesn't matter if there is no row yet.
         ctx.spawn(removed.into_actor(self).map(|_removed, _, _| ()));
     }
 }
 
-fn load(endpoint: &EndpointId, now: Instant, load: &EngineLoad) -> Input {
-    Input::Routing(Event::Load(load_report(endpoint, now, &wire::row(load))))
+fn load_input(endpoint: &EndpointId, now: Instant, load: &EngineLoad) -> Input {
+    Input::Routing(Event::Load(load_report(
+        endpoint,
+        now,
+        &wire::load_row(load),
+    )))
 }
 
 impl Actor for Probe {
@@ -187,6 +199,6 @@
 
     fn started(&mut self, ctx: &mut Self::Context) {
         self.round(ctx);
-        ctx.run_interval(GAP, Self::round);
+        ctx.run_interval(POLL_INTERVAL, Self::round);
     }
 }
--- a/daemon/src/probe/duty.rs
+++ b/daemon/src/probe/polled.rs
@@ -1,4 +1,4 @@
-//! An engine that this daemon asks.
+//! An engine that this daemon polls.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -7,68 +7,73 @@
 use poplarvale_lib::{EndpointId, Incarnation, Row};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// What is known of an engine from asking it.
+/// State of an engine that is polled.
 #[derive(Clone, Debug)]
-pub(super) struct Duty {
+pub(super) struct PolledEngine {
     pub(super) id: EndpointId,
     pub(super) address: SocketAddr,
-    /// Life of the engine that the events belong to.
+    /// Incarnation of the engine that the events belong to.
     pub(super) epoch: u64,
-    /// Number of its last event.
+    /// Sequence number of the last event received.
     pub(super) after: u64,
-    /// When the last row was written, and whether it told of an idle engine.
-    told: Option<(Instant, bool)>,
+    /// When the last row was written, and whether the engine was idle then.
+    last_row: Option<(Instant, bool)>,
 }
 
-impl Row for Duty {
+impl Row for PolledEngine {
     type Id = EndpointId;
     fn id(&self) -> &EndpointId {
         &self.id
     }
 }
 
-impl Duty {
+impl PolledEngine {
     pub(super) fn new(id: EndpointId, address: SocketAddr) -> Self {
         Self {
             id,
             address,
             epoch: 0,
             after: 0,
-            told: None,
+            last_row: None,
         }
     }
 
-    /// Number of the last event in a life of the engine. A new life counts anew;
-    /// asked for events after those of the old one, it would tell of none.
+    /// Sequence number of the last event received from an incarnation of the engine. A new
+    /// incarnation restarts the numbers, and would report no events after the old number.
     pub(super) fn after(&self, epoch: u64) -> u64 {
         if self.epoch == epoch { self.after } else { 0 }
     }
 
-    pub(super) fn note(&mut self, load: &EngineLoad, changes: &[CacheChange]) {
+    pub(super) fn record(&mut self, load: &EngineLoad, changes: &[CacheChange]) {
         let last = changes.iter().map(|change| change.seq).max();
         self.after = self.after(load.epoch).max(last.unwrap_or(0));
         self.epoch = load.epoch;
     }
 
-    /// Whether the zone is to be told; counts as done when it is. Of an engine
-    /// that stays idle there is nothing to tell.
-    pub(super) fn is_due(&mut self, now: Instant, load: &EngineLoad, gap: Duration) -> bool {
+    /// Whether a row is due; if so, it counts as written. An engine that stays idle needs no
+    /// further rows.
+    pub(super) fn is_row_due(
+        &mut self,
+        now: Instant,
+        load: &EngineLoad,
+        min_interval: Duration,
+    ) -> bool {
         let idle = load.running == 0 && load.pending == 0;
-        let due = match self.told {
+        let due = match self.last_row {
             None => true,
             Some((_, true)) if idle => false,
-            // An engine that has just become idle or busy is told of at once.
-            Some((at, was_idle)) => was_idle != idle || now >= at + gap,
+            // A change between idle and busy is published at once.
+            Some((at, was_idle)) => was_idle != idle || now >= at + min_interval,
         };
         if due {
-            self.told = Some((now, idle));
+            self.last_row = Some((now, idle));
         }
         due
     }
 }
 
-/// Whether an endpoint falls to this daemon rather than to one of the others.
-pub(super) fn is_mine(id: &EndpointId, me: Incarnation, others: &[Incarnation]) -> bool {
+/// Whether an endpoint is assigned to this daemon rather than to one of the others.
+pub(super) fn is_assigned(id: &EndpointId, me: Incarnation, others: &[Incarnation]) -> bool {
     let weight = |daemon| xxh3_64_with_seed(id.as_bytes(), daemon);
     others.iter().all(|other| weight(*other) < weight(me))
 }
--- a/daemon/src/probe/wire.rs
+++ b/daemon/src/probe/wire.rs
@@ -1,4 +1,4 @@
-//! What engines answer, and the row that passes it on.
+//! The calls to engines, and the gossip row that publishes an engine's load.
 
 use std::time::{Duration, Instant};
 
@@ -8,42 +8,42 @@
 use poplarvale_lib::protos::platform::{CacheChange, EngineLoad};
 use poplarvale_lib::routing::{CacheEvent, LoadReport};
 
-use super::duty::Duty;
+use super::polled::PolledEngine;
 
-/// Largest answer with events: some thousands of them.
+/// Size limit of an answer, in bytes. Enough for some thousand events.
 const MAX_ANSWER_BYTES: usize = 1 << 20;
 
-/// Answers of an engine.
+/// Answers of an engine to a poll.
 pub(super) struct PollResult {
     pub(super) endpoint: EndpointId,
-    /// When the load came.
+    /// When the load arrived.
     pub(super) at: Instant,
     pub(super) load: EngineLoad,
     pub(super) changes: Vec<CacheChange>,
 }
 
-/// Asks an engine; none if it does not answer. Load without events is worth
-/// having, so events that do not come count as none for now.
-pub(super) async fn ask(client: Client, duty: Duty) -> Option<PollResult> {
-    let url = |path: &str| format!("http://{}{path}", duty.address);
+/// Polls an engine. None if it doesn't answer. Load is useful even without events, so if the call
+/// for events fails, the result has no events.
+pub(super) async fn poll(client: Client, engine: PolledEngine) -> Option<PollResult> {
+    let url = |path: &str| format!("http://{}{path}", engine.address);
     let mut answer = client.get(url("/load")).send().await.ok()?;
     let load: EngineLoad = answer.json().limit(MAX_ANSWER_BYTES).await.ok()?;
     let at = Instant::now();
-    let path = format!("/cache/events?after={}", duty.after(load.epoch));
+    let path = format!("/cache/events?after={}", engine.after(load.epoch));
     let changes = match client.get(url(&path)).send().await {
         Ok(mut answer) => answer.json().limit(MAX_ANSWER_BYTES).await.ok(),
         Err(_) => None,
     };
     Some(PollResult {
-        endpoint: duty.id,
+        endpoint: engine.id,
         at,
         load,
         changes: changes.unwrap_or_default(),
     })
 }
 
-/// Row about a load.
-pub(super) fn row(load: &EngineLoad) -> LoadRow {
+/// Gossip row with an engine's load.
+pub(super) fn load_row(load: &EngineLoad) -> LoadRow {
     LoadRow {
         age_ms: load.age_ms,
         running: load.running,
@@ -55,8 +55,8 @@
     }
 }
 
-/// What a row that comes at a time says of an endpoint. A row is a round or two
-/// of gossip under way, which its age leaves out.
+/// The load report in a row that was received at the given time. The age in the row doesn't include
+/// the one or two gossip rounds that the row took to arrive.
 pub(crate) fn load_report(endpoint: &EndpointId, now: Instant, row: &LoadRow) -> LoadReport {
     let age = Duration::from_millis(row.age_ms.into());
     LoadReport {
@@ -71,8 +71,8 @@
     }
 }
 
-/// A change of an engine's cache, as routing takes it.
-pub(super) fn event(endpoint: &EndpointId, epoch: u64, change: &CacheChange) -> CacheEvent {
+/// A change of an engine's cache as an event for routing.
+pub(super) fn cache_event(endpoint: &EndpointId, epoch: u64, change: &CacheChange) -> CacheEvent {
     let (added, removed) = if change.added {
         (vec![change.block], Vec::new())
     } else {
--- a/daemon/src/run.rs
+++ b/daemon/src/run.rs
@@ -202,7 +202,7 @@
     });
     let hosts = start_hosts(settings, core, &gossip);
     let probe = probe::Parts {
-        me: setup.incarnation,
+        incarnation: setup.incarnation,
         zone: setup.zone.clone(),
         core: core.clone(),
         gossip: gossip.clone(),
--- a/daemon/src/shares.rs
+++ b/daemon/src/shares.rs
@@ -1,11 +1,10 @@
-//! The actor that tells the other daemons what this one claims of customers'
-//! limits.
+//! The actor that publishes this daemon's demand for and claims on customers' limits to the other
+//! daemons.
 //!
-//! Each round it writes the rows that have changed, and then a row without a
-//! name. Rows of one writer arrive in the order in which they were written, so
-//! who hears that last row has all others, and knows that the writer was alive.
-//! Without it a daemon with nothing new to say would look dead, and the claims of
-//! all others could not grow.
+//! Each round it writes the rows that have changed, followed by a row without a name. Rows of one
+//! writer arrive in the order in which they were written, so a daemon that receives this last row
+//! has received all others, and knows that the writer was alive. Without it a daemon whose rows
+//! don't change would look dead, and the claims of the others could not grow.
 
 use std::time::Duration;
 
@@ -19,19 +18,19 @@
 use crate::core::{Core, GetShares};
 use crate::peers::{Gossip, Put, Remove};
 
-/// Time between two rounds: gossip carries rows no faster.
-const GAP: Duration = ROUND;
-/// Name of the row that ends a round; no customer has it.
-const END: &str = "";
+/// Time between two rounds. Gossip doesn't spread rows any faster.
+const INTERVAL: Duration = ROUND;
+/// Name of the row that ends a round. No customer has this name.
+const ROUND_END: &str = "";
 
 /// Actor that writes the rows.
 pub(crate) struct Shares {
     core: Addr<Core>,
     gossip: Addr<Gossip>,
-    /// Customers with a row, sorted.
-    told: Vec<CustomerId>,
+    /// Customers that have a published row, sorted.
+    published: Vec<CustomerId>,
     rounds: u64,
-    telling: bool,
+    publishing: bool,
 }
 
 impl Shares {
@@ -39,28 +38,28 @@
         Self {
             core,
             gossip,
-            told: Vec::new(),
+            published: Vec::new(),
             rounds: 0,
-            telling: false,
+            publishing: false,
         }
     }
 
     fn round(&mut self, ctx: &mut Context<Self>) {
-        if self.telling {
+        if self.publishing {
             return;
         }
-        self.telling = true;
+        self.publishing = true;
         self.rounds += 1;
         let round = Round {
             core: self.core.clone(),
             gossip: self.gossip.clone(),
-            told: std::mem::take(&mut self.told),
+            published: std::mem::take(&mut self.published),
             number: self.rounds,
         };
-        let told = round.run().into_actor(self);
-        ctx.spawn(told.map(|told, shares, _| {
-            shares.telling = false;
-            shares.told = told;
+        let run = round.run().into_actor(self);
+        ctx.spawn(run.map(|published, shares, _| {
+            shares.publishing = false;
+            shares.published = published;
         }));
     }
 }
@@ -69,7 +68,7 @@
     type Context = Context<Self>;
 
     fn started(&mut self, ctx: &mut Self::Context) {
-        ctx.run_interval(GAP, Self::round);
+        ctx.run_interval(INTERVAL, Self::round);
     }
 }
 
@@ -77,37 +76,40 @@
 struct Round {
     core: Addr<Core>,
     gossip: Addr<Gossip>,
-    told: Vec<CustomerId>,
+    published: Vec<CustomerId>,
     number: u64,
 }
 
 impl Round {
-    /// Writes the rows; returns the customers that have one now.
+    /// Writes the rows. Returns the customers that have one now.
     async fn run(self) -> Vec<CustomerId> {
         let rows = self.core.send(GetShares).await.unwrap_or_default();
         let mut names: Vec<CustomerId> = Vec::with_capacity(rows.len());
-        let mut whole = true;
+        let mut complete = true;
         for row in rows {
             names.push(row.customer.clone());
-            whole &= self.put(&row.customer, encode(&row)).await;
+            complete &= self.put(&row.customer, encode(&row)).await;
         }
         names.sort_unstable();
-        for old in &self.told {
+        for old in &self.published {
             if names.binary_search(old).is_err() {
                 self.remove(old.clone()).await;
             }
         }
-        // Claims that the others have not heard of must not be counted on: where
-        // a row is missing, this daemon had better look silent to them.
-        if whole {
-            self.put(END, self.number.to_be_bytes().to_vec()).await;
+        // The others must not rely on claims that they have not received. If a row is missing,
+        // this daemon withholds the last row, so that it looks unresponsive to them.
+        if complete {
+            self.put(ROUND_END, self.number.to_be_bytes().to_vec())
+                .await;
         } else {
-            log::warn!("shares: too many customers for the rows of one daemon.");
+            log::warn!(
+                "shares: too many customers, some rows were not written; not ending this round."
+            );
         }
         names
     }
 
-    /// Writes a row; whether it was taken.
+    /// Writes a row. Returns whether gossip accepted it.
     async fn put(&self, name: &str, value: Vec<u8>) -> bool {
         let put = self.gossip.send(Put {
             kind: Kind::DEMAND,
@@ -119,18 +121,18 @@
 
     async fn remove(&self, name: CustomerId) {
         let kind = Kind::DEMAND;
-        // A row that is gone already is as good.
+        // It doesn't matter if the row has already been removed.
         let _ = self.gossip.send(Remove { kind, name }).await;
     }
 }
 
 fn encode(row: &ShareRow) -> Vec<u8> {
     let demand = Amounts {
-        requests: coarse(row.demand.requests),
-        tokens: coarse(row.demand.tokens),
-        running: coarse(row.demand.running),
+        requests: two_digits(row.demand.requests),
+        tokens: two_digits(row.demand.tokens),
+        running: two_digits(row.demand.running),
     };
-    // Rounded up, so that what others leave free is never too much.
+    // Rounded up, so that the others never leave less than the claim to this daemon.
     let claim = Amounts {
         requests: thousandths(row.claim.requests),
         tokens: thousandths(row.claim.tokens),
@@ -143,7 +145,7 @@
     share.encode_to_vec()
 }
 
-/// What a row says; none if it is of another form.
+/// Decodes a row. None if it has another form.
 pub(crate) fn decode(customer: &CustomerId, writer: Incarnation, value: &[u8]) -> Option<ShareRow> {
     let share = Share::decode(value).ok()?;
     Some(ShareRow {
@@ -154,7 +156,7 @@
     })
 }
 
-/// Row of a writer that neither asks for anything nor claims it.
+/// Row of a writer with neither demand nor claim, for a row that was removed.
 pub(crate) fn empty_row(customer: &CustomerId, writer: Incarnation) -> ShareRow {
     ShareRow {
         customer: customer.clone(),
@@ -176,9 +178,9 @@
     (amount * 1_000.0).ceil() as u64
 }
 
-/// Thousandths with two digits that count. Demand is noisy, and each change of a
-/// row is sent to every daemon of the region.
-fn coarse(amount: f64) -> u64 {
+/// The amount in thousandths, rounded up to two significant digits. Demand is noisy, and each
+/// change of a row is sent to every daemon of the region.
+fn two_digits(amount: f64) -> u64 {
     let exact = thousandths(amount);
     let step = 10_u64.pow(exact.checked_ilog10().unwrap_or(0).saturating_sub(1));
     exact.div_ceil(step) * step
