--- a/daemon/src/claims.rs
+++ b/daemon/src/claims.rs
@@ -143,9 +143,7 @@
         match command {
             Command::Dispatch(permit) => self.dispatch(permit, ctx),
             Command::Answer { request, answer } => self.respond(request, Outcome::Replayed(answer)),
-            Command::Reject(rejection) => {
-                self.respond(rejection.request, Outcome::Rejected(rejection));
-            }
+            Command::Reject(why) => self.respond(why.request, Outcome::Rejected(why)),
             Command::Forward { request, to } => self.forward(request, to),
             Command::Question { to, question } => self.ask_peer(to, question, ctx),
             Command::Write { number, write } => {
@@ -452,7 +450,5 @@
             return;
         }
     }
-    log::warn!(
-        "claims: the successor did not confirm the hand-over of a key space; its keys may stop working."
-    );
+    log::warn!("claims: hand-over of a key space not confirmed; its keys may stop working.");
 }
--- a/daemon/src/core.rs
+++ b/daemon/src/core.rs
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Drops answers whose retention has ended, and the oldest ones above the limit on kept
+    /// Drops answers whose retention time has passed, and the oldest ones above the limit on kept
     /// answers.
     fn drop_answers(&mut self, now: Instant) {
         let expired = self.retention.expire(now, self.limits.kept as usize);
--- a/daemon/src/core/retention.rs
+++ b/daemon/src/core/retention.rs
@@ -3,7 +3,7 @@
 //! Requests finish in another order than the table of jobs has, so finding the expired answers
 //! would mean a scan of the whole table in every tick. The cost of that scan grows with the request
 //! rate and the retention time. This queue holds the finished answers in the order in which they
-//! finished instead, and expires them in batches.
+//! finished instead, so an expiry run looks only at its front.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -38,7 +38,7 @@
         self.next_sweep <= now
     }
 
-    /// Removes the answers whose retention has finished and the oldest ones above `max` answers,
+    /// Removes the answers whose retention time has passed and the oldest ones above `max` answers,
     /// and returns their ids sorted.
     pub(super) fn expire(&mut self, now: Instant, max: usize) -> Vec<RequestId> {
         self.next_sweep = now + SWEEP_INTERVAL;
--- a/daemon/src/core/views.rs
+++ b/daemon/src/core/views.rs
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Counts the endpoints of a service by version for a move to a version. Of the
-    /// other versions the configured one counts as current, or else the one with most endpoints.
+    /// Counts the endpoints of a service by version for a move to a version. Of the other versions
+    /// the configured one counts as current, or else the one with the most endpoints.
     fn fleet(&self, service: &ServiceId, to: &VersionId) -> Option<Fleet> {
         let row = self.world.services.get(service)?;
         let configured = row.version.as_ref();
--- a/daemon/src/moves.rs
+++ b/daemon/src/moves.rs
@@ -173,7 +173,7 @@
     fn apply_snapshot(&mut self, snapshot: &Snapshot) {
         for value in &snapshot.rows {
             if let Some(stored) = decode_record(value) {
-                self.apply_and_publish(&stored);
+                self.add_record(&stored);
             }
         }
         for (service, _) in &self.records {
@@ -182,7 +182,7 @@
     }
 
     /// Applies a record if its revision is newer than the known one, and publishes it.
-    fn apply_and_publish(&mut self, stored: &Stored) {
+    fn add_record(&mut self, stored: &Stored) {
         if !self.apply_record(stored) {
             return;
         }
@@ -265,9 +265,7 @@
         ctx.spawn(
             call.into_actor(self)
                 .map(move |written, moves, _| match written {
-                    Some(Written::Done(revision)) => {
-                        moves.apply_and_publish(&Stored { revision, record });
-                    }
+                    Some(Written::Done(revision)) => moves.add_record(&Stored { revision, record }),
                     Some(Written::Conflict(snapshot)) => moves.apply_snapshot(&snapshot),
                     None => {}
                 }),
--- a/daemon/src/moves/operator.rs
+++ b/daemon/src/moves/operator.rs
@@ -83,7 +83,7 @@
     type Result = ();
 
     fn handle(&mut self, msg: ApplyRecord, _: &mut Context<Self>) {
-        self.apply_and_publish(&msg.0);
+        self.add_record(&msg.0);
     }
 }
 
--- a/daemon/src/probe.rs
+++ b/daemon/src/probe.rs
@@ -1,11 +1,12 @@
 //! The actor that polls the model engines of its zone for load and cache events.
 //!
 //! Routing depends on the load that engines report and would choose blindly without it. If every
-//! daemon polled every engine, the number of calls would grow with the product of daemons and
-//! engines. The engines of a zone are therefore distributed over its live daemons: rendezvous
-//! hashing assigns each engine to one daemon, and when a daemon joins or leaves, only its engines
-//! are reassigned. Daemons with different views of the live daemons may poll the same engine for a
-//! while. This does no harm, as the later of two reports wins.
+//! daemon polled every engine, the number of calls to an engine would grow with the number of
+//! daemons, and those of a daemon with the number of engines. The engines of a zone are therefore
+//! distributed over its live daemons: rendezvous hashing assigns each engine to one daemon, and
+//! when a daemon joins or leaves, only its engines are reassigned. Daemons with different views of
+//! the live daemons may poll the same engine for a while. This does no harm, as the later of two
+//! reports wins.
 //!
 //! The load of each engine is published to the other daemons of the zone as a gossip row. Cache
 //! events are too many for that and stay with the daemon that polls the engine.
