--- a/daemon/tests/test_leaving.rs
+++ b/daemon/tests/test_leaving.rs
@@ -1,4 +1,4 @@
-//! The list of hosts, and what callers get when it announces that hosts leave.
+//! The list of hosts, and what callers get when the list announces that hosts are leaving.
 
 use std::time::{Duration, Instant};
 
@@ -41,22 +41,22 @@
 }
 
 #[test]
-fn an_endpoint_is_told_once_and_again_when_it_changes() {
+fn an_endpoint_is_reported_once_and_again_when_it_changes() {
     let now = Instant::now();
     let mut list = HostList::new(Vec::new());
     assert_eq!(list.take(now, &hosts(&["a", "b"])).len(), 2);
     assert!(list.take(now, &hosts(&["a", "b"])).is_empty());
     let mut moved = hosts(&["a", "b"]);
     moved.hosts[1].version = "v2".into();
-    let told = list.take(now, &moved);
+    let inputs = list.take(now, &moved);
     assert!(
-        matches!(told.as_slice(), [Input::Endpoint(known)] if known.version == "v2"),
-        "{told:?}"
+        matches!(inputs.as_slice(), [Input::Endpoint(known)] if known.version == "v2"),
+        "{inputs:?}"
     );
 }
 
-/// The list lags, and a host is missing from one answer and back in the next.
-/// Were it dropped at once, its streams would be computed again elsewhere.
+/// The list lags: a host is missing from one answer and back in the next. If it were removed at
+/// once, its streams would be recomputed on other hosts.
 #[test]
 fn an_endpoint_is_gone_only_after_several_answers_without_it() {
     let now = Instant::now();
@@ -72,29 +72,29 @@
     assert_eq!(gone(&list.take(now, &hosts(&["a", "b"]))), ["c"]);
 }
 
-/// The list's server restarts and names no host for a while. The daemons would
-/// refuse all work although every endpoint is up.
+/// The list's server restarts and lists no host for a while. If the daemons applied that as soon as
+/// the absence of one host, they would reject all requests although every endpoint is up.
 #[test]
-fn a_list_that_has_lost_most_hosts_is_not_believed_for_long() {
+fn a_list_that_has_lost_most_hosts_is_ignored_for_longer() {
     let now = Instant::now();
     let mut list = HostList::new(Vec::new());
     list.take(now, &hosts(&["a", "b", "c"]));
     for _ in 1..ABSENT_MANY {
         assert!(list.take(now, &hosts(&[])).is_empty());
     }
-    let told = list.take(now, &hosts(&[]));
-    assert_eq!(gone(&told), ["a", "b", "c"]);
+    let inputs = list.take(now, &hosts(&[]));
+    assert_eq!(gone(&inputs), ["a", "b", "c"]);
 }
 
-/// The same notice is in every answer until the host is gone. Were its end
-/// counted anew each time, it would never come.
+/// The same notice is in every answer until the host is gone. If its end were computed anew from
+/// each answer, it would never come.
 #[test]
-fn a_notice_is_told_once_and_again_only_if_its_end_comes_earlier() {
+fn a_notice_is_reported_once_and_again_only_if_its_end_comes_earlier() {
     let now = Instant::now();
     let mut list = HostList::new(vec!["a".into()]);
     let mut answer = hosts(&["a"]);
     answer.hosts[0].leaving = true;
-    let until = |told: Vec<Input>| match told.as_slice() {
+    let until = |inputs: Vec<Input>| match inputs.as_slice() {
         [] => None,
         [Input::Leaving { until, .. }] => Some(*until),
         other => panic!("{other:?}"),
@@ -109,8 +109,8 @@
     assert_eq!(until(list.take(later, &answer)), None);
 }
 
-/// Endpoints of the settings are there although the platform's list may not
-/// name them, and the list's server may not know their address.
+/// Endpoints of the settings exist even if the platform's list doesn't contain them or its server
+/// doesn't know their address.
 #[test]
 fn endpoints_of_the_settings_stay() {
     let now = Instant::now();
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn hosts_that_serve_nothing_or_have_no_address_are_passed_over() {
+fn hosts_without_a_service_or_an_address_are_skipped() {
     let mut answer = hosts(&["a", "b", ""]);
     answer.hosts[0].service = String::new();
     answer.hosts[1].address = "somewhere".into();
@@ -130,13 +130,13 @@
     assert!(list.take(Instant::now(), &answer).is_empty());
 }
 
-/// A daemon's row of an endpoint; null if it does not know the endpoint.
+/// A daemon's row for an endpoint. Null if the daemon doesn't know the endpoint.
 async fn row(daemon: &Daemon, endpoint: &str) -> Value {
     let rows = daemon.operate(TOKEN, "/dump/endpoints").await.json();
     rows[endpoint].clone()
 }
 
-/// Waits until a stream of a daemon runs, and tells at which engine.
+/// Waits until a stream of a daemon runs, and returns the index of its engine.
 async fn engine_of(daemon: &Daemon) -> usize {
     loop {
         for engine in 0..2 {
@@ -149,7 +149,7 @@
 }
 
 /// Waits until all daemons know that an endpoint is leaving.
-async fn heard(site: &Site, endpoint: &str) {
+async fn wait_for_notice(site: &Site, endpoint: &str) {
     for daemon in &site.daemons {
         while row(daemon, endpoint).await["leaving_ms"].is_null() {
             tokio::time::sleep(PAUSE).await;
@@ -157,21 +157,21 @@
     }
 }
 
-/// Announces that a host leaves.
+/// Announces in the list that a host is leaving.
 async fn announce(site: &Site, mut host: Value, left: Duration) {
     host["leaving"] = json!(true);
     host["left_ms"] = json!(left.as_millis() as u64);
     site.list(&json!({"put": [host]})).await;
 }
 
-/// New hosts come all day. A daemon must use one that only the list names, and
-/// let go of it when the list has dropped it.
+/// Hosts are added at any time. A daemon must use a host that only the list contains, and stop
+/// using it when the list no longer contains it.
 #[actix_web::test]
-async fn a_host_that_the_list_names_is_used_and_let_go() {
-    let bare = |settings: &mut Value, _: &mut Vec<Process>| {
+async fn a_listed_host_is_used_until_it_is_removed() {
+    let without_endpoints = |settings: &mut Value, _: &mut Vec<Process>| {
         settings["services"][0]["endpoints"] = json!([]);
     };
-    let site = Site::fleet_with(&[true], &[], bare).await;
+    let site = Site::fleet_with(&[true], &[], without_endpoints).await;
     assert!(row(&site, "engine-0").await.is_null());
     let put = json!({"put": [site.listed(0), site.listed(1)]});
     site.list(&put).await;
@@ -187,13 +187,13 @@
     assert!(!row(&site, "engine-1").await.is_null());
 }
 
-/// The list's server dies. The daemon must not take that for hosts that are gone.
+/// The list's server dies. The daemon must not mistake that for hosts that are gone.
 #[actix_web::test]
-async fn a_list_that_cannot_be_reached_changes_nothing() {
-    let bare = |settings: &mut Value, _: &mut Vec<Process>| {
+async fn an_unreachable_list_changes_nothing() {
+    let without_endpoints = |settings: &mut Value, _: &mut Vec<Process>| {
         settings["services"][0]["endpoints"] = json!([]);
     };
-    let mut site = Site::fleet_with(&[true], &[], bare).await;
+    let mut site = Site::fleet_with(&[true], &[], without_endpoints).await;
     site.list(&json!({"put": [site.listed(0)]})).await;
     while row(&site, "engine-0").await.is_null() {
         tokio::time::sleep(PAUSE).await;
@@ -204,8 +204,8 @@
     assert!(!row(&site, "engine-0").await.is_null());
 }
 
-/// A host is reclaimed, and only one daemon reads the list that says so. The
-/// other one would go on sending streams there until they all break at once.
+/// A host is reclaimed, and only one daemon polls the list. Without a notice from it the other
+/// daemon would keep sending streams to the host until they all break at once.
 #[actix_web::test]
 async fn a_notice_to_one_daemon_stops_new_work_from_all() {
     let site = Site::fleet_with(&[true, false], &[], |_, _| ()).await;
@@ -219,7 +219,7 @@
     let stream = stream.await.expect("it answers");
     let from = engine_of(other).await;
     announce(&site, site.listed(from), Duration::from_millis(1_500)).await;
-    heard(&site, &format!("engine-{from}")).await;
+    wait_for_notice(&site, &format!("engine-{from}")).await;
     let before = site.counts(from).await["attempts"].clone();
     for n in 0..4 {
         for daemon in &site.daemons {
@@ -233,14 +233,13 @@
     let (text, ids, done) = events(&got.body);
     assert_eq!(text, answer(&prompt("carried"), 100));
     assert!(done && ids.len() == 100);
-    // It did move: the other engine sent tokens of it beside the short answers.
+    // The stream has moved: the other engine sent tokens of it besides those of the short answers.
     let tokens = site.counts(1 - from).await["tokens"].as_u64();
     assert!(tokens.is_some_and(|tokens| tokens > 16), "{tokens:?}");
 }
 
-/// A host of the booking application is reclaimed while a booking runs there.
-/// The family that has booked must get its answer, and the next one must hear
-/// that its booking was not run rather than lose it on the way.
+/// A host of the booking application is reclaimed while a booking runs there. The running booking
+/// must be answered, and the next one must be rejected as not run instead of being lost on the way.
 #[actix_web::test]
 async fn a_booking_accepted_before_the_notice_is_answered() {
     let site = Site::fleet_with(&[true, false], &[], |_, _| ()).await;
@@ -253,7 +252,7 @@
             tokio::time::sleep(PAUSE).await;
         }
         announce(&site, site.listed_plain(), Duration::from_secs(5)).await;
-        heard(&site, "booking-1").await;
+        wait_for_notice(&site, "booking-1").await;
         let late = json!({"id": "after"});
         other.post(KEY, "/services/bookings/bookings", &late).await
     };
@@ -264,7 +263,7 @@
     assert_eq!(site.ran("after").await, 0);
 }
 
-/// Waits until a daemon knows that both engines give their KV cache out.
+/// Waits until a daemon knows that both engines can export their KV cache.
 async fn knows_exports(daemon: &Daemon) {
     for engine in 0..2 {
         let id = format!("engine-{engine}");
@@ -274,9 +273,8 @@
     }
 }
 
-/// A season plan with a long history behind it is being written when its host is
-/// reclaimed. Computed again, the history would hold up every other stream of the
-/// next engine; moved with its cache, it costs nothing there.
+/// The host of a stream with a long prompt is reclaimed. Recomputing the prompt would delay every
+/// other stream of the next engine; if the KV cache moves with the stream, nothing is recomputed.
 #[actix_web::test]
 async fn a_stream_moves_with_its_cache() {
     let args = ["--export", "1000000"];
@@ -306,8 +304,8 @@
     assert_eq!(site.counts(from).await["cancelled"], 1);
 }
 
-/// The new engine fails to take the cache in. The stream must go on all the same,
-/// and its history is computed again.
+/// The new engine fails to import the KV cache. The stream must continue anyway, and its prompt is
+/// recomputed.
 #[actix_web::test]
 async fn a_stream_whose_cache_cannot_move_goes_on() {
     let args = ["--export", "1000000", "--no-import"];
--- a/daemon/tests/test_moves.rs
+++ b/daemon/tests/test_moves.rs
@@ -1,4 +1,4 @@
-//! Version moves over several daemons, as processes of their own.
+//! Version moves over several daemons that run as separate processes.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +7,7 @@
 
 use crate::site::{DAEMON, Daemon, Got, KEY, PAUSE, Site, TOKEN, chat, client, read};
 
-/// Answers asked at once, so that evidence comes quickly.
+/// Concurrent requests, so that evidence accumulates quickly.
 const CALLERS: usize = 8;
 
 /// A site whose second engine runs a new version.
@@ -41,44 +41,44 @@
     daemon.operate(TOKEN, "/moves/surf-lm").await.json()
 }
 
-/// Asks at all daemons until the move has ended on each; returns how many answers
-/// there were and how many were not whole.
-async fn ask_until_ended(site: &Site) -> (usize, usize) {
-    let (mut all, mut spoilt) = (0, 0);
+/// Sends requests to all daemons until the move has ended on each. Returns the number of answers
+/// and how many of them failed.
+async fn request_until_ended(site: &Site) -> (usize, usize) {
+    let (mut all, mut failed) = (0, 0);
     loop {
-        let asks = (0..CALLERS).map(|n| {
+        let requests = (0..CALLERS).map(|n| {
             let daemon = &site.daemons[n % site.daemons.len()];
             let body = chat(&format!("caller {n}"), 4, false);
             async move { daemon.post(KEY, "/v1/chat/completions", &body).await }
         });
-        let got = futures::future::join_all(asks).await;
+        let got = futures::future::join_all(requests).await;
         all += got.len();
-        spoilt += got.iter().filter(|got| got.status != 200).count();
+        failed += got.iter().filter(|got| got.status != 200).count();
         let mut states = BTreeSet::new();
         for daemon in &site.daemons {
             states.insert(state(daemon).await["ended"].as_bool());
         }
         if states.iter().all(|ended| *ended == Some(true)) {
-            return (all, spoilt);
+            return (all, failed);
         }
     }
 }
 
-/// A new version fails every request from its start. Without a move that watches,
-/// the whole pool would be replaced before anybody looks at the errors.
+/// A new version fails every request from its start. Without a move that watches the errors, all
+/// endpoints would be replaced before anybody notices them.
 #[actix_web::test]
-async fn a_version_that_fails_is_taken_back_on_all_daemons() {
+async fn a_version_that_fails_is_rolled_back_on_all_daemons() {
     let site = site().await;
     site.fault(2, &json!({"status": 500})).await;
-    let asked = start(&site.daemons[0], 120, 1).await;
-    assert_eq!(asked.status, 200, "{}", asked.body);
-    let (all, spoilt) = ask_until_ended(&site).await;
+    let started = start(&site.daemons[0], 120, 1).await;
+    assert_eq!(started.status, 200, "{}", started.body);
+    let (all, failed) = request_until_ended(&site).await;
     for daemon in &site.daemons {
         assert_eq!(state(daemon).await["state"], "taken_back");
     }
-    // What fails at the new version is sent again to the old one.
-    assert_eq!(spoilt, 0, "of {all}");
-    // After the verdict nothing more goes to it.
+    // Requests that fail at the new version are retried at the old one.
+    assert_eq!(failed, 0, "of {all}");
+    // After the verdict the new version gets no more requests.
     let before = site.counts(2).await["attempts"].clone();
     for n in 0..20 {
         let got = site
@@ -93,10 +93,10 @@
     assert_eq!(site.counts(2).await["attempts"], before);
 }
 
-/// A new version is started beside the old one, hours before anybody asks for a
-/// move. Callers must not be the ones who try it out.
+/// A new version is started beside the old one, hours before an operator starts a move. It must not
+/// get callers' requests until then.
 #[actix_web::test]
-async fn a_new_version_gets_nothing_before_a_move() {
+async fn a_new_version_gets_no_requests_before_a_move() {
     let site = site().await;
     for n in 0..30 {
         let daemon = &site.daemons[n % 2];
@@ -112,10 +112,10 @@
     assert_eq!(site.counts(2).await["attempts"], 0);
 }
 
-/// Two operators move the same service at once, and one cancels. Only one move may
-/// stand, and its end must be told as it is.
+/// Two operators start a move of the same service at once, and one cancels. Only one move may
+/// exist, and its end must be reported correctly.
 #[actix_web::test]
-async fn of_two_moves_at_once_one_is_refused_and_a_cancel_ends_the_other() {
+async fn of_two_concurrent_moves_one_is_rejected_and_a_cancel_ends_the_other() {
     let site = site().await;
     let both = futures::future::join(
         start(&site.daemons[0], 120, 1),
@@ -138,22 +138,22 @@
     }
 }
 
-/// A good version moves to full share by its time, and the callers notice nothing.
+/// A good version reaches the full share by the deadline of the move, and no request fails.
 #[actix_web::test]
-async fn a_good_version_is_done_in_time() {
+async fn a_move_to_a_good_version_completes_in_time() {
     let site = site().await;
-    let asked = start(&site.daemons[0], 60, 1).await;
-    assert_eq!(asked.status, 200, "{}", asked.body);
-    let (all, spoilt) = ask_until_ended(&site).await;
+    let started = start(&site.daemons[0], 60, 1).await;
+    assert_eq!(started.status, 200, "{}", started.body);
+    let (all, failed) = request_until_ended(&site).await;
     for daemon in &site.daemons {
         let state = state(daemon).await;
         assert_eq!(state["state"], "done", "{state}");
     }
-    assert_eq!(spoilt, 0, "of {all}");
+    assert_eq!(failed, 0, "of {all}");
 }
 
 #[actix_web::test]
-async fn moves_that_cannot_be_done_are_refused_with_the_reason() {
+async fn impossible_moves_are_rejected_with_the_reason() {
     let site = site().await;
     let short = start(&site.daemons[0], 5, 1).await;
     assert_eq!(
--- a/daemon/tests/test_once.rs
+++ b/daemon/tests/test_once.rs
@@ -1,4 +1,4 @@
-//! Requests with an idempotency key, judged by the booking application's count.
+//! Requests with an idempotency key. The booking application counts how often each one ran.
 
 use awc::http::StatusCode;
 use serde_json::{Value, json};
@@ -17,7 +17,7 @@
     read(sent.expect("the daemon answers")).await
 }
 
-/// A key that a daemon issued.
+/// Gets a key that a daemon issued.
 async fn issued(daemon: &Daemon) -> String {
     let got = daemon.post(KEY, "/v1/keys", &json!({})).await;
     assert_eq!(got.status, StatusCode::CREATED, "{}", got.body);
@@ -28,10 +28,10 @@
     (got.status.as_u16(), got.json()["ran"].clone())
 }
 
-/// A guest gets no answer and books again through another entry host. Without a
-/// claim the family would be charged twice.
+/// A guest gets no answer and retries the booking through another daemon. Without a claim on the
+/// key, the booking would run twice.
 #[actix_web::test]
-async fn a_repeat_through_another_daemon_gets_the_kept_answer() {
+async fn a_retry_through_another_daemon_gets_the_stored_answer() {
     let site = Site::fleet(2).await;
     let first = book(&site.daemons[0], "k-1", "b-1").await;
     assert_eq!(first.status, StatusCode::CREATED, "{}", first.body);
@@ -45,14 +45,14 @@
     assert_eq!(site.ran("b-other").await, 0);
 }
 
-/// Impatient guests press the button many times, and the balancer spreads the
-/// presses over the daemons.
+/// A guest submits the same booking many times at once, and the load balancer distributes the
+/// requests over the daemons.
 #[actix_web::test]
-async fn of_many_presses_at_once_one_runs() {
+async fn of_many_concurrent_requests_with_one_key_one_runs() {
     let site = Site::fleet(3).await;
     site.plain_fault(&json!({"slow_ms": 100})).await;
-    let presses = (0..24).map(|n| book(&site.daemons[n % 3], "k-2", "b-2"));
-    let all = futures::future::join_all(presses).await;
+    let requests = (0..24).map(|n| book(&site.daemons[n % 3], "k-2", "b-2"));
+    let all = futures::future::join_all(requests).await;
     assert_eq!(site.ran("b-2").await, 1);
     assert!(all.iter().any(|got| got.status == StatusCode::CREATED));
     for got in all.iter().filter(|got| got.status != StatusCode::CREATED) {
@@ -65,10 +65,10 @@
     }
 }
 
-/// The key-value service takes a claim and its answer is lost. The guest must
-/// neither be told "not run" about a booking that runs, nor book twice.
+/// The key-value service stores a claim and its response is lost. The daemon must neither report
+/// "not run" for a booking that runs, nor run it twice.
 #[actix_web::test]
-async fn a_claim_whose_answer_is_lost_runs_once() {
+async fn a_claim_whose_store_response_is_lost_runs_once() {
     let site = Site::fleet(1).await;
     site.store_fault(&json!({"lose": 1})).await;
     let got = book(&site.daemons[0], "k-3", "b-3").await;
@@ -76,22 +76,22 @@
     assert_eq!(site.ran("b-3").await, 1);
 }
 
-/// The key-value service is out. A key of the caller's own can't be claimed, so
-/// the guest hears at once that nothing ran; a key that a daemon issued works
-/// all the same, through any daemon, and once.
+/// The key-value service is unavailable. A key supplied by the caller can't be claimed, so the
+/// request is rejected at once as not run. A key that a daemon issued still works through any
+/// daemon, and runs once.
 #[actix_web::test]
-async fn bookings_with_issued_keys_go_on_while_the_service_is_out() {
+async fn issued_keys_work_while_the_store_is_unavailable() {
     let site = Site::fleet(2).await;
     let key = issued(&site.daemons[0]).await;
     site.store_fault(&json!({"down": true})).await;
-    let refused = book(&site.daemons[0], "k-4", "b-4").await;
-    assert_eq!(outcome(&refused), (503, json!("no")), "{}", refused.body);
-    assert!(refused.header("retry-after").parse::<u64>().is_ok());
+    let rejected = book(&site.daemons[0], "k-4", "b-4").await;
+    assert_eq!(outcome(&rejected), (503, json!("no")), "{}", rejected.body);
+    assert!(rejected.header("retry-after").parse::<u64>().is_ok());
     assert_eq!(site.ran("b-4").await, 0);
 
     let mut got = book(&site.daemons[1], &key, "b-5").await;
     while got.code() == 2009 {
-        // The second daemon has not heard yet where the first one serves.
+        // The second daemon doesn't know the first one's address for callers yet.
         tokio::time::sleep(PAUSE).await;
         got = book(&site.daemons[1], &key, "b-5").await;
     }
@@ -102,10 +102,10 @@
     assert_eq!(site.ran("b-5").await, 1);
 }
 
-/// The daemon that holds a claim is killed while the booking runs. Nobody can
-/// know any more how it ended, and it must not be sent a second time.
+/// The daemon that holds a claim is killed while the booking runs. The outcome is then unknown, and
+/// the booking must not be sent a second time.
 #[actix_web::test]
-async fn a_booking_of_a_killed_daemon_is_told_as_unknown() {
+async fn a_booking_of_a_killed_daemon_is_reported_as_unknown() {
     let mut site = Site::fleet(2).await;
     site.plain_fault(&json!({"mute": 1})).await;
     let url = format!("http://{}{PATH}", site.daemons[0].callers);
@@ -130,10 +130,10 @@
     assert_eq!(site.ran("b-6").await, 1);
 }
 
-/// The entry host that issued a guest's key is reclaimed with notice. The key
-/// must go on working, through the daemons that stay, and still once.
+/// The host of the daemon that issued a key is reclaimed with notice. The key must keep working
+/// through the remaining daemons, and still run at most once.
 #[actix_web::test]
-async fn issued_keys_outlive_an_announced_end() {
+async fn issued_keys_outlive_a_graceful_shutdown() {
     let mut site = Site::fleet(2).await;
     let (used, unused) = (
         issued(&site.daemons[0]).await,
@@ -151,7 +151,7 @@
 }
 
 #[actix_web::test]
-async fn a_malformed_key_is_refused() {
+async fn a_malformed_key_is_rejected() {
     let site = Site::start();
     let got = book(&site, &"k".repeat(200), "b-9").await;
     assert_eq!((got.status.as_u16(), got.code()), (400, 1009));
--- a/daemon/tests/test_probe.rs
+++ b/daemon/tests/test_probe.rs
@@ -1,4 +1,4 @@
-//! What daemons learn from model engines, and what they tell one another of it.
+//! Load and cache events that daemons poll from model engines, and the load that they share.
 
 use awc::http::StatusCode;
 use serde_json::{Value, json};
@@ -6,7 +6,7 @@
 use crate::site::{Daemon, KEY, PAUSE, Site, TOKEN, chat, client};
 
 const CHAT: &str = "/v1/chat/completions";
-/// Streams that an engine works on at once.
+/// Number of streams that an engine serves concurrently.
 const SLOTS: u64 = 16;
 
 /// What a daemon knows of the first engine's load.
@@ -15,25 +15,25 @@
     rows["engine-0"]["load"].clone()
 }
 
-/// Sends a stream to the first engine, past the daemons.
-async fn send_past(site: &Site, body: &Value) -> awc::http::StatusCode {
+/// Sends a stream directly to the first engine, without a daemon.
+async fn send_directly(site: &Site, body: &Value) -> awc::http::StatusCode {
     let url = format!("http://{}{CHAT}", site.engines[0].address("listening"));
     let got = client().post(url).send_json(body).await;
     got.expect("it answers").status()
 }
 
-/// An engine is full with the work of others. A daemon that knows only what it
-/// sent itself takes it for idle, and guests wait there while another is free.
+/// An engine is full with requests that other daemons sent. A daemon that knew only its own
+/// requests would consider the engine idle, and callers would wait there while another is free.
 #[actix_web::test]
 async fn all_daemons_of_a_zone_learn_of_an_engine_that_is_full() {
     let site = Site::fleet(2).await;
     site.fault(0, &json!({"slow_ms": 100})).await;
     let url = format!("http://{}{CHAT}", site.engines[0].address("listening"));
-    let mut held = Vec::new();
+    let mut streams = Vec::new();
     for n in 0..3 * SLOTS {
         let body = chat(&format!("others {n}"), 300, true);
         let stream = client().post(&url).send_json(&body).await;
-        held.push(stream.expect("it answers"));
+        streams.push(stream.expect("it answers"));
     }
     for daemon in &site.daemons {
         while load(daemon).await["running"] != SLOTS {
@@ -49,16 +49,16 @@
         }
     }
     assert_eq!(site.counts(0).await["attempts"], before);
-    drop(held);
+    drop(streams);
 }
 
-/// Another daemon's conversation fills an engine's cache. Whoever asks that
-/// engine learns which prompts it has, and each block is told of once.
+/// A conversation that this daemon has not routed fills an engine's cache. The daemon that polls
+/// the engine learns which blocks it has cached, and counts each block once.
 #[actix_web::test]
-async fn cache_events_reach_the_daemon_that_asks() {
+async fn cache_events_reach_the_daemon_that_polls() {
     let site = Site::fleet(2).await;
     let long = "a long history of lessons ".repeat(200);
-    let status = send_past(&site, &chat(&long, 1, true)).await;
+    let status = send_directly(&site, &chat(&long, 1, true)).await;
     assert_eq!(status, StatusCode::OK);
     let computed = site.counts(0).await["computed"].clone();
     assert_ne!(computed, 0);
