--- a/daemon/src/relay/crash.rs
+++ b/daemon/src/relay/crash.rs
@@ -18,7 +18,7 @@
     incarnation_hash,
 };
 use poplarvale_lib::relay::listing::Listing;
-use poplarvale_platform::{Txn, grant, read_granted, read_txn, txn};
+use poplarvale_platform::{Txn, grant_lease, read_lease, read_txn, txn};
 use prost::Message as _;
 
 use super::client::{Client, WriteError};
@@ -262,7 +262,7 @@
     fingerprint: Fingerprint,
     value: &[u8],
 ) -> Result<(), WriteError> {
-    let lease = read_granted(&store.call(&grant(CRASH_TTL), CALL_TIMEOUT).await?)?;
+    let lease = read_lease(&store.call(&grant_lease(CRASH_TTL), CALL_TIMEOUT).await?)?;
     let key = format_compact!("{CRASH_PREFIX}{fingerprint:016x}");
     let call = txn(&Txn {
         expect: vec![(key.clone(), 0)],
--- a/daemon/src/relay/watch.rs
+++ b/daemon/src/relay/watch.rs
@@ -16,8 +16,9 @@
 use poplarvale_lib::relay::rollout::Order;
 use poplarvale_lib::{EndpointId, era_of};
 use poplarvale_platform::{
-    CONFIG_KEY, Change, Item, OPERATORS, REGISTRY, ROLLOUTS, Reply, STATUS, StoreError, range,
-    read_config, read_listing, read_range, read_rollout, read_status, read_watched, watch,
+    CONFIG_KEY, Change, Item, OPERATOR_PREFIX, REGISTRY_PREFIX, ROLLOUT_PREFIX, Reply,
+    STATUS_PREFIX, StoreError, range, read_config, read_listing, read_range, read_rollout,
+    read_status, read_watch, watch,
 };
 
 use super::checkpoint::{self, CHECKPOINT_KEY};
@@ -97,7 +98,7 @@
                     state.store_progress.borrow_mut().invalidate();
                     continue;
                 }
-                if matches!(error, WatchError::Store(StoreError::Returned)) {
+                if matches!(error, WatchError::Store(StoreError::Restored)) {
                     log::info!("store: restored from an older copy; reading everything again.");
                     state.store_progress.borrow_mut().invalidate();
                     state.crashes.borrow_mut().mark_unsaved();
@@ -146,13 +147,13 @@
 
 /// Reads the configuration, the version moves, the keys of the daemons and the whole registry.
 async fn read_all(state: &State, client: &mut Client) -> Result<(), WatchError> {
-    let (items, revision) = list(client, OPERATORS).await?;
+    let (items, revision) = list(client, OPERATOR_PREFIX).await?;
     for item in &items {
         apply_config_item(state, item);
     }
     let moves = !state.rollouts.borrow().is_empty();
     if moves {
-        let (items, _) = list(client, STATUS).await?;
+        let (items, _) = list(client, STATUS_PREFIX).await?;
         for item in &items {
             apply_status(state, item);
         }
@@ -172,9 +173,9 @@
             checkpoint::restore_quota(state, &saved);
         }
     }
-    let (items, _) = list(client, REGISTRY).await?;
+    let (items, _) = list(client, REGISTRY_PREFIX).await?;
     if era_of(revision) != state.eras.newest() {
-        return Err(StoreError::Returned.into());
+        return Err(StoreError::Restored.into());
     }
     let now = Instant::now();
     let restored = state.eras.record_read(era_of(revision));
@@ -226,7 +227,7 @@
 async fn watch_once(state: &State, client: &mut Client, after: u64) -> Result<(), WatchError> {
     let call = watch(WATCH_PREFIX, after, WATCH_TIME);
     let reply: Reply = client.call(&call, WATCH_TIME + WATCH_SLACK).await?;
-    let watched = read_watched(&reply, after)?;
+    let watched = read_watch(&reply, after)?;
     for change in &watched.changes {
         apply_change(state, change);
     }
@@ -238,21 +239,21 @@
 /// Applies a change of any watched key.
 fn apply_change(state: &State, change: &Change) {
     match change {
-        Change::Put(item) if item.key.starts_with(OPERATORS) => {
+        Change::Put(item) if item.key.starts_with(OPERATOR_PREFIX) => {
             state
                 .store_progress
                 .borrow_mut()
                 .record_config_change(item.revision);
             apply_config_item(state, item);
         }
-        Change::Put(item) if item.key.starts_with(STATUS) => {
+        Change::Put(item) if item.key.starts_with(STATUS_PREFIX) => {
             state
                 .store_progress
                 .borrow_mut()
                 .record_config_change(item.revision);
             apply_status(state, item);
         }
-        Change::Put(item) if item.key.starts_with(REGISTRY) => {
+        Change::Put(item) if item.key.starts_with(REGISTRY_PREFIX) => {
             if let Some(listing) = read_entry(item) {
                 let change = RegistryChange::Put(listing);
                 apply_watched(state, item.revision, change);
@@ -265,15 +266,15 @@
                 .record_config_change(item.revision);
             set_duty_holder(state, Some(item));
         }
-        Change::Gone(key, revision) if key == LEADER_KEY => {
+        Change::Removed(key, revision) if key == LEADER_KEY => {
             state
                 .store_progress
                 .borrow_mut()
                 .record_config_change(*revision);
             set_duty_holder(state, None);
         }
-        Change::Gone(key, revision) => {
-            if let Some(id) = key.strip_prefix(REGISTRY) {
+        Change::Removed(key, revision) => {
+            if let Some(id) = key.strip_prefix(REGISTRY_PREFIX) {
                 apply_watched(state, *revision, RegistryChange::Removed(id.into()));
             }
         }
@@ -343,7 +344,7 @@
 fn apply_config_item(state: &State, item: &Item) {
     if item.key == CONFIG_KEY {
         apply_config(state, item);
-    } else if item.key.starts_with(ROLLOUTS) {
+    } else if item.key.starts_with(ROLLOUT_PREFIX) {
         apply_rollout(state, item);
     }
 }
@@ -376,7 +377,7 @@
 
 /// Applies the stored state of a version move.
 fn apply_status(state: &State, item: &Item) {
-    let Some(service) = item.key.strip_prefix(STATUS) else {
+    let Some(service) = item.key.strip_prefix(STATUS_PREFIX) else {
         return;
     };
     match read_status(&item.value) {
@@ -449,7 +450,7 @@
 
 /// The endpoint of a registry item; `None` if the item cannot be read.
 fn read_entry(item: &Item) -> Option<Listing> {
-    let id = item.key.strip_prefix(REGISTRY)?;
+    let id = item.key.strip_prefix(REGISTRY_PREFIX)?;
     match read_listing(id, &item.value) {
         Ok(listing) => Some(listing),
         Err(error) => {
--- a/daemon/src/shares.rs
+++ b/daemon/src/shares.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use actix::{Actor, ActorFutureExt as _, Addr, AsyncContext as _, Context, WrapFuture as _};
-use poplarvale_lib::gossip::{Kind, ROUND};
+use poplarvale_lib::gossip::{Kind, ROUND_INTERVAL};
 use poplarvale_lib::load::shares::{self, ShareRow};
 use poplarvale_lib::protos::peer::{Amounts, Share};
 use poplarvale_lib::{CustomerId, Incarnation};
@@ -19,7 +19,7 @@
 use crate::peers::{Gossip, Put, Remove};
 
 /// Time between two rounds. Gossip doesn't spread rows any faster.
-const INTERVAL: Duration = ROUND;
+const INTERVAL: Duration = ROUND_INTERVAL;
 /// Name of the row that ends a round. No customer has this name.
 const ROUND_END: &str = "";
 
