--- a/daemon/src/callers/services.rs
+++ b/daemon/src/callers/services.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services.
+//! Calls to plain HTTP services.
 
 use std::time::{Duration, Instant};
 
@@ -8,10 +8,10 @@
 use poplarvale_lib::{Code, Route, Service, ServiceKind};
 use xxhash_rust::xxh3::Xxh3;
 
-use super::{Shared, api_key, body, forward, whole};
+use super::{Shared, api_key, body, buffered, forward};
 use crate::claims::{Outcome, SubmitKeyed};
 use crate::core::{Authenticate, Submit};
-use crate::headers::{pairs, passed};
+use crate::headers::{forwardable, pairs};
 use crate::job::{CallerRequest, RequestKind};
 use crate::problem::Problem;
 
@@ -22,13 +22,13 @@
     payload: web::Payload,
 ) -> HttpResponse {
     let (service, rest) = path.into_inner();
-    match begin(&shared, &request, &service, &rest, payload).await {
+    match try_call(&shared, &request, &service, &rest, payload).await {
         Ok(response) => response,
         Err(problem) => problem.response(),
     }
 }
 
-async fn begin(
+async fn try_call(
     shared: &Shared,
     request: &HttpRequest,
     service: &str,
@@ -51,7 +51,7 @@
         kind: RequestKind::Plain {
             method: request.method().as_str().into(),
             target: target(&path, request.query_string()),
-            headers: passed(pairs(request.headers())),
+            headers: forwardable(pairs(request.headers())),
         },
         body,
     };
@@ -59,7 +59,7 @@
     if let (Some(claim), false) = (named, ask.idempotent) {
         let claim = claim.to_str().ok().and_then(Key::parse);
         let claim = claim.ok_or_else(|| Problem::new(Code::BadKey))?;
-        return once(shared, request, key, claim, ask).await;
+        return run_keyed(shared, request, key, claim, ask).await;
     }
     let submit = shared
         .core
@@ -72,11 +72,11 @@
     let answer = submit
         .map_err(|_closed| Problem::new(Code::Internal))?
         .map_err(Problem::new)?;
-    whole::plain(shared, answer).await
+    buffered::plain(shared, answer).await
 }
 
-/// Runs a request with an idempotency key, if it has not run.
-async fn once(
+/// Runs a request with an idempotency key, unless it has already run.
+async fn run_keyed(
     shared: &Shared,
     request: &HttpRequest,
     key: String,
@@ -91,11 +91,11 @@
     let body = ask.body.clone();
     let begin = SubmitKeyed {
         key,
-        digest: digest(request, &customer, &body),
+        digest: fingerprint(request, &customer, &body),
         customer,
         idempotency_key: claim,
         request: ask,
-        forwarded: forward::is_passed_on(request),
+        forwarded: forward::is_forwarded(request),
     };
     let outcome = shared
         .claims
@@ -103,15 +103,15 @@
         .await
         .map_err(|_closed| internal())?;
     match outcome {
-        Outcome::Running(answer) => whole::plain(shared, answer).await,
-        Outcome::Replayed(answer) => Ok(whole::kept(answer)),
-        Outcome::Forward(daemon) => forward::pass_on(daemon, request, body).await,
-        Outcome::Rejected(refusal) => Err(Problem::refused(&refusal)),
+        Outcome::Running(answer) => buffered::plain(shared, answer).await,
+        Outcome::Replayed(answer) => Ok(buffered::replay(answer)),
+        Outcome::Forward(daemon) => forward::forward(daemon, request, body).await,
+        Outcome::Rejected(rejection) => Err(Problem::rejected(&rejection)),
     }
 }
 
-/// Digest by which another request under the same key is told from a repeat.
-fn digest(request: &HttpRequest, customer: &str, body: &[u8]) -> u128 {
+/// Fingerprint that distinguishes a retry from a different request under the same key.
+fn fingerprint(request: &HttpRequest, customer: &str, body: &[u8]) -> u128 {
     let mut hash = Xxh3::new();
     for part in [
         request.method().as_str(),
--- a/daemon/src/claims.rs
+++ b/daemon/src/claims.rs
@@ -216,7 +216,7 @@
                 Ok(Ok(answer)) => {
                     // The caller may have disconnected; the request runs anyway.
                     let _ = pending.caller.send(Outcome::Running(Arc::clone(&answer)));
-                    run_result(&answer.ended().await)
+                    run_result(&answer.wait_end().await)
                 }
                 Ok(Err(why)) => {
                     let rejection = not_run(permit.request(), why);
--- a/daemon/src/core.rs
+++ b/daemon/src/core.rs
@@ -28,7 +28,7 @@
 use retention::Retention;
 
 use crate::answer::Answer;
-use crate::attempt::{self, Carry, Clients, Earlier};
+use crate::attempt::{self, Clients, EarlierAttempt, KvTransfer};
 use crate::job::{CallerRequest, Job, RequestKind};
 use crate::metrics::Metrics;
 use crate::moves::{Moves, PerformAction};
@@ -148,13 +148,13 @@
         };
         let (id, address) = (send.attempt, send.address);
         let (clients, core) = (self.clients.clone(), ctx.address());
-        let run = if let Some(carry) = self.cache_transfer(&send) {
-            attempt::run_after(clients, job, send, core, carry).boxed_local()
+        let run = if let Some(transfer) = self.cache_transfer(&send) {
+            attempt::run_after_transfer(clients, job, send, core, transfer).boxed_local()
         } else {
-            job.answer.begin(id);
+            job.answer.set_attempt(id);
             attempt::run(clients, job, send, core).boxed_local()
         };
-        self.metrics.sendings.add(1, &[]);
+        self.metrics.attempts.add(1, &[]);
         let (stop, registration) = AbortHandle::new_pair();
         let run = futures::future::Abortable::new(run, registration);
         actix::spawn(async move {
@@ -166,18 +166,18 @@
 
     /// The KV cache transfer that an attempt has to begin with. None if the earlier attempt has
     /// ended, as there is then no attempt to keep running during the transfer.
-    fn cache_transfer(&mut self, send: &Send) -> Option<Carry> {
+    fn cache_transfer(&mut self, send: &Send) -> Option<KvTransfer> {
         let request = self.world.requests.get(&send.request)?;
         let earlier = self.attempts.remove(&send.cache_from?)?;
-        Some(Carry {
+        Some(KvTransfer {
             from: earlier.address,
             blocks: request.order().blocks.clone(),
-            earlier: Earlier(earlier.stop),
+            earlier: EarlierAttempt(earlier.stop),
         })
     }
 
     fn finish(&mut self, request: RequestId, ending: Ending) {
-        self.metrics.ended(&ending);
+        self.metrics.record_request(&ending);
         let Some(job) = self.jobs.get_mut(&request) else {
             return;
         };
