--- a/daemon/src/claims.rs
+++ b/daemon/src/claims.rs
@@ -1,10 +1,9 @@
-//! The actor that lets requests with an idempotency key run at most once.
+//! The actor that runs requests with an idempotency key at most once.
 //!
-//! Which key may be dispatched is decided by `poplarvale_lib::claims`; here its
-//! commands become calls of the key-value service, of other daemons and of the
-//! core. A request is claimed before the core sees it. From its dispatch on the
-//! actor waits for the end itself, so that a caller who goes away can't leave a
-//! claim without one.
+//! `poplarvale_lib::claims` decides which key may be dispatched. The actor executes its commands as
+//! calls to the key-value service, to other daemons and to the core. A key is claimed before the
+//! core receives the request. After the dispatch the actor itself waits for the request to end, so
+//! that a claim gets its result even if the caller disconnects.
 
 mod peer;
 
@@ -29,69 +28,69 @@
 
 use crate::answer::{Answer, View};
 use crate::core::{Core, Submit};
-use crate::job::Ask;
-use crate::kinds::HOLDS;
+use crate::job::CallerRequest;
+use crate::kinds::INHERITED_KEYS;
 use crate::peers::{Client, Gossip, Put};
 use crate::platform::store::StoreClient;
 
 /// Longest time between two ticks.
 const TICK: Duration = Duration::from_millis(20);
-/// Bit that keeps the ids given out here apart from the core's own count.
-const CLAIMED: u64 = 1 << 63;
-/// Times that a hand-over is sent to the successor.
-const HAND_OVERS: u32 = 5;
+/// Bit that separates the request ids assigned here from those that the core assigns.
+const KEYED_ID_BIT: u64 = 1 << 63;
+/// Number of times that a key space is sent to the successor before the daemon gives up.
+const HAND_OVER_TRIES: u32 = 5;
 
-/// What a caller with a key gets.
+/// Result of a request with an idempotency key.
 #[derive(Debug)]
 pub(crate) enum Outcome {
-    /// It runs; its answer as it grows.
+    /// The request runs; its answer fills up as the endpoint sends it.
     Running(Arc<Answer>),
-    /// It ran before; the answer that was kept.
-    Kept(claims::Answer),
-    /// Another daemon has to do it.
-    Elsewhere(SocketAddr),
-    /// It is refused.
-    Refused(Rejection),
+    /// The request ran before; the stored answer.
+    Replayed(claims::Answer),
+    /// The request has to be forwarded to another daemon, at this address.
+    Forward(SocketAddr),
+    /// The request was rejected.
+    Rejected(Rejection),
 }
 
-/// A caller that waits for its claim.
-struct Waiting {
+/// A caller whose key is being claimed.
+struct PendingCaller {
     id: RequestId,
-    key: String,
-    ask: Ask,
+    api_key: String,
+    request: CallerRequest,
     caller: oneshot::Sender<Outcome>,
 }
 
-impl Row for Waiting {
+impl Row for PendingCaller {
     type Id = RequestId;
     fn id(&self) -> &RequestId {
         &self.id
     }
 }
 
-/// What the actor works with.
+/// Dependencies of the actor.
 pub(crate) struct Parts {
     pub(crate) incarnation: Incarnation,
     pub(crate) core: Addr<Core>,
     pub(crate) gossip: Addr<Gossip>,
     pub(crate) client: Client,
-    /// None without a platform: then only issued keys can be used.
+    /// None without a platform: then only issued keys can be claimed.
     pub(crate) store: Option<Rc<StoreClient>>,
 }
 
-/// Another daemon, as claims need it.
+/// What the actor needs to know of another daemon.
 #[derive(Clone, Debug)]
-pub(crate) struct Known {
+pub(crate) struct PeerDaemon {
     pub(crate) incarnation: Incarnation,
     /// Address for daemons.
     pub(crate) address: SocketAddr,
-    /// Address for callers, once it is known.
+    /// Address for callers. None until the daemon has advertised it.
     pub(crate) callers: Option<SocketAddr>,
-    /// Incarnations whose issued keys it holds.
-    pub(crate) holds: Vec<Incarnation>,
+    /// Incarnations whose issued keys it holds besides its own.
+    pub(crate) inherited: Vec<Incarnation>,
 }
 
-impl Row for Known {
+impl Row for PeerDaemon {
     type Id = Incarnation;
     fn id(&self) -> &Incarnation {
         &self.incarnation
@@ -103,9 +102,9 @@
     claimer: Claimer,
     parts: Parts,
     inputs: Vec<Input>,
-    waiting: Table<Waiting>,
-    daemons: Table<Known>,
-    count: u64,
+    pending: Table<PendingCaller>,
+    daemons: Table<PeerDaemon>,
+    request_count: u64,
 }
 
 impl std::fmt::Debug for Claims {
@@ -122,13 +121,13 @@
             claimer: Claimer::new(parts.incarnation, fastrand::u64(..)),
             parts,
             inputs: Vec::new(),
-            waiting: Table::new(),
+            pending: Table::new(),
             daemons: Table::new(),
-            count: 0,
+            request_count: 0,
         }
     }
 
-    fn take(&mut self, input: Input, ctx: &mut Context<Self>) {
+    fn push_input(&mut self, input: Input, ctx: &mut Context<Self>) {
         self.inputs.push(input);
         self.tick(ctx);
     }
@@ -136,17 +135,17 @@
     fn tick(&mut self, ctx: &mut Context<Self>) {
         let inputs = std::mem::take(&mut self.inputs);
         for command in self.claimer.tick(Instant::now(), inputs) {
-            self.carry_out(command, ctx);
+            self.execute(command, ctx);
         }
     }
 
-    fn carry_out(&mut self, command: Command, ctx: &mut Context<Self>) {
+    fn execute(&mut self, command: Command, ctx: &mut Context<Self>) {
         match command {
             Command::Dispatch(permit) => self.dispatch(permit, ctx),
-            Command::Answer { request, answer } => self.tell(request, Outcome::Kept(answer)),
-            Command::Reject(refusal) => self.tell(refusal.request, Outcome::Refused(refusal)),
+            Command::Answer { request, answer } => self.respond(request, Outcome::Replayed(answer)),
+            Command::Reject(why) => self.respond(why.request, Outcome::Rejected(why)),
             Command::Forward { request, to } => self.forward(request, to),
-            Command::Question { to, question } => self.ask(to, question, ctx),
+            Command::Question { to, question } => self.ask_peer(to, question, ctx),
             Command::Write { number, write } => {
                 let store = self.parts.store.clone();
                 let call = async move {
@@ -158,11 +157,11 @@
                 };
                 self.call(call, ctx);
             }
-            Command::Lease(lasts) => {
+            Command::Lease(ttl) => {
                 let store = self.parts.store.clone();
                 let call = async move {
                     Input::Leased(match store {
-                        Some(store) => store.grant(lasts).await,
+                        Some(store) => store.grant(ttl).await,
                         None => Err(Failure::NotDone),
                     })
                 };
@@ -171,24 +170,25 @@
         }
     }
 
-    /// Makes a call and hands the claimer what came of it.
+    /// Makes a call and passes its result to the claimer.
     fn call(&self, call: impl Future<Output = Input> + 'static, ctx: &mut Context<Self>) {
-        let then = |input, claims: &mut Self, ctx: &mut Context<Self>| claims.take(input, ctx);
+        let then =
+            |input, claims: &mut Self, ctx: &mut Context<Self>| claims.push_input(input, ctx);
         ctx.spawn(call.into_actor(self).map(then));
     }
 
-    fn tell(&mut self, request: RequestId, outcome: Outcome) {
-        if let Some(waiting) = self.waiting.remove(&request) {
-            // The caller may have gone away.
-            let _ = waiting.caller.send(outcome);
+    fn respond(&mut self, request: RequestId, outcome: Outcome) {
+        if let Some(pending) = self.pending.remove(&request) {
+            // The caller may have disconnected.
+            let _ = pending.caller.send(outcome);
         }
     }
 
     fn forward(&mut self, request: RequestId, to: Incarnation) {
         let address = self.daemons.get(&to).and_then(|daemon| daemon.callers);
         let outcome = match address {
-            Some(address) => Outcome::Elsewhere(address),
-            None => Outcome::Refused(Rejection {
+            Some(address) => Outcome::Forward(address),
+            None => Outcome::Rejected(Rejection {
                 request,
                 code: Code::NoClaim,
                 ran: Ran::No,
@@ -196,41 +196,41 @@
                 running: None,
             }),
         };
-        self.tell(request, outcome);
+        self.respond(request, outcome);
     }
 
-    /// Lets the core run a request, once, and waits for its end.
+    /// Submits a request to the core, once, and waits for it to end.
     fn dispatch(&mut self, permit: Permit, ctx: &mut Context<Self>) {
-        let Some(waiting) = self.waiting.remove(&permit.request()) else {
-            self.take(Input::Ended(permit, RunResult::Unsent), ctx);
+        let Some(pending) = self.pending.remove(&permit.request()) else {
+            self.push_input(Input::Ended(permit, RunResult::Unsent), ctx);
             return;
         };
         let core = self.parts.core.clone();
         let run = async move {
             let submit = Submit {
-                key: waiting.key,
-                ask: waiting.ask,
+                key: pending.api_key,
+                request: pending.request,
                 id: Some(permit.request()),
             };
-            let end = match core.send(submit).await {
+            let result = match core.send(submit).await {
                 Ok(Ok(answer)) => {
-                    // The caller may have gone away; the request runs all the same.
-                    let _ = waiting.caller.send(Outcome::Running(Arc::clone(&answer)));
-                    end(&answer.wait_end().await)
+                    // The caller may have disconnected; the request runs anyway.
+                    let _ = pending.caller.send(Outcome::Running(Arc::clone(&answer)));
+                    run_result(&answer.wait_end().await)
                 }
                 Ok(Err(why)) => {
-                    let refusal = refusal(permit.request(), why);
-                    let _ = waiting.caller.send(Outcome::Refused(refusal));
+                    let rejection = not_run(permit.request(), why);
+                    let _ = pending.caller.send(Outcome::Rejected(rejection));
                     RunResult::Unsent
                 }
                 Err(_closed) => RunResult::Unsent,
             };
-            Input::Ended(permit, end)
+            Input::Ended(permit, result)
         };
         self.call(run, ctx);
     }
 
-    fn ask(&self, to: Incarnation, question: Question, ctx: &mut Context<Self>) {
+    fn ask_peer(&self, to: Incarnation, question: Question, ctx: &mut Context<Self>) {
         let address = self.daemons.get(&to).map(|daemon| daemon.address);
         let client = self.parts.client.clone();
         let call = async move {
@@ -243,26 +243,26 @@
         self.call(call, ctx);
     }
 
-    fn tell_holds(&self) {
-        let holds = self.claimer.inherited_issuers();
+    fn publish_inherited(&self) {
+        let inherited = self.claimer.inherited_issuers();
         self.parts.gossip.do_send(Put {
-            kind: HOLDS,
+            kind: INHERITED_KEYS,
             name: "".into(),
-            value: holds.iter().flat_map(|id| id.to_be_bytes()).collect(),
+            value: inherited.iter().flat_map(|id| id.to_be_bytes()).collect(),
         });
     }
 }
 
-/// What a request's ending means to its claim.
-fn end(view: &View) -> RunResult {
+/// The result of a request for its claim.
+fn run_result(view: &View) -> RunResult {
     match &view.ending {
-        Some(Ending::Complete { status }) => RunResult::Answered(kept(*status, view)),
+        Some(Ending::Complete { status }) => RunResult::Answered(stored_answer(*status, view)),
         Some(Ending::Failed { ran: Ran::No, .. }) => RunResult::Unsent,
         _ => RunResult::Unknown,
     }
 }
 
-fn kept(status: u16, view: &View) -> claims::Answer {
+fn stored_answer(status: u16, view: &View) -> claims::Answer {
     let headers = view.head.iter().flat_map(|head| &head.headers);
     let content = headers
         .filter(|(name, _)| name == "content-type")
@@ -275,7 +275,7 @@
     }
 }
 
-fn refusal(request: RequestId, code: Code) -> Rejection {
+fn not_run(request: RequestId, code: Code) -> Rejection {
     Rejection {
         request,
         code,
@@ -293,80 +293,80 @@
     }
 }
 
-/// A caller's request with a key.
+/// A caller's request with an idempotency key.
 #[derive(Debug, Message)]
 #[rtype(result = "Outcome")]
-pub(crate) struct Begin {
+pub(crate) struct SubmitKeyed {
     /// API key.
     pub(crate) key: String,
     /// Customer that the API key belongs to.
     pub(crate) customer: CustomerId,
     /// Idempotency key.
-    pub(crate) claim: Key,
-    /// Digest of body and route.
+    pub(crate) idempotency_key: Key,
+    /// Digest of the body and the route.
     pub(crate) digest: u128,
-    /// What is asked.
-    pub(crate) ask: Ask,
-    /// Whether another daemon passed it on.
+    /// The request.
+    pub(crate) request: CallerRequest,
+    /// Whether another daemon forwarded the request.
     pub(crate) forwarded: bool,
 }
 
-impl Handler<Begin> for Claims {
+impl Handler<SubmitKeyed> for Claims {
     type Result = ResponseFuture<Outcome>;
 
-    fn handle(&mut self, msg: Begin, ctx: &mut Self::Context) -> Self::Result {
-        self.count += 1;
-        let id = joined(self.parts.incarnation, CLAIMED | self.count);
-        let ask = claims::KeyedRequest {
+    fn handle(&mut self, msg: SubmitKeyed, ctx: &mut Self::Context) -> Self::Result {
+        self.request_count += 1;
+        let id = joined(self.parts.incarnation, KEYED_ID_BIT | self.request_count);
+        let keyed = claims::KeyedRequest {
             id,
             customer: msg.customer,
-            key: msg.claim,
+            key: msg.idempotency_key,
             digest: msg.digest,
-            deadline: msg.ask.deadline,
+            deadline: msg.request.deadline,
             forwarded: msg.forwarded,
         };
         let (caller, outcome) = oneshot::channel();
-        self.waiting.insert(Waiting {
+        self.pending.insert(PendingCaller {
             id,
-            key: msg.key,
-            ask: msg.ask,
+            api_key: msg.key,
+            request: msg.request,
             caller,
         });
-        self.take(Input::Begin(ask), ctx);
+        self.push_input(Input::Begin(keyed), ctx);
         Box::pin(async move {
-            let refused = |_stopped| Outcome::Refused(refusal(id, Code::Draining));
-            outcome.await.unwrap_or_else(refused)
+            let rejected = |_stopped| Outcome::Rejected(not_run(id, Code::Draining));
+            outcome.await.unwrap_or_else(rejected)
         })
     }
 }
 
-/// Issues a key to a customer; none once this daemon is leaving.
+/// Issues an idempotency key to a customer. None once this daemon is shutting down.
 #[derive(Clone, Debug, Message)]
 #[rtype(result = "Option<Key>")]
-pub(crate) struct Issue(pub(crate) CustomerId);
+pub(crate) struct IssueKey(pub(crate) CustomerId);
 
-impl Handler<Issue> for Claims {
+impl Handler<IssueKey> for Claims {
     type Result = Option<Key>;
 
-    fn handle(&mut self, msg: Issue, _: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, msg: IssueKey, _: &mut Self::Context) -> Self::Result {
         self.claimer.issue(&msg.0)
     }
 }
 
-/// Another daemon's question about a claim of this one.
+/// Answers another daemon's question about a claim of this daemon.
 #[derive(Clone, Debug, Message)]
 #[rtype(result = "Reply")]
-pub(crate) struct Asked(pub(crate) Question);
+pub(crate) struct AnswerQuestion(pub(crate) Question);
 
-impl Handler<Asked> for Claims {
-    type Result = actix::MessageResult<Asked>;
+impl Handler<AnswerQuestion> for Claims {
+    type Result = actix::MessageResult<AnswerQuestion>;
 
-    fn handle(&mut self, msg: Asked, _: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, msg: AnswerQuestion, _: &mut Self::Context) -> Self::Result {
         actix::MessageResult(self.claimer.reply(&msg.0))
     }
 }
 
-/// Key space of a daemon that is leaving; whether it was taken.
+/// Takes over the key space of a daemon that is shutting down. Returns whether it was accepted.
 #[derive(Clone, Debug, Message)]
 #[rtype(result = "bool")]
 pub(crate) struct TakeOver(pub(crate) HandOver);
@@ -378,33 +378,33 @@
         let issuer = msg.0.issuer;
         let taken = self.claimer.take_over(Instant::now(), msg.0);
         if taken {
-            log::info!("claims: the keys of daemon {issuer:016x} are held here now.");
-            self.tell_holds();
+            log::info!("claims: took over the issued keys of daemon {issuer:016x}.");
+            self.publish_inherited();
         }
         taken
     }
 }
 
-/// The live daemons, without this one.
+/// Sets the live daemons, without this one.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
-pub(crate) struct SetDaemons(pub(crate) Vec<Known>);
+pub(crate) struct SetDaemons(pub(crate) Vec<PeerDaemon>);
 
 impl Handler<SetDaemons> for Claims {
     type Result = ();
 
     fn handle(&mut self, msg: SetDaemons, ctx: &mut Self::Context) {
-        let holders = msg.0.iter().map(|daemon| Peer {
+        let peers = msg.0.iter().map(|daemon| Peer {
             incarnation: daemon.incarnation,
-            holds: daemon.holds.clone(),
+            holds: daemon.inherited.clone(),
         });
-        let holders = holders.collect();
+        let peers = peers.collect();
         self.daemons = msg.0.into_iter().collect();
-        self.take(Input::Peers(holders), ctx);
+        self.push_input(Input::Peers(peers), ctx);
     }
 }
 
-/// Begins nothing more: this daemon will be gone.
+/// Stops accepting requests with keys, as this daemon is shutting down.
 #[derive(Clone, Copy, Debug, Message)]
 #[rtype(result = "()")]
 pub(crate) struct Freeze;
@@ -413,21 +413,21 @@
     type Result = ();
 
     fn handle(&mut self, _: Freeze, ctx: &mut Self::Context) {
-        self.take(Input::Freeze, ctx);
+        self.push_input(Input::Freeze, ctx);
     }
 }
 
-/// Gives the key spaces to another daemon, once nothing runs any more.
+/// Hands the key spaces over to another daemon. Sent when no request runs any more.
 #[derive(Clone, Copy, Debug, Message)]
 #[rtype(result = "()")]
-pub(crate) struct Leave;
+pub(crate) struct HandOverKeys;
 
-impl Handler<Leave> for Claims {
+impl Handler<HandOverKeys> for Claims {
     type Result = ResponseFuture<()>;
 
-    fn handle(&mut self, _: Leave, _: &mut Self::Context) -> Self::Result {
-        // Daemons with the same peers choose differently, so that one successor
-        // does not inherit a whole zone's keys.
+    fn handle(&mut self, _: HandOverKeys, _: &mut Self::Context) -> Self::Result {
+        // The choice is random, so that daemons with the same peers choose different successors
+        // and one successor doesn't inherit the keys of a whole zone.
         let at = fastrand::usize(..self.daemons.len().max(1));
         let Some(successor) = self.daemons.iter().nth(at).cloned() else {
             return Box::pin(async {});
@@ -442,13 +442,13 @@
     }
 }
 
-/// Sends a key space until the successor says that it has it. To another daemon
-/// it must not go any more: the first may have it, and both would dispatch.
+/// Sends a key space until the successor confirms that it has taken it. It must not be sent to
+/// another daemon afterwards: the first one may have it, and both would dispatch requests.
 async fn hand_over(client: &Client, to: SocketAddr, space: &HandOver) {
-    for _ in 0..HAND_OVERS {
+    for _ in 0..HAND_OVER_TRIES {
         if peer::hand_over(client, to, space).await == Some(true) {
             return;
         }
     }
-    log::warn!("claims: the keys of this daemon could not be handed over; they are dead.");
+    log::warn!("claims: hand-over of a key space not confirmed; its keys may stop working.");
 }
--- a/daemon/src/core/views.rs
+++ b/daemon/src/core/views.rs
@@ -1,4 +1,4 @@
-//! What operators see of the core and change in it.
+//! Queries on the core and edits of the lists, for operators and the other actors.
 
 use std::time::Instant;
 
@@ -13,8 +13,8 @@
 
 use super::Core;
 use super::messages::{
-    AreFresh, DumpTable, Engine, EnginesOf, FleetOf, GetLists, GetStatus, IsIdle, PutError,
-    PutLists, SharesOf, TablesOf,
+    DumpTable, Engine, GetEngines, GetFleet, GetLists, GetShares, GetStatus, GetTables, IsIdle,
+    MoveFreshness, PutError, PutLists,
 };
 
 impl Core {
@@ -42,10 +42,11 @@
         }
     }
 
-    /// What runs of a service, seen from a move to a version.
+    /// Counts the endpoints of a service by version for a move to a version. Of the other versions
+    /// the configured one counts as current, or else the one with the most endpoints.
     fn fleet(&self, service: &ServiceId, to: &VersionId) -> Option<Fleet> {
         let row = self.world.services.get(service)?;
-        let stated = row.version.as_ref();
+        let configured = row.version.as_ref();
         let mut counts: Vec<(VersionId, u32)> = Vec::new();
         for endpoint in self
             .world
@@ -64,11 +65,11 @@
         let new = counts.iter().find(|(version, _)| version == to);
         let new = new.map_or(0, |(_, count)| *count);
         let others = counts.iter().filter(|(version, _)| version != to);
-        let first = |(version, count): &&(VersionId, u32)| (Some(version) == stated, *count);
-        let (version, old) = others.max_by_key(first)?.clone();
+        let rank = |(version, count): &&(VersionId, u32)| (Some(version) == configured, *count);
+        let (version, old) = others.max_by_key(rank)?.clone();
         let idempotent = match row.kind {
             ServiceKind::Model => FULL_SHARE,
-            // The controllers go by the mix that they see; this is where they start.
+            // Only the initial value: the move controllers use the mix that they observe.
             ServiceKind::Plain => FULL_SHARE / 2,
         };
         Some(Fleet {
@@ -111,16 +112,16 @@
     type Result = Result<Revision, PutError>;
 
     fn handle(&mut self, msg: PutLists, ctx: &mut Context<Self>) -> Self::Result {
-        let mistakes = msg.lists.check();
-        if !mistakes.is_empty() {
-            return Err(PutError::Mistakes(mistakes));
+        let errors = msg.lists.check();
+        if !errors.is_empty() {
+            return Err(PutError::Invalid(errors));
         }
         let current = self.world.revision;
         if msg.base != current {
             return Err(PutError::Conflict { current });
         }
         let revision = current + 1;
-        self.take(
+        self.push_input(
             Input::Lists(Accepted {
                 revision,
                 lists: msg.lists,
@@ -140,18 +141,18 @@
     }
 }
 
-impl Handler<EnginesOf> for Core {
-    type Result = MessageResult<EnginesOf>;
+impl Handler<GetEngines> for Core {
+    type Result = MessageResult<GetEngines>;
 
-    fn handle(&mut self, msg: EnginesOf, _: &mut Context<Self>) -> Self::Result {
+    fn handle(&mut self, msg: GetEngines, _: &mut Context<Self>) -> Self::Result {
         let services = &self.world.services;
         let is_model = |id| {
             services
                 .get(id)
                 .is_some_and(|s| s.kind == ServiceKind::Model)
         };
-        let near = self.world.endpoints.iter().filter(|e| e.zone == msg.0);
-        let engines = near.filter(|e| is_model(&e.service)).map(|e| Engine {
+        let local = self.world.endpoints.iter().filter(|e| e.zone == msg.0);
+        let engines = local.filter(|e| is_model(&e.service)).map(|e| Engine {
             id: e.id.clone(),
             address: e.address,
         });
@@ -159,19 +160,19 @@
     }
 }
 
-impl Handler<SharesOf> for Core {
-    type Result = MessageResult<SharesOf>;
+impl Handler<GetShares> for Core {
+    type Result = MessageResult<GetShares>;
 
-    fn handle(&mut self, _: SharesOf, _: &mut Context<Self>) -> Self::Result {
+    fn handle(&mut self, _: GetShares, _: &mut Context<Self>) -> Self::Result {
         let world = &self.world;
         MessageResult(world.load.shares.rows(world.setup.incarnation))
     }
 }
 
-impl Handler<TablesOf> for Core {
-    type Result = MessageResult<TablesOf>;
+impl Handler<GetTables> for Core {
+    type Result = MessageResult<GetTables>;
 
-    fn handle(&mut self, _: TablesOf, _: &mut Context<Self>) -> Self::Result {
+    fn handle(&mut self, _: GetTables, _: &mut Context<Self>) -> Self::Result {
         MessageResult(TABLES.to_vec())
     }
 }
@@ -184,20 +185,20 @@
     }
 }
 
-impl Handler<AreFresh> for Core {
-    type Result = MessageResult<AreFresh>;
+impl Handler<MoveFreshness> for Core {
+    type Result = MessageResult<MoveFreshness>;
 
-    fn handle(&mut self, _: AreFresh, _: &mut Context<Self>) -> Self::Result {
+    fn handle(&mut self, _: MoveFreshness, _: &mut Context<Self>) -> Self::Result {
         let now = Instant::now();
         let moves = self.world.moves.iter();
         MessageResult(moves.map(|m| (m.id().clone(), m.is_fresh(now))).collect())
     }
 }
 
-impl Handler<FleetOf> for Core {
+impl Handler<GetFleet> for Core {
     type Result = Option<Fleet>;
 
-    fn handle(&mut self, msg: FleetOf, _: &mut Context<Self>) -> Self::Result {
+    fn handle(&mut self, msg: GetFleet, _: &mut Context<Self>) -> Self::Result {
         self.fleet(&msg.0, &msg.1)
     }
 }
--- a/daemon/src/operators/lists.rs
+++ b/daemon/src/operators/lists.rs
@@ -113,7 +113,7 @@
 
 fn put_problem(error: PutError) -> Problem {
     match error {
-        PutError::Mistakes(errors) => Problem::new(Code::BadLists).detail(join_errors(&errors)),
+        PutError::Invalid(errors) => Problem::new(Code::BadLists).detail(join_errors(&errors)),
         PutError::Conflict { .. } => Problem::new(Code::Conflict).detail(error.to_string()),
     }
 }
