--- a/lib/tests/traces/fleet.rs
+++ b/lib/tests/traces/fleet.rs
@@ -37,6 +37,7 @@
     in_flight: Vec<Message>,
     rng: fastrand::Rng,
     delay: Duration,
+    /// Number of daemons in the host list, which may be outdated.
     hosts: usize,
     /// Virtual time.
     pub now: Instant,
--- a/lib/testutils/src/fake_endpoints.rs
+++ b/lib/testutils/src/fake_endpoints.rs
@@ -81,7 +81,7 @@
 struct Endpoint {
     name: String,
     behaviour: Behaviour,
-    /// Work done so far for a job that has run since the start.
+    /// Work that a job would have received if it had run since the start, in units.
     attained: f64,
     /// Time up to which `attained` is computed.
     updated: Instant,
