--- a/lib/src/relay/catalog.rs
+++ b/lib/src/relay/catalog.rs
@@ -146,7 +146,7 @@
 pub struct Team {
     /// Name, as it is passed on to endpoints.
     pub name: CustomerId,
-    /// Priority that overrides that of the route; 0 is the most urgent.
+    /// Priority, which is compared before that of the route; 0 is the most urgent.
     pub rank: Option<u8>,
     /// Allowance in units per second; `None` for no limit.
     pub rate: Option<f64>,
--- a/lib/src/relay/crash.rs
+++ b/lib/src/relay/crash.rs
@@ -254,15 +254,15 @@
         found.is_ok()
     }
 
-    /// Crashes for this daemon's digest: the latest changes, and in a whole digest also all
+    /// Crashes for this daemon's digest: the latest changes, and in a full digest also all
     /// quarantined requests, which come first.
     ///
     /// Only daemons that observed a crash themselves report a suspected request. If all passed
     /// it on, hundreds of daemons would report each wave of crashes.
-    pub fn report(&self, whole: bool, now: Instant) -> Vec<Crash> {
+    pub fn report(&self, full: bool, now: Instant) -> Vec<Crash> {
         let is_reported = |row: &&Suspect| {
             let is_new = now < row.report_until && (row.is_local || row.is_quarantined());
-            is_new || (whole && row.is_quarantined())
+            is_new || (full && row.is_quarantined())
         };
         let mut rows: Vec<&Suspect> = self.rows.iter().filter(is_reported).collect();
         rows.sort_by_key(|row| Reverse((row.incarnations.len(), row.report_until)));
--- a/lib/src/relay/endpoint_table.rs
+++ b/lib/src/relay/endpoint_table.rs
@@ -105,7 +105,7 @@
     pub cache: PrefixCache,
     /// Until when it counts as full, after it reported to be so.
     pub full_until: Option<Instant>,
-    /// Request rate that it accepts from all daemons together, if it ever stated a limit.
+    /// Request rate that it accepts from all daemons together, if it ever announced a limit.
     pub limit: Option<Limit>,
 }
 
@@ -132,16 +132,16 @@
 pub struct EndpointTable {
     rows: Vec<Endpoint>,
     /// Learned speed of the engines of each service, sorted by service.
-    paces: Vec<(ServiceId, ServiceSpeed)>,
+    service_speeds: Vec<(ServiceId, ServiceSpeed)>,
     /// Speed of services for which none was learned yet.
-    default_pace: ServiceSpeed,
+    default_speed: ServiceSpeed,
     /// Current load reports, sorted by reporter.
     reports: Vec<LoadReport>,
     /// Until when missing entries make their endpoints doubtful, after an outage.
     grace_until: Option<Instant>,
     /// Endpoints that left and have no row any more.
-    ended: Tombstones,
-    /// Daemons that share the limits which endpoints state.
+    tombstones: Tombstones,
+    /// Daemons that share the limits which endpoints announce.
     sharers: Sharers,
 }
 
@@ -185,24 +185,24 @@
     }
 
     /// Learned speed of a service's engines.
-    pub fn pace(&self, service: &str) -> &ServiceSpeed {
-        match self.find_pace(service) {
-            Ok(at) => &self.paces[at].1,
-            Err(_) => &self.default_pace,
+    pub fn service_speed(&self, service: &str) -> &ServiceSpeed {
+        match self.find_service_speed(service) {
+            Ok(at) => &self.service_speeds[at].1,
+            Err(_) => &self.default_speed,
         }
     }
 
-    fn pace_mut(&mut self, service: &ServiceId) -> &mut ServiceSpeed {
-        let at = self.find_pace(service).unwrap_or_else(|at| {
-            self.paces
+    fn service_speed_mut(&mut self, service: &ServiceId) -> &mut ServiceSpeed {
+        let at = self.find_service_speed(service).unwrap_or_else(|at| {
+            self.service_speeds
                 .insert(at, (service.clone(), ServiceSpeed::default()));
             at
         });
-        &mut self.paces[at].1
+        &mut self.service_speeds[at].1
     }
 
-    fn find_pace(&self, service: &str) -> Result<usize, usize> {
-        self.paces
+    fn find_service_speed(&self, service: &str) -> Result<usize, usize> {
+        self.service_speeds
             .binary_search_by(|row| row.0.as_str().cmp(service))
     }
 
@@ -222,7 +222,7 @@
         let took = now.saturating_duration_since(request.sent);
         let (prefill, ahead, mut speed) = (request.prefill, request.ahead, row.speed);
         let service = row.listing.service.clone();
-        speed.learn(self.pace_mut(&service), prefill, ahead, took);
+        speed.learn(self.service_speed_mut(&service), prefill, ahead, took);
         self.rows[at].speed = speed;
     }
 
@@ -245,7 +245,7 @@
         }
         let service = row.listing.service.clone();
         let token = now.saturating_duration_since(first_event) / tokens;
-        self.pace_mut(&service).learn_step(token);
+        self.service_speed_mut(&service).learn_step(token);
     }
 
     /// Number of endpoints of a service that run another version than this one, and of
@@ -269,7 +269,7 @@
             EndpointState::Ready
         };
         match self.find(&listing.id) {
-            Err(_) if self.ended.is_outdated(&listing) => Changed::Nothing,
+            Err(_) if self.tombstones.is_outdated(&listing) => Changed::Nothing,
             Err(at) => {
                 let row = Endpoint::new(listing, state, &self.reports);
                 self.rows.insert(at, row);
@@ -374,7 +374,7 @@
             return false;
         }
         let last = row.map(|row| &row.listing);
-        let last = last.or_else(|| self.ended.last(&listing.id));
+        let last = last.or_else(|| self.tombstones.last(&listing.id));
         last.is_some_and(|last| listing.is_redundant_to(last))
     }
 
@@ -453,46 +453,46 @@
         found
     }
 
-    /// Records the limit that an endpoint stated in an answer to this daemon; returns whether
+    /// Records the limit that an endpoint announced in an answer to this daemon; returns whether
     /// its rate differs from the one known before.
-    pub fn record_limit(&mut self, id: &str, said: AnnouncedLimit) -> bool {
+    pub fn record_limit(&mut self, id: &str, announced: AnnouncedLimit) -> bool {
         let Ok(at) = self.find(id) else {
             return false;
         };
         let hash = self.rows[at].hash;
-        self.update_limit(hash, said, true)
+        self.update_limit(hash, announced, true)
     }
 
     /// Merges an endpoint's limit that another daemon advertises; returns whether its rate
     /// differs from the one known before.
-    pub fn merge_limit(&mut self, endpoint: u32, said: AnnouncedLimit) -> bool {
-        self.update_limit(endpoint, said, false)
+    pub fn merge_limit(&mut self, endpoint: u32, announced: AnnouncedLimit) -> bool {
+        self.update_limit(endpoint, announced, false)
     }
 
-    fn update_limit(&mut self, endpoint: u32, said: AnnouncedLimit, is_own: bool) -> bool {
+    fn update_limit(&mut self, endpoint: u32, announced: AnnouncedLimit, is_direct: bool) -> bool {
         let mut rows = self.rows.iter_mut();
         let Some(row) = rows.find(|row| row.hash == endpoint) else {
             return false;
         };
         let before = row.limit.as_ref().and_then(Limit::rate);
-        let held = row.limit.as_ref();
-        if held.is_none() && said.rate.is_none() {
+        let known = row.limit.as_ref();
+        if known.is_none() && announced.rate.is_none() {
             return false;
         }
-        if let Some(limit) = Limit::merge(held, endpoint, said, is_own, &self.sharers) {
+        if let Some(limit) = Limit::merge(known, endpoint, announced, is_direct, &self.sharers) {
             row.limit = Some(limit);
         }
         before != row.limit.as_ref().and_then(Limit::rate)
     }
 
-    /// Limits that endpoints stated to this daemon and that it advertises to the others, by
+    /// Limits that endpoints announced to this daemon and that it advertises to the others, by
     /// hash of the endpoint's id.
     pub fn advertised_limits(&self, now: Instant) -> Vec<(u32, AnnouncedLimit)> {
         let advertised = |row: &Endpoint| Some((row.hash, row.limit.as_ref()?.report(now)?));
         self.rows.iter().filter_map(advertised).collect()
     }
 
-    /// Sets which daemons share the limits that endpoints state.
+    /// Sets which daemons share the limits that endpoints announce.
     pub fn set_sharers(&mut self, sharers: Sharers, now: Instant) {
         if self.sharers == sharers {
             return;
@@ -550,10 +550,10 @@
         let is_over =
             |row: &Endpoint| row.state == EndpointState::Leaving && row.in_flight.is_empty();
         for row in self.rows.iter().filter(|row| is_over(row)) {
-            self.ended.add(row.listing.clone(), now);
+            self.tombstones.add(row.listing.clone(), now);
         }
         self.rows.retain(|row| !is_over(row));
-        self.ended.expire(now);
+        self.tombstones.expire(now);
         dropped
     }
 }
--- a/lib/src/relay/engine.rs
+++ b/lib/src/relay/engine.rs
@@ -60,8 +60,8 @@
 /// Bounds of an engine's factor.
 const MAX_FACTOR: f64 = 40.0;
 const MIN_FACTOR: f64 = 0.5;
-/// Fraction by which an engine's factor returns to 1 each second, so that an engine that gets
-/// no requests any more is tried again.
+/// Fraction by which an engine's factor returns to 1 at each call of [`EngineSpeed::recover`], so
+/// that an engine that gets no requests any more is tried again.
 const RECOVERY: f64 = 0.02;
 
 /// Milliseconds to the first event over the prompt tokens to prefill: a straight line fitted
@@ -268,8 +268,8 @@
         self.factor
     }
 
-    /// Moves the factor towards 1, so that an engine that gets no requests any more is tried
-    /// again; called once a second.
+    /// Moves the factor a little towards 1, so that an engine that gets no requests any more is
+    /// tried again. Called at each expiry of the endpoint table.
     pub fn recover(&mut self) {
         self.factor += (1.0 - self.factor) * RECOVERY;
     }
--- a/lib/src/relay/fleet.rs
+++ b/lib/src/relay/fleet.rs
@@ -117,8 +117,9 @@
         }
     }
 
-    /// On-demand endpoints of a zone that are kept before the need is known. All are kept if
-    /// work was requested, and until there are as many reclaimable ones.
+    /// Number of on-demand endpoints of a zone that are kept before the need is known. All are kept
+    /// if work was requested, while the registry's list may still be incomplete, and until as many
+    /// reclaimable ones are in use.
     fn kept(&self, zone: &str, serving: &Serving, requested: bool, now: Instant) -> u32 {
         let held = serving.in_zone(zone).0;
         let settled = now.duration_since(self.grew) >= LIST_SETTLE_TIME;
@@ -134,7 +135,7 @@
 /// Needs of the services and the orders placed so far.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Orders {
-    /// On-demand endpoints of each service.
+    /// Highest numbers of on-demand endpoints seen so far, by service.
     baselines: Vec<Baseline>,
     placed: Vec<PlacedOrder>,
     levels: Vec<Level>,
@@ -143,9 +144,9 @@
 }
 
 /// Number of endpoints of the learned speed that one second's work keeps fully busy.
-pub fn endpoints_needed(work: Work, slots: u32, pace: &ServiceSpeed) -> f64 {
+pub fn endpoints_needed(work: Work, slots: u32, speed: &ServiceSpeed) -> f64 {
     let running = f64::from(slots.max(1)) * SLOT_UTILIZATION;
-    work.read * pace.prefill_s() + work.write * pace.step_s() / running
+    work.read * speed.prefill_s() + work.write * speed.step_s() / running
 }
 
 /// Number of endpoints in use in each zone: on-demand and reclaimable ones.
@@ -375,10 +376,10 @@
                 .find(|row| row.service == service.name)
                 .and_then(|row| row.need)
         } else {
-            let pace = table.pace(&service.name);
+            let speed = table.service_speed(&service.name);
             self.level(
                 &service.name,
-                endpoints_needed(work, engine.slots, pace),
+                endpoints_needed(work, engine.slots, speed),
                 now,
             )
         };
--- a/lib/src/relay/quota.rs
+++ b/lib/src/relay/quota.rs
@@ -113,7 +113,7 @@
     credit: f64,
 }
 
-/// What this daemon and the peers that it hears from may grant of an allowance.
+/// What this daemon and its responsive peers may grant of an allowance.
 struct Allotment {
     /// Units a second.
     rate: f64,
@@ -388,7 +388,7 @@
         rows
     }
 
-    /// Drops what has left the window, and peers and zones that were not heard from for
+    /// Drops what has left the window, and peers and zones that have sent nothing for
     /// two windows.
     pub fn expire(&mut self, now: Instant) {
         let (window, first) = (self.window, self.first_step(now));
--- a/lib/src/relay/selection.rs
+++ b/lib/src/relay/selection.rs
@@ -123,7 +123,7 @@
     let shared = criteria.prompt.map(prefix_hashes).unwrap_or_default();
     let preferred = preferred(table, criteria, &shared);
     let trial = trial(table, criteria);
-    let pace = table.pace(&criteria.service.name);
+    let service_speed = table.service_speed(&criteria.service.name);
     let mut best: Option<(f64, Choice)> = None;
     let mut full = false;
     let mut limited: Option<Duration> = None;
@@ -140,7 +140,7 @@
             limited = Some(limited.map_or(wait, |least| least.min(wait)));
             continue;
         }
-        let (cost, choice) = evaluate(row, pace, criteria, &shared, preferred);
+        let (cost, choice) = evaluate(row, service_speed, criteria, &shared, preferred);
         if best.as_ref().is_none_or(|(least, _)| cost < *least) {
             best = Some((cost, choice));
         }
@@ -252,7 +252,7 @@
     }
 }
 
-/// Time for which the limit that an endpoint stated keeps this daemon from sending to it;
+/// Time for which the limit that an endpoint announced keeps this daemon from sending to it;
 /// `None` if it does not.
 fn limit_wait(row: &Endpoint, now: Instant) -> Option<Duration> {
     row.limit.as_ref()?.check(now).err()
@@ -278,7 +278,7 @@
 /// Cost of sending the request to this endpoint, in seconds, and the choice that it would be.
 fn evaluate(
     row: &Endpoint,
-    pace: &ServiceSpeed,
+    service_speed: &ServiceSpeed,
     criteria: &Criteria<'_>,
     shared: &[(PrefixHash, u32)],
     preferred: Option<&str>,
@@ -312,14 +312,16 @@
     let cached = recorded.max(presumed);
     let prefill = (f64::from(prompt.input) - cached).max(1.0);
     let ahead = row.backlog();
-    let wait = row.speed.time_to_first(&pace.line(), prefill, ahead);
+    let wait = row
+        .speed
+        .time_to_first(&service_speed.line(), prefill, ahead);
     let seconds = wait.as_secs_f64();
     let late = (seconds - criteria.target.as_secs_f64() * ON_TIME_SHARE).max(0.0);
     let repeated = (f64::from(total) - cached).max(0.0);
     let running = f64::from(row.active_requests());
     let cost = seconds
         + late * LATE_FACTOR
-        + repeated * REPEATED_PREFILL_FACTOR * pace.prefill_s()
+        + repeated * REPEATED_PREFILL_FACTOR * service_speed.prefill_s()
         + running * RUNNING_COST_S
         + crossing;
     (
@@ -329,7 +331,11 @@
             wait,
             prefill,
             ahead,
-            queue: wait.saturating_sub(row.speed.time_to_first(&pace.line(), prefill, 0.0)),
+            queue: wait.saturating_sub(row.speed.time_to_first(
+                &service_speed.line(),
+                prefill,
+                0.0,
+            )),
         },
     )
 }
--- a/lib/src/relay/shutdown.rs
+++ b/lib/src/relay/shutdown.rs
@@ -6,9 +6,10 @@
 //! - [`Draining`]: it reports that it is not ready, so that the load balancer sends no new
 //!   callers, and serves those that still come if the answer can be complete in time.
 //! - [`Closing`]: nothing is in progress any more, or the time is up. It starts no request: it
-//!   rejects those that it reads as not run, closes its connections cleanly, and accepts none.
-//!   Otherwise a request that came between the last check for requests in progress and the end
-//!   of the process would be sent to an endpoint and dropped with the process.
+//!   rejects those that it reads as not run, closes its connections cleanly, and accepts only
+//!   connections that were already waiting. Otherwise a request that came between the last check
+//!   for requests in progress and the end of the process would be sent to an endpoint and dropped
+//!   with the process.
 //! - After that only the last log lines are written.
 //!
 //! If the grace period is too short for all of it, draining is shortened first and closing
