--- a/daemon/src/relay/attempt.rs
+++ b/daemon/src/relay/attempt.rs
@@ -55,7 +55,7 @@
     pub(crate) version: CatalogVersion,
     /// Versions of the service that it may be sent to.
     pub(crate) versions: Versions,
-    pub(crate) content: LazyFingerprint<'r>,
+    pub(crate) fingerprint: LazyFingerprint<'r>,
 }
 
 /// How an attempt ended.
@@ -185,7 +185,7 @@
     let took = sent_at.elapsed() / u32::try_from(events).unwrap_or(u32::MAX);
     record_sample(state, job, choice, &outcome, took);
     if !matches!(outcome, AttemptOutcome::Failed(_)) && !state.crashes.borrow().is_empty() {
-        clear(state, job.content.get());
+        clear(state, job.fingerprint.get());
     }
     match &outcome {
         AttemptOutcome::Failed(error) => {
@@ -407,12 +407,12 @@
     log::info!(
         request = job.head.id.as_str(), endpoint = endpoint.id.as_str(), kept = reused,
         left_out = opened, after_ms = job.arrived.elapsed().as_millis() as u64,
-        content:% = format_args!("{:016x}", job.content.get()),
+        content:% = format_args!("{:016x}", job.fingerprint.get()),
         ran_ms = first_event.map(|at| at.elapsed().as_millis() as u64);
         "send: failed, {error}."
     );
     if may_have_crashed(state, endpoint, error, first_event) {
-        check_crash(state, endpoint, job.content.get());
+        check_crash(state, endpoint, job.fingerprint.get());
     }
 }
 
--- a/daemon/src/relay/crash.rs
+++ b/daemon/src/relay/crash.rs
@@ -90,15 +90,15 @@
 /// Checks whether an endpoint crashed under a request that broke off there.
 pub(crate) fn check_crash(state: &Rc<State>, endpoint: &Listing, fingerprint: Fingerprint) {
     let incarnation = incarnation_hash(endpoint);
-    let mut suspicions = state.suspicions.borrow_mut();
-    if let Some(row) = suspicions
+    let mut crash_checks = state.crash_checks.borrow_mut();
+    if let Some(row) = crash_checks
         .iter_mut()
         .find(|row| row.incarnation == incarnation)
     {
         row.fingerprints.push(fingerprint);
         return;
     }
-    suspicions.push(CrashCheck {
+    crash_checks.push(CrashCheck {
         incarnation,
         fingerprints: vec![fingerprint],
     });
@@ -134,11 +134,11 @@
 
 /// Ends the check of an endpoint and returns the requests that broke off there.
 fn take_check(state: &State, incarnation: IncarnationHash) -> Vec<Fingerprint> {
-    let mut suspicions = state.suspicions.borrow_mut();
-    let at = suspicions
+    let mut crash_checks = state.crash_checks.borrow_mut();
+    let at = crash_checks
         .iter()
         .position(|row| row.incarnation == incarnation);
-    at.map_or_else(Vec::new, |at| suspicions.swap_remove(at).fingerprints)
+    at.map_or_else(Vec::new, |at| crash_checks.swap_remove(at).fingerprints)
 }
 
 /// Logs a change of a request's crashes. From [`URGENT_CRASHES`] on it is sent to the other daemons
--- a/daemon/src/relay/dispatch.rs
+++ b/daemon/src/relay/dispatch.rs
@@ -90,7 +90,7 @@
         if Instant::now() + MIN_TIME_LEFT >= job.deadline || self.stopped.is_some() {
             return None;
         }
-        if quarantine_left(state, &job.content).is_some() {
+        if quarantine_left(state, &job.fingerprint).is_some() {
             self.stopped = Some(SelectError::None);
             return None;
         }
--- a/daemon/src/relay/metrics.rs
+++ b/daemon/src/relay/metrics.rs
@@ -108,7 +108,7 @@
         self.quarantined.add(1, &[]);
     }
 
-    /// Records the time until the first event or answer of a request.
+    /// Records the time until the first event of a streamed response.
     pub(crate) fn record_first_event(&self, elapsed: Duration) {
         self.first_event.record(elapsed.as_secs_f64(), &[]);
     }
--- a/daemon/src/relay/serve.rs
+++ b/daemon/src/relay/serve.rs
@@ -118,8 +118,8 @@
         return reject(state, write, head, rejection, keep).await;
     };
     let name = team.map_or("", |team| team.name.as_str());
-    let content = LazyFingerprint::new(name, &head.host, request, body);
-    if let Some(left) = quarantine_left(state, &content) {
+    let fingerprint = LazyFingerprint::new(name, &head.host, request, body);
+    if let Some(left) = quarantine_left(state, &fingerprint) {
         let rejection = Rejection::retry_later(Code::Quarantined, left);
         return reject(state, write, head, rejection, keep).await;
     }
@@ -146,7 +146,7 @@
         deadline: arrived + timeout,
         version: catalog.version,
         versions: versions(state, &service.name),
-        content,
+        fingerprint,
     };
     dispatch(state, &job, write, keep).await
 }
--- a/daemon/src/relay/state.rs
+++ b/daemon/src/relay/state.rs
@@ -42,7 +42,7 @@
     pub(crate) budget: RefCell<Budget>,
     pub(crate) crashes: RefCell<Crashes>,
     /// Endpoints whose process may have ended, until a new connection shows whether it has.
-    pub(crate) suspicions: RefCell<Vec<CrashCheck>>,
+    pub(crate) crash_checks: RefCell<Vec<CrashCheck>>,
     /// Notified when a request is quarantined.
     pub(crate) quarantined: Notify,
     pub(crate) demand: RefCell<Demand>,
@@ -109,7 +109,7 @@
                 settings.bounds.retry_window,
             )),
             crashes: RefCell::default(),
-            suspicions: RefCell::default(),
+            crash_checks: RefCell::default(),
             quarantined: Notify::new(),
             demand: RefCell::default(),
             rollouts: RefCell::new(Rollouts::new(settings.bounds.exposure)),
