--- a/daemon/src/relay/caller.rs
+++ b/daemon/src/relay/caller.rs
@@ -214,7 +214,7 @@
     let again = (code == Code::Draining).then_some(RETRY_SOON);
     let out = rejection_response(code, Ran::No, id, again, false);
     if let Err(error) = write.write_all(&out).await {
-        log::debug!("caller: sending a rejection failed, {error}.");
+        log::debug!("caller: sending a rejection failed, {error}; closing the connection.");
     }
     Connection::Close
 }
--- a/daemon/src/relay/duties.rs
+++ b/daemon/src/relay/duties.rs
@@ -334,7 +334,7 @@
     match write_checkpoint(store, holder, value.encode_to_vec().into()).await {
         Ok(Some(_)) => {}
         Ok(None) => log::info!("checkpoint: not written, another daemon is the duty holder."),
-        Err(error) => log::info!("checkpoint: not written, {error}."),
+        Err(error) => log::info!("checkpoint: not written, {error}; the next one replaces it."),
     }
 }
 
@@ -475,7 +475,7 @@
         Err(error) => {
             // The write may have been applied, or may still be. The read below, or that of the
             // next attempt, then finds the record, and reporting continues from it.
-            log::info!("duty: no response to the record of window {window}, {error}.");
+            log::info!("duty: no response to the record of window {window}, {error}; reading it.");
             None
         }
     };
@@ -616,7 +616,9 @@
             reply.status == 200
         }
         Err(error) => {
-            log::info!("duty: {count} {kind} endpoints in {zone} not ordered, {error}.");
+            log::info!(
+                "duty: {count} {kind} endpoints in {zone} not ordered, {error}; trying again."
+            );
             false
         }
     }
