--- a/daemon/src/relay/caller.rs
+++ b/daemon/src/relay/caller.rs
@@ -109,7 +109,7 @@
     };
     tokio::select! {
         biased;
-        after = serve(state, &request, &body, &head, arrived, write) => Some(after),
+        connection = serve(state, &request, &body, &head, arrived, write) => Some(connection),
         () = until_disconnected(read, buffer) => {
             log::info!(
                 request = head.id.as_str(), after_ms = arrived.elapsed().as_millis() as u64;
@@ -211,8 +211,8 @@
 /// Rejects a request that is invalid or not read to its end, and has the connection closed, as
 /// the start of the next request on it is not known.
 async fn reject(write: &mut WriteHalf<'_>, code: Code, id: Option<&str>) -> Connection {
-    let again = (code == Code::Draining).then_some(RETRY_SOON);
-    let out = rejection_response(code, Ran::No, id, again, false);
+    let retry_after = (code == Code::Draining).then_some(RETRY_SOON);
+    let out = rejection_response(code, Ran::No, id, retry_after, false);
     if let Err(error) = write.write_all(&out).await {
         log::debug!("caller: sending a rejection failed, {error}; closing the connection.");
     }
--- a/lib/src/relay/change_feed.rs
+++ b/lib/src/relay/change_feed.rs
@@ -54,7 +54,7 @@
     pub config_revision: Revision,
     /// Changes of the registry, in the order of their revisions.
     pub changes: Vec<(Revision, RegistryChange)>,
-    /// Checksum of the endpoints in use after these changes.
+    /// Checksum of the ready endpoints after these changes.
     pub checksum: u32,
 }
 
@@ -95,7 +95,7 @@
     recent_after: Revision,
     /// Whether this daemon is reading the store itself.
     is_reading: bool,
-    /// Feeds in a row with a different checksum of the endpoints in use.
+    /// Feeds in a row with a different checksum of the ready endpoints.
     mismatches: u32,
 }
 
--- a/lib/src/relay/selection.rs
+++ b/lib/src/relay/selection.rs
@@ -151,7 +151,7 @@
                 .limits
                 .map(|row| row.check(choice.queue, choice.wait));
             match checked {
-                Some(Err(again)) => Err(SelectError::Busy(again)),
+                Some(Err(wait)) => Err(SelectError::Busy(wait)),
                 Some(Ok(())) | None => Ok(choice),
             }
         }
@@ -173,17 +173,18 @@
     let rank = |row: &&Endpoint| xxh3_64_with_seed(row.listing.id.as_bytes(), criteria.seed);
     let mut rows: Vec<&Endpoint> = rows.collect();
     rows.sort_by_cached_key(rank);
-    let (mut near, mut far): (Vec<_>, Vec<_>) = rows
+    let (mut same_zone, mut other_zone): (Vec<_>, Vec<_>) = rows
         .into_iter()
         .partition(|row| row.listing.zone == criteria.zone);
-    near.truncate(SAME_ZONE_SAMPLE);
-    far.truncate(if near.is_empty() {
+    same_zone.truncate(SAME_ZONE_SAMPLE);
+    other_zone.truncate(if same_zone.is_empty() {
         SAME_ZONE_SAMPLE
     } else {
         OTHER_ZONE_SAMPLE
     });
-    near.append(&mut far);
-    near.into_iter()
+    same_zone.append(&mut other_zone);
+    same_zone
+        .into_iter()
         .map(|row| row.listing.id.as_str())
         .collect()
 }
