--- a/lib/src/routing.rs
+++ b/lib/src/routing.rs
@@ -4,7 +4,7 @@
 //! Each module makes one kind of decision from its arguments alone, without
 //! access to the world's tables or the clock, so that it can be read, tested and
 //! embedded separately. [`View`] holds what a daemon knows about its endpoints
-//! beyond the endpoint table; the systems `choose`, `route` and `leaving` use it
+//! beyond the endpoint table; the systems `choose`, `dispatch` and `leaving` use it
 //! in each tick.
 
 mod backlog;
--- a/lib/src/routing/pick.rs
+++ b/lib/src/routing/pick.rs
@@ -195,12 +195,12 @@
 ) -> Vec<ScoredCandidate<'a>> {
     let blocks = &criteria.waiting.order.blocks;
     let mut rough: Vec<(f64, usize)> = Vec::with_capacity(candidates.len());
-    for (at, (candidate, &assumed)) in candidates.iter().zip(assumed).enumerate() {
+    for (at, (candidate, &expected)) in candidates.iter().zip(assumed).enumerate() {
         let known = candidate.info.cache.estimate(blocks) as f64;
         // Random jitter, so that among many equal endpoints the daemons do not
         // all preselect the same few.
         let jitter = rng.f64() * TIE_S;
-        let seconds = cost(candidate, known.max(assumed), criteria).seconds();
+        let seconds = cost(candidate, known.max(expected), criteria).seconds();
         rough.push((seconds + jitter, at));
     }
     if rough.len() > MAX_EXACT {
--- a/lib/src/routing/prefix_cache.rs
+++ b/lib/src/routing/prefix_cache.rs
@@ -35,7 +35,8 @@
 /// take 12 MB.
 pub const MAX_BLOCKS: usize = 2048;
 /// Maximum number of missing events tracked. With more, the gap can no longer be
-/// closed, and the entries from before it are not confirmed again.
+/// closed, and an entry from before it is confirmed only by a later prompt or event
+/// that names its block.
 const MAX_MISSING: usize = 256;
 /// Share of the entries kept when the model is full, in eighths. Evicting one
 /// entry at a time would search for the oldest with every prompt sent.
