--- a/lib/src/load/shares.rs
+++ b/lib/src/load/shares.rs
@@ -57,10 +57,12 @@
 const SLACK: f64 = 1.2;
 /// Time over which demand is averaged, in seconds.
 const DEMAND_WINDOW_S: f64 = 3.0;
-/// Demand below which it counts as none. It decays exponentially, and without a
-/// threshold a row would be sent forever after one request.
+/// An amount of demand below this counts as none, in its own unit (requests or
+/// tokens per second, or requests in progress). Demand decays exponentially, and
+/// without a threshold a row would be sent forever after one request.
 const MIN_RATE: f64 = 0.001;
-/// Fraction of a limit below which demand counts as none.
+/// Demand below this fraction of the pool, which is the limit without the part that
+/// is split evenly, counts as none.
 const MIN_DEMAND_FRACTION: f64 = 0.001;
 
 /// An amount of each thing that a plan limits.
--- a/lib/src/load/state.rs
+++ b/lib/src/load/state.rs
@@ -312,7 +312,7 @@
             let mark = stats.meter.mark(now);
             let service = stats.service.clone();
             let service_stats = self.service_stats.get(&service);
-            let service_mark = service_stats.map_or(mark, |stats| stats.meter.mark(now));
+            let service_mark = service_stats.map_or(mark, |s| s.meter.mark(now));
             let endpoint = endpoint.clone();
             self.in_flight.insert(InFlight {
                 id,
--- a/lib/src/request.rs
+++ b/lib/src/request.rs
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Makes it run, as idempotent or non-idempotent as its route declares.
+    /// Starts an attempt, which can be retried only if the order is idempotent.
     pub fn send(self, attempt: Attempt) -> Request {
         if self.order.idempotent {
             Request::Idempotent(self.run(attempt))
--- a/lib/src/systems/admit.rs
+++ b/lib/src/systems/admit.rs
@@ -95,7 +95,7 @@
     Ok(())
 }
 
-/// The customer's plan, if it includes the requested service or model.
+/// The customer's plan, if it includes the requested model or, without a model, the service.
 fn find_plan<'a>(world: &'a World, order: &Order) -> Result<&'a Plan, Rejection> {
     let customer = world.customers.get(&order.customer);
     let plan = customer.and_then(|customer| world.plans.get(&customer.plan));
@@ -107,7 +107,7 @@
     }
 }
 
-/// Rejects the request if the queue is full or no endpoint of the service is left that stays.
+/// Rejects the request if the queue is full or all endpoints of its service are leaving.
 fn check_capacity(world: &World, now: Instant, order: &Order) -> Result<(), Rejection> {
     if world.load.waiting() >= world.setup.waiting {
         return Err(Rejection::temporary(Code::Full, now));
--- a/lib/src/systems/health.rs
+++ b/lib/src/systems/health.rs
@@ -130,10 +130,10 @@
         let stats = world.load.endpoint_stats.get_mut(id);
         stats.is_some_and(|stats| stats.ejection.record_success(now, slow))
     } else {
-        let usual = world.load.typical_failures(&service, id);
+        let typical = world.load.typical_failures(&service, id);
         let stats = world.load.endpoint_stats.get_mut(id);
         stats.is_some_and(|stats| {
-            stats.ejection.record_failure() && stats.ejection.is_outlier(usual)
+            stats.ejection.record_failure() && stats.ejection.is_outlier(typical)
         })
     };
     if bad {
--- a/lib/src/systems/versions.rs
+++ b/lib/src/systems/versions.rs
@@ -37,7 +37,7 @@
     pub at: Instant,
     /// Wall-clock time then, in milliseconds since 1970.
     pub wall: u64,
-    /// Counts of live and of recently heard daemons.
+    /// Numbers of live daemons and of those that sent a digest recently.
     pub reach: Reach,
 }
 
