--- a/lib/src/moves/stages.rs
+++ b/lib/src/moves/stages.rs
@@ -57,6 +57,8 @@
 const SECOND_SHARE: Share = 50_000;
 const THIRD_SHARE: Share = 250_000;
 const HALF_SHARE: Share = 500_000;
+/// Share that the old version keeps until the move is done, before it is fitted
+/// to a whole number of endpoints.
 const KEPT_SHARE: Share = 20_000;
 
 /// Share of non-idempotent requests under suspicion, once they have begun to move.
--- a/lib/src/moves/verdict/limits.rs
+++ b/lib/src/moves/verdict/limits.rs
@@ -22,7 +22,8 @@
 /// hundred.
 pub(super) const MIN_CONTROL_LATENCIES: f64 = 50.0;
 
-/// How long a suspicion of failures waits for them where few requests come.
+/// How long a suspicion of failures waits for [`MIN_CONTROL_REQUESTS`] where few
+/// requests come.
 pub(super) const CONTROL_REQUESTS_WAIT: Duration = Duration::from_secs(10);
 
 /// Time after which evidence counts towards a suspicion of failures. A daemon's own
