--- a/lib/src/claims/claimer/keys.rs
+++ b/lib/src/claims/claimer/keys.rs
@@ -40,17 +40,17 @@
     }
 
     /// Accepts a key space; returns whether this daemon holds it or has held it.
-    pub fn take_over(&mut self, now: Instant, over: HandOver) -> bool {
-        let known = self.spaces.iter().any(|s| s.issuer() == over.issuer)
+    pub fn take_over(&mut self, now: Instant, hand_over: HandOver) -> bool {
+        let known = self.spaces.iter().any(|s| s.issuer() == hand_over.issuer)
             || self
                 .handed_over
                 .iter()
-                .any(|(issuer, _)| *issuer == over.issuer);
-        if known || self.frozen || over.to != self.me {
+                .any(|(issuer, _)| *issuer == hand_over.issuer);
+        if known || self.frozen || hand_over.to != self.me {
             return known;
         }
         self.spaces
-            .push(KeySpace::from_hand_over(over, now + MEMORY_TTL));
+            .push(KeySpace::from_hand_over(hand_over, now + MEMORY_TTL));
         true
     }
 
--- a/lib/src/claims/claimer/rows.rs
+++ b/lib/src/claims/claimer/rows.rs
@@ -72,18 +72,18 @@
 
     /// A write with a claim was not done, as a condition did not hold.
     pub(super) fn put_conflicted(&mut self, now: Instant, item: &Item, found: &Snapshot) {
-        let held = found.get(&item.id);
-        match (self.take_claim(item), held) {
-            (Some(AnyClaim::Claiming(claim)), Some(held)) => self.resolve(now, claim, held),
+        let stored = found.get(&item.id);
+        match (self.take_claim(item), stored) {
+            (Some(AnyClaim::Claiming(claim)), Some(stored)) => self.resolve(now, claim, stored),
             (Some(AnyClaim::Claiming(mut claim)), None) => {
                 claim.state.replaces = None;
                 self.queue_claim(now, claim);
             }
-            (Some(AnyClaim::Ended(mut claim)), held) => {
+            (Some(AnyClaim::Ended(mut claim)), stored) => {
                 // If the row is unchanged, the condition of another claim in the write
                 // did not hold. Otherwise an earlier write whose response was lost has
                 // updated the row already, or the row has expired.
-                if held.is_some_and(|held| held.changed == claim.state.revision) {
+                if stored.is_some_and(|stored| stored.changed == claim.state.revision) {
                     self.batch.push(now, claim.id.clone());
                 } else {
                     claim.state.revision = 0;
@@ -105,20 +105,25 @@
     }
 
     /// Continues a claim whose key already has a row.
-    pub(super) fn resolve(&mut self, now: Instant, mut claim: Claim<Claiming>, held: &StoredValue) {
-        let row = ClaimRow::decode(held);
+    pub(super) fn resolve(
+        &mut self,
+        now: Instant,
+        mut claim: Claim<Claiming>,
+        stored: &StoredValue,
+    ) {
+        let row = ClaimRow::decode(stored);
         let runs = row.stage == Stage::Running;
         if runs && claim.is_own_row(self.me, &row) {
-            return self.dispatch(claim, held.changed);
+            return self.dispatch(claim, stored.changed);
         }
-        if claim.state.replaces == Some(held.changed) {
+        if claim.state.replaces == Some(stored.changed) {
             // The condition of another claim in the same write did not hold.
             return self.queue_claim(now, claim);
         }
         if runs && claim.is_released_row(self.me, &row) {
             // The request of that row never ran. If the daemon that asked for the release
             // is still alive, only one of the two writes at this revision succeeds.
-            claim.state.replaces = Some(held.changed);
+            claim.state.replaces = Some(stored.changed);
             return self.queue_claim(now, claim);
         }
         let request = claim.request;
@@ -130,7 +135,7 @@
                 self.commands.push(Command::Answer { request, answer });
             }
             Stage::Running if self.is_live(row.holder) => {
-                let claim = claim.ask_holder(now + REPLY_TIMEOUT, held.changed, row.sequence);
+                let claim = claim.ask_holder(now + REPLY_TIMEOUT, stored.changed, row.sequence);
                 self.send_question(row.holder, &claim);
                 self.claims.insert(AnyClaim::Asking(claim));
             }
--- a/lib/src/claims/row.rs
+++ b/lib/src/claims/row.rs
@@ -35,8 +35,8 @@
 
 impl ClaimRow {
     /// Decodes a row; one that cannot be decoded has no holder and an unknown outcome.
-    pub fn decode(held: &StoredValue) -> Self {
-        let wire = wire::Claim::decode(held.value.clone());
+    pub fn decode(stored: &StoredValue) -> Self {
+        let wire = wire::Claim::decode(stored.value.clone());
         let wire = wire.unwrap_or_else(|_unreadable| wire::Claim {
             stage: wire::Stage::Unknown.into(),
             ..wire::Claim::default()
