--- a/daemon/src/callers/buffered.rs
+++ b/daemon/src/callers/buffered.rs
@@ -28,7 +28,7 @@
 pub(super) async fn completion(
     shared: &Shared,
     answer: Arc<Answer>,
-    form: &RequestKind,
+    kind: &RequestKind,
     prompt: u32,
 ) -> Result<HttpResponse, Problem> {
     let view = wait_end(shared, &answer).await?;
@@ -42,7 +42,7 @@
     });
     let mut response = HttpResponse::Ok();
     response.insert_header(("x-request-id", id.as_str()));
-    Ok(match form {
+    Ok(match kind {
         RequestKind::Text { model } => response.json(text_answer(id, model, text, usage)),
         RequestKind::Chat { model } => response.json(chat_answer(id, model, text, usage)),
         RequestKind::Plain { .. } => HttpResponse::InternalServerError().finish(),
--- a/daemon/src/callers/completions.rs
+++ b/daemon/src/callers/completions.rs
@@ -59,14 +59,14 @@
 ) -> Result<HttpResponse, Problem> {
     let key = api_key(request).ok_or_else(|| Problem::new(Code::NoCustomer))?;
     let body = body::read(payload, &shared.limits).await?;
-    let (ask, streamed) = read(shared, &body, kind)?;
-    let form = ask.kind.clone();
-    let prompt = ask.prompt;
+    let (parsed, streamed) = read(shared, &body, kind)?;
+    let request_kind = parsed.kind.clone();
+    let prompt = parsed.prompt;
     let submit = shared
         .core
         .send(Submit {
             key,
-            request: ask,
+            request: parsed,
             id: None,
         })
         .await;
@@ -76,7 +76,7 @@
     if streamed {
         stream::respond(shared, answer, 0).await
     } else {
-        buffered::completion(shared, answer, &form, prompt).await
+        buffered::completion(shared, answer, &request_kind, prompt).await
     }
 }
 
@@ -98,7 +98,7 @@
         .ok_or_else(|| Problem::new(Code::NoRoute).detail(format!("model: {:?}", fields.model)))?;
     value["stream"] = Value::Bool(true);
     let model = ModelId::from(fields.model.as_str());
-    let ask = CallerRequest {
+    let parsed = CallerRequest {
         service: service.id.clone(),
         route: model.clone(),
         idempotent: true,
@@ -115,7 +115,7 @@
         },
         body: value.to_string().into(),
     };
-    Ok((ask, fields.stream))
+    Ok((parsed, fields.stream))
 }
 
 fn service<'a>(shared: &'a Shared, model: &str) -> Option<&'a Service> {
--- a/daemon/src/callers/forward.rs
+++ b/daemon/src/callers/forward.rs
@@ -1,4 +1,5 @@
-//! Forwards a caller's request to the daemon that holds its answer.
+//! Forwards a caller's request to the daemon that has to answer it: the one that holds its answer
+//! or its idempotency key.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/daemon/src/callers/requests.rs
+++ b/daemon/src/callers/requests.rs
@@ -57,10 +57,10 @@
     let key = api_key(request).ok_or_else(|| Problem::new(Code::NoCustomer))?;
     let from = resume_from(request, id)?;
     let found = shared.core.send(FindAnswer { key, id }).await;
-    let (answer, form) = found
+    let (answer, kind) = found
         .map_err(|_closed| Problem::new(Code::Internal))?
         .map_err(Problem::new)?;
-    if form.model().is_some() {
+    if kind.model().is_some() {
         stream::respond(shared, answer, from).await
     } else {
         buffered::plain(shared, answer).await
--- a/daemon/src/callers/services.rs
+++ b/daemon/src/callers/services.rs
@@ -40,7 +40,7 @@
     let (service, route) = find(shared, service, request.method().as_str(), &path)
         .ok_or_else(|| Problem::new(Code::NoRoute).detail(request.path()))?;
     let body = body::read(payload, &shared.limits).await?;
-    let ask = CallerRequest {
+    let parsed = CallerRequest {
         service: service.id.clone(),
         route: format_compact!("{} {}", route.method, route.path),
         idempotent: route.repeatable,
@@ -56,16 +56,16 @@
         body,
     };
     let named = request.headers().get("idempotency-key");
-    if let (Some(claim), false) = (named, ask.idempotent) {
-        let claim = claim.to_str().ok().and_then(Key::parse);
-        let claim = claim.ok_or_else(|| Problem::new(Code::BadKey))?;
-        return run_keyed(shared, request, key, claim, ask).await;
+    if let (Some(idempotency_key), false) = (named, parsed.idempotent) {
+        let idempotency_key = idempotency_key.to_str().ok().and_then(Key::parse);
+        let idempotency_key = idempotency_key.ok_or_else(|| Problem::new(Code::BadKey))?;
+        return run_keyed(shared, request, key, idempotency_key, parsed).await;
     }
     let submit = shared
         .core
         .send(Submit {
             key,
-            request: ask,
+            request: parsed,
             id: None,
         })
         .await;
@@ -80,26 +80,26 @@
     shared: &Shared,
     request: &HttpRequest,
     key: String,
-    claim: Key,
-    ask: CallerRequest,
+    idempotency_key: Key,
+    parsed: CallerRequest,
 ) -> Result<HttpResponse, Problem> {
     let internal = || Problem::new(Code::Internal);
     let customer = shared.core.send(Authenticate(key.clone())).await;
     let customer = customer
         .map_err(|_closed| internal())?
         .map_err(Problem::new)?;
-    let body = ask.body.clone();
-    let begin = SubmitKeyed {
+    let body = parsed.body.clone();
+    let submit = SubmitKeyed {
         key,
         digest: fingerprint(request, &customer, &body),
         customer,
-        idempotency_key: claim,
-        request: ask,
+        idempotency_key,
+        request: parsed,
         forwarded: forward::is_forwarded(request),
     };
     let outcome = shared
         .claims
-        .send(begin)
+        .send(submit)
         .await
         .map_err(|_closed| internal())?;
     match outcome {
--- a/daemon/src/fleet.rs
+++ b/daemon/src/fleet.rs
@@ -36,7 +36,7 @@
     id: Incarnation,
     callers: Option<SocketAddr>,
     revision: Revision,
-    holds: Vec<Incarnation>,
+    inherited: Vec<Incarnation>,
 }
 
 impl Row for Daemon {
@@ -122,7 +122,7 @@
         } else if number == INHERITED_KEYS.number {
             let ids = value.as_chunks().0;
             let ids = ids.iter().map(|id| Incarnation::from_be_bytes(*id));
-            self.daemon(origin).holds = ids.collect();
+            self.daemon(origin).inherited = ids.collect();
             self.update_claims();
         } else if number == Kind::DEMAND.number {
             self.apply_demand(origin, key, value);
@@ -183,7 +183,7 @@
                 id,
                 callers: None,
                 revision: 0,
-                holds: Vec::new(),
+                inherited: Vec::new(),
             });
         }
         self.daemons.get_mut(&id).expect("it was inserted above")
@@ -233,7 +233,7 @@
                 address: peer.address,
                 callers: daemon.and_then(|daemon| daemon.callers),
                 inherited: daemon
-                    .map(|daemon| daemon.holds.clone())
+                    .map(|daemon| daemon.inherited.clone())
                     .unwrap_or_default(),
             }
         });
--- a/daemon/src/operators/moves.rs
+++ b/daemon/src/operators/moves.rs
@@ -19,7 +19,7 @@
         }
     };
     log::info!(
-        "operators: an operator starts the version move of {} to {}.",
+        "operators: an operator requests a version move of {} to {}.",
         order.service,
         order.to
     );
@@ -27,7 +27,7 @@
 }
 
 pub(super) async fn cancel(shared: web::Data<Shared>, service: web::Path<String>) -> HttpResponse {
-    log::info!("operators: an operator cancels the version move of {service}.");
+    log::info!("operators: an operator requests to cancel the version move of {service}.");
     respond(shared.moves.send(Cancel(id(&service))).await)
 }
 
--- a/daemon/src/peers/actor.rs
+++ b/daemon/src/peers/actor.rs
@@ -289,7 +289,10 @@
     match &result {
         Ok(()) => {}
         Err(PeerError::Rejected(code)) => {
-            log::warn!("peers: {} rejected a call with code {code}", call.to);
+            log::warn!(
+                "peers: {} rejected a call with code {code}, the next rounds call again",
+                call.to
+            );
         }
         // Expected: hosts vanish at any time, and the next rounds call other peers.
         Err(error) => log::debug!("peers: call to {} failed: {error}", call.to),
--- a/daemon/tests/test_relay_store.rs
+++ b/daemon/tests/test_relay_store.rs
@@ -156,8 +156,8 @@
     assert_eq!(status(&site, "/safe/a").await, 404);
 }
 
-/// The platform rejects usage reports at first. Each retry of a window's report must have the same
-/// content as the first attempt.
+/// The platform rejects usage reports at first, and a window's report is retried. Each retry must
+/// have the same bytes as the first attempt, so that a window never has two different counts.
 #[actix_web::test]
 async fn each_usage_window_has_one_report_only() {
     let one = endpoint("i-1").await;
