--- a/lib/tests/test_config.rs
+++ b/lib/tests/test_config.rs
@@ -57,7 +57,12 @@
 }
 
 fn verdict<'a>(fleet: &'a Fleet, id: &str) -> &'a Verdict {
-    &fleet.told.iter().find(|(edit, _)| edit == id).unwrap().1
+    &fleet
+        .verdicts
+        .iter()
+        .find(|(edit, _)| edit == id)
+        .unwrap()
+        .1
 }
 
 #[test]
@@ -136,7 +141,7 @@
     fleet.run(Duration::from_secs(3));
     fleet.edit(1, edit("two", base + 1, lists(&[], 2)));
     fleet.run(Duration::from_secs(3));
-    fleet.told.clear();
+    fleet.verdicts.clear();
     fleet.edit(5, one);
     fleet.run(Duration::from_secs(3));
     assert_eq!(*verdict(&fleet, "one"), Verdict::Accepted(base + 1));
@@ -338,7 +343,7 @@
         seed: u64,
     ) {
         let mut fleet = Fleet::new(DAEMONS, ZONES, seed);
-        fleet.unruly = unruly;
+        fleet.unreliable = unruly;
         fleet.run(Duration::from_secs(2));
         for (at, event) in events.iter().enumerate() {
             apply(&mut fleet, at, event);
@@ -348,7 +353,7 @@
         fleet.run(Duration::from_secs(11));
         prop_assert!(fleet.settle(IN_FORCE).is_some());
         let accepted = accepted_edits(&fleet);
-        for (id, verdict) in &fleet.told {
+        for (id, verdict) in &fleet.verdicts {
             match verdict {
                 Verdict::Accepted(_) => prop_assert!(accepted.contains(id)),
                 Verdict::Unknown => {}
