--- a/daemon/tests/test_leaving.rs
+++ b/daemon/tests/test_leaving.rs
@@ -289,7 +289,11 @@
         .insert_header(("authorization", format!("Bearer {KEY}")))
         .send_json(&chat(&history, 200, true));
     let mut stream = stream.await.expect("it answers");
-    let first = stream.next().await.expect("a part").expect("it is whole");
+    let first = stream
+        .next()
+        .await
+        .expect("a chunk")
+        .expect("it is no error");
     let from = engine_of(&site).await;
     announce(&site, site.listed(from), Duration::from_secs(3)).await;
     let mut body = String::from_utf8_lossy(&first).into_owned();
@@ -319,7 +323,11 @@
         .insert_header(("authorization", format!("Bearer {KEY}")))
         .send_json(&chat(&history, 200, true));
     let mut stream = stream.await.expect("it answers");
-    let first = stream.next().await.expect("a part").expect("it is whole");
+    let first = stream
+        .next()
+        .await
+        .expect("a chunk")
+        .expect("it is no error");
     let from = engine_of(&site).await;
     announce(&site, site.listed(from), Duration::from_secs(3)).await;
     let mut body = String::from_utf8_lossy(&first).into_owned();
--- a/daemon/tests/test_platform.rs
+++ b/daemon/tests/test_platform.rs
@@ -68,8 +68,8 @@
     assert!(matches!(wrong, Written::Conflict(_)));
     let right = client.write(replace(revision)).await.unwrap();
     assert_eq!(right, Written::Done(revision + 1));
-    let held = client.get("a/1").await.unwrap().rows;
-    assert_eq!((held[0].created, held[0].changed), (revision, revision + 1));
+    let rows = client.get("a/1").await.unwrap().rows;
+    assert_eq!((rows[0].created, rows[0].changed), (revision, revision + 1));
 }
 
 #[actix_web::test]
@@ -141,15 +141,15 @@
 #[actix_web::test]
 async fn values_are_removed_with_their_lease() {
     let (_, client) = start_store();
-    let lasts = Duration::from_mins(1);
-    let lease = client.grant(lasts).await.unwrap();
-    let held = Put {
+    let ttl = Duration::from_mins(1);
+    let lease = client.grant(ttl).await.unwrap();
+    let leased = Put {
         lease: lease.id,
         ..put("a", "one")
     };
     let write = Write {
         conditions: Vec::new(),
-        puts: vec![held],
+        puts: vec![leased],
     };
     client.write(write).await.unwrap();
     assert!(client.renew(lease.id).await.unwrap().is_some());
@@ -165,7 +165,7 @@
     let (sender, mut changes) = tokio::sync::mpsc::unbounded_channel();
     let watcher = Rc::clone(&client);
     actix_web::rt::spawn(async move {
-        let on_change = |held: StoredValue| sender.send(held.value).unwrap();
+        let on_change = |stored: StoredValue| sender.send(stored.value).unwrap();
         watcher.watch("a", 1, on_change).await
     });
     for value in ["one", "two"] {
--- a/daemon/tests/test_relay_crash.rs
+++ b/daemon/tests/test_relay_crash.rs
@@ -51,7 +51,7 @@
     let endpoints = endpoints(14, &arrivals).await;
     let all: Vec<&Endpoint> = endpoints.iter().collect();
     let zone = Zone::start(21, store_with(&all).await).await;
-    let begin = Instant::now();
+    let started = Instant::now();
     for number in 0..30 {
         let (_, relay) = &zone.daemons[number % usize::from(DAEMONS)];
         let text = request("GET", FATAL_PATH, &format!("r{number}"), "");
@@ -61,7 +61,7 @@
         );
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    assert!(begin.elapsed() > PROPAGATION_TIME * 2);
+    assert!(started.elapsed() > PROPAGATION_TIME * 2);
     let arrivals = arrivals.borrow();
     assert!(
         arrivals.len() >= QUARANTINE_CRASHES,
--- a/daemon/tests/test_relay_limit.rs
+++ b/daemon/tests/test_relay_limit.rs
@@ -143,12 +143,14 @@
     let text = request("GET", "/safe/a", "r1", "");
     let first = ask(site.address(), &text).await.expect("an answer");
     assert_eq!(first.status, 200);
-    let begin = Instant::now();
+    let started = Instant::now();
     let answer = ask(site.address(), &text).await.expect("an answer");
-    assert!(begin.elapsed() < PAUSE, "{:?}", begin.elapsed());
+    assert!(started.elapsed() < PAUSE, "{:?}", started.elapsed());
     assert_eq!(answer.status, 503);
     assert!(answer.body.contains("\"no\""), "{answer:?}");
-    let again = answer.head.fields.text("Retry-After");
-    let again: f64 = again.and_then(|text| text.parse().ok()).expect("a time");
-    assert!((0.5..=2.0).contains(&again), "{again}");
+    let retry_after = answer.head.fields.text("Retry-After");
+    let retry_after: f64 = retry_after
+        .and_then(|text| text.parse().ok())
+        .expect("a time");
+    assert!((0.5..=2.0).contains(&retry_after), "{retry_after}");
 }
