--- a/daemon/src/claims.rs
+++ b/daemon/src/claims.rs
@@ -450,5 +450,5 @@
             return;
         }
     }
-    log::warn!("claims: hand-over of a key space not confirmed; its keys may stop working.");
+    log::warn!("claims: {to} did not confirm a key space, giving up; its keys may stop working.");
 }
